--- a/scale/fit.py
+++ b/scale/fit.py
@@ -23,7 +23,7 @@
 
 def line(sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float]:
     """Slope and intercept of the least-squares line."""
-    intercept, slope = np.polynomial.Polynomial.fit(sizes, values, 1).convert(domain=(-1, 1)).coef
+    slope, intercept = np.polyfit(sizes, values, 1)  # not `Polynomial.convert`, which drops a slope of 0
     return float(slope), float(intercept)
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -55,6 +55,11 @@
     assert [cell(found["values"][size]) for size in "1234"] == ["2", "4", "-", "8 (2)"]
 
 
+def test_values_that_are_all_the_same_make_a_level_line() -> None:
+    level = fit([5, 7], [[30572544.0, 30572544.0]])
+    assert (level.slope, level.intercept) == (0.0, 30572544.0)
+
+
 def test_every_measurement_has_its_values_in_the_json(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
