--- a/scale/fit.py
+++ b/scale/fit.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from statistics import linear_regression
 from typing import NamedTuple
 
 import numpy as np
@@ -23,8 +24,8 @@
 
 def line(sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float]:
     """Slope and intercept of the least-squares line."""
-    slope, intercept = np.polyfit(sizes, values, 1)  # not `Polynomial.convert`, which drops a slope of 0
-    return float(slope), float(intercept)
+    slope, intercept = linear_regression(sizes, values)
+    return slope, intercept
 
 
 def fit(sizes: Sequence[int], repeats: Sequence[Sequence[float]]) -> Fit:
