--- a/flintlatch/__main__.py
+++ b/dunecove/__main__.py
@@ -19,17 +19,17 @@
 import orjson
 import uvloop
 
-from flintlatch.api import Settings
-from flintlatch.net.backends import OWN_LACK
-from flintlatch.net.discovery import Discovery, Saved, check_ip, read_saved
-from flintlatch.net.engine import Engine
-from flintlatch.net.frontend import Frontend
-from flintlatch.net.http1 import split_address
-from flintlatch.net.peers import Peers, Tier
-from flintlatch.net.pieces import in_pieces, read, without
-from flintlatch.net.request import Reader
-from flintlatch.net.telemetry import Telemetry, log, take_library_logs
-from flintlatch.settings import (
+from dunecove.policy.api import Settings
+from dunecove.proxy.connection_pool import OWN_LACK
+from dunecove.proxy.discovery_client import Discovery, Saved, check_ip, read_saved
+from dunecove.proxy.engine import Engine
+from dunecove.proxy.gossip import Peers, Tier
+from dunecove.proxy.http1 import split_address
+from dunecove.proxy.incremental_json import in_pieces, read, without
+from dunecove.proxy.listener import Frontend
+from dunecove.proxy.request_parser import Reader
+from dunecove.proxy.telemetry import Telemetry, log, take_library_logs
+from dunecove.settings import (
     Malformed,
     Message,
     Unreadable,
--- a/flintlatch/adapter.py
+++ b/dunecove/adapter.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from flintlatch.api import (
+from dunecove.policy.api import (
     Action,
     Arrival,
     Cancel,
@@ -34,8 +34,8 @@
     TimerFired,
     Watch,
 )
-from flintlatch.choice import Balancer
-from flintlatch.settings import (
+from dunecove.policy.balancer import Balancer
+from dunecove.settings import (
     Malformed,
     Message,
     choice,
@@ -225,7 +225,7 @@
         try:
             reply = host.batch(line)
         except Malformed as error:
-            print(f"flintlatch: {error}", file=sys.stderr)
+            print(f"dunecove: {error}", file=sys.stderr)
             return 2
         sink.write(reply + b"\n")
         sink.flush()
--- /dev/null
+++ b/dunecove/policy/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions, without sockets and with no clock but the events'."""
--- a/flintlatch/choice.py
+++ b/dunecove/policy/balancer.py
@@ -17,13 +17,13 @@
 from random import Random
 from zlib import crc32
 
-from flintlatch.api import (
+from dunecove.policy.api import (
     NEVER_RAN, Action, Arrival, Cancel, ClientGone, Effect, EndReason, Event, Fail, ListKind, Log, Outcome,
     PeerSaid, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList, ServerState, ServiceMoved,
     SetTimer, Settings, StreamStarted, Tell, TimerFired, Watch,
 )  # fmt: skip
-from flintlatch.rules import first_run, repeat_denial, same_group
-from flintlatch.slow_start import SlowStart
+from dunecove.policy.request_rules import first_run, repeat_denial, same_group
+from dunecove.policy.slow_start import SlowStart
 
 BEAT_MS = 25.0  # ms between housekeeping rounds: expiry and recovery need no finer grain
 WINDOW_OF_AIM = 0.5  # part of the aim: the detector's window, so a verdict comes while it still helps
--- a/flintlatch/rules.py
+++ b/dunecove/policy/request_rules.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Protocol, TypeVar
 
-from flintlatch.api import Effect, RequestClass, Scope, Settings
+from dunecove.policy.api import Effect, RequestClass, Scope, Settings
 
 
 class Denial(Enum):
--- a/flintlatch/net/backends.py
+++ b/dunecove/proxy/connection_pool.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from math import inf
 
-from flintlatch.api import NEVER_RAN, Result, ServerInfo, ServerState
-from flintlatch.net.clock import now_ms
-from flintlatch.net.discovery import Target, pack, place_of, unpack
-from flintlatch.net.http1 import Exchange, Response, unread
-from flintlatch.net.table import Table
-from flintlatch.rules import Denial
+from dunecove.policy.api import NEVER_RAN, Result, ServerInfo, ServerState
+from dunecove.policy.request_rules import Denial
+from dunecove.proxy.clock import now_ms
+from dunecove.proxy.discovery_client import Target, pack, place_of, unpack
+from dunecove.proxy.http1 import Exchange, Response, unread
+from dunecove.proxy.sharded_table import Table
 
 IDLE_PART = 0.6  # part of the backend's idle limit after which we close first: a late reuse ends as a reset
 # A second answer, noise, or the server's close may come right behind an answer: lent out later than this, the
--- a/flintlatch/net/discovery.py
+++ b/dunecove/proxy/discovery_client.py
@@ -15,11 +15,11 @@
 
 import orjson
 
-from flintlatch.api import ServerInfo, ServerState
-from flintlatch.net.http1 import Exchange, Response, split_address
-from flintlatch.net.pieces import consumed, in_pieces
-from flintlatch.net.table import Table
-from flintlatch.settings import Malformed, Wire, choice, listing, mapping, number, text, whole
+from dunecove.policy.api import ServerInfo, ServerState
+from dunecove.proxy.http1 import Exchange, Response, split_address
+from dunecove.proxy.incremental_json import consumed, in_pieces
+from dunecove.proxy.sharded_table import Table
+from dunecove.settings import Malformed, Wire, choice, listing, mapping, number, text, whole
 
 STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 FIRST_WAIT_MS = 1  # a new watch asks for what is known now, so that success shows at once
--- a/flintlatch/net/engine.py
+++ b/dunecove/proxy/engine.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from flintlatch.api import (
+from dunecove.policy.api import (
     Action,
     Arrival,
     Cancel,
@@ -32,15 +32,15 @@
     TimerFired,
     Watch,
 )
-from flintlatch.choice import Balancer
-from flintlatch.net.backends import Attempt, Backends
-from flintlatch.net.clock import now_ms
-from flintlatch.net.discovery import PIECE, Discovery, Listing, Saved
-from flintlatch.net.http1 import Response
-from flintlatch.net.peers import Peers
-from flintlatch.net.telemetry import Telemetry, log
-from flintlatch.rules import EXPECTED, LATE_MS, Denial, Violation, may_refuse, send_denial
-from flintlatch.settings import Wire
+from dunecove.policy.balancer import Balancer
+from dunecove.policy.request_rules import EXPECTED, LATE_MS, Denial, Violation, may_refuse, send_denial
+from dunecove.proxy.clock import now_ms
+from dunecove.proxy.connection_pool import Attempt, Backends
+from dunecove.proxy.discovery_client import PIECE, Discovery, Listing, Saved
+from dunecove.proxy.gossip import Peers
+from dunecove.proxy.http1 import Response
+from dunecove.proxy.telemetry import Telemetry, log
+from dunecove.settings import Wire
 
 MODULE_REST_S = 0.1  # s from the end of a broken module to the first step of the next
 KNOWN_S = 4.0  # s at least that an id is remembered after its request came: no client waits for longer
--- a/flintlatch/net/frontend.py
+++ b/dunecove/proxy/listener.py
@@ -11,9 +11,10 @@
 
 import httptools
 
-from flintlatch.net.clock import now_ms
-from flintlatch.net.engine import Answer, Engine
-from flintlatch.net.http1 import (
+from dunecove.policy.request_rules import LATE_MS, Violation, may_close
+from dunecove.proxy.clock import now_ms
+from dunecove.proxy.engine import Answer, Engine
+from dunecove.proxy.http1 import (
     MAX_BODY,
     MAX_HEAD,
     Headers,
@@ -23,10 +24,9 @@
     split_address,
     unread,
 )
-from flintlatch.net.readahead import ReadAhead
-from flintlatch.net.request import Bad, Message, Reader, check_framing
-from flintlatch.net.telemetry import log
-from flintlatch.rules import LATE_MS, Violation, may_close
+from dunecove.proxy.receive_buffer import ReadAhead
+from dunecove.proxy.request_parser import Bad, Message, Reader, check_framing
+from dunecove.proxy.telemetry import log
 
 BACKLOG = 512
 ACCEPT_AT_ONCE = 16  # connections a turn: requests on open ones must not wait for a flood of new ones
--- a/flintlatch/net/request.py
+++ b/dunecove/proxy/request_parser.py
@@ -8,11 +8,11 @@
 from typing import NamedTuple
 from urllib.parse import unquote_to_bytes
 
-from flintlatch.api import Effect, Settings
-from flintlatch.net.clock import now_ms
-from flintlatch.net.engine import Answer, Taken
-from flintlatch.net.http1 import MAX_BODY, Headers
-from flintlatch.settings import Wire
+from dunecove.policy.api import Effect, Settings
+from dunecove.proxy.clock import now_ms
+from dunecove.proxy.engine import Answer, Taken
+from dunecove.proxy.http1 import MAX_BODY, Headers
+from dunecove.settings import Wire
 
 # What goes on to a backend. Anything else is the client's own affair, and one way less to make a backend
 # hang up, and so fail a request that it was made to look guilty of.
--- a/flintlatch/net/telemetry.py
+++ b/dunecove/proxy/telemetry.py
@@ -10,8 +10,8 @@
 
 import orjson
 
-from flintlatch.net.clock import now_ms
-from flintlatch.rules import Violation
+from dunecove.policy.request_rules import Violation
+from dunecove.proxy.clock import now_ms
 
 STDERR = 2
 LOG_LINES = 20  # lines a second: whatever floods the log must not keep the proxy from its work
@@ -57,7 +57,7 @@
             return
         told = f" ({self.dropped} lines before it left out)" if self.dropped else ""
         start = "\n" if self.cut else ""
-        if write_all(f"{start}flintlatch: {line}{told}\n".encode(errors="backslashreplace")):
+        if write_all(f"{start}dunecove: {line}{told}\n".encode(errors="backslashreplace")):
             self.dropped, self.cut = 0, False
         else:
             self.dropped, self.cut = self.dropped + 1, True
--- a/flintlatch/settings.py
+++ b/dunecove/settings.py
@@ -6,7 +6,7 @@
 from math import inf
 from typing import Any
 
-from flintlatch.api import Effect, RequestClass, Scope, Settings
+from dunecove.policy.api import Effect, RequestClass, Scope, Settings
 
 EFFECTS = {"read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE}
 Message = dict[str, Any]
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from flintlatch.api import (
+from dunecove.policy.api import (
     Action,
     Arrival,
     ClientGone,
@@ -26,10 +26,10 @@
     TimerFired,
     Watch,
 )
-from flintlatch.choice import Balancer
-from flintlatch.net.backends import Backends
-from flintlatch.net.discovery import Discovery, Listing, read_listing
-from flintlatch.settings import read_settings, read_wire
+from dunecove.policy.balancer import Balancer
+from dunecove.proxy.connection_pool import Backends
+from dunecove.proxy.discovery_client import Discovery, Listing, read_listing
+from dunecove.settings import read_settings, read_wire
 from scale.fleet.account import ACCOUNT, Account
 from scale.fleet.world import LEAVING, LEFT, REGIONS, ZONES, Rules, World, region_of, zone_name
 
--- a/scale/fleet/world.py
+++ b/scale/fleet/world.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from flintlatch.api import Result
+from dunecove.policy.api import Result
 from scale.fleet.clock import VirtualLoop
 from scale.fleet.service import Change, ListService
 
--- a/scale/held.py
+++ b/scale/held.py
@@ -20,14 +20,14 @@
 import orjson
 import uvloop
 
-from flintlatch.api import ListKind
-from flintlatch.choice import Balancer
-from flintlatch.net.discovery import read_listing
-from flintlatch.net.engine import Engine
-from flintlatch.net.frontend import Frontend
-from flintlatch.net.peers import Peers, Tier
-from flintlatch.net.request import Reader
-from flintlatch.settings import read_settings, read_wire
+from dunecove.policy.api import ListKind
+from dunecove.policy.balancer import Balancer
+from dunecove.proxy.discovery_client import read_listing
+from dunecove.proxy.engine import Engine
+from dunecove.proxy.gossip import Peers, Tier
+from dunecove.proxy.listener import Frontend
+from dunecove.proxy.request_parser import Reader
+from dunecove.settings import read_settings, read_wire
 from scale import made
 
 PROXIES = 3400
--- a/scale/made.py
+++ b/scale/made.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from flintlatch.api import ServerInfo
+from dunecove.policy.api import ServerInfo
 
 ZONES, KINDS = 11, 4
 LONG_MS = 60000  # a deadline beyond any run
--- a/scale/memory.py
+++ b/scale/memory.py
@@ -6,7 +6,7 @@
 import socket
 import subprocess
 
-from flintlatch.net.http1 import split_address
+from dunecove.proxy.http1 import split_address
 from scale.measures import Plan, Series, Trouble, Values, child, child_json, end, measure
 
 HOW = ("traced", "resident")
--- a/scale/messages.py
+++ b/scale/messages.py
@@ -7,7 +7,7 @@
 from itertools import count
 from random import Random
 
-from flintlatch.api import (
+from dunecove.policy.api import (
     Arrival,
     Event,
     ListKind,
@@ -20,8 +20,8 @@
     Tell,
     TimerFired,
 )
-from flintlatch.choice import Balancer
-from flintlatch.settings import read_settings
+from dunecove.policy.balancer import Balancer
+from dunecove.settings import read_settings
 from scale import made
 from scale.measures import Plan, Series, Values, measure
 
--- a/scale/module.py
+++ b/scale/module.py
@@ -5,10 +5,10 @@
 from collections import deque
 from itertools import count
 
-from flintlatch.api import Arrival, ListKind, Outcome, Result, Send, ServerInfo, ServerList, ServerState
-from flintlatch.api import TimerFired as Beat
-from flintlatch.choice import Balancer
-from flintlatch.settings import read_settings
+from dunecove.policy.api import Arrival, ListKind, Outcome, Result, Send, ServerInfo, ServerList, ServerState
+from dunecove.policy.api import TimerFired as Beat
+from dunecove.policy.balancer import Balancer
+from dunecove.settings import read_settings
 from scale import made
 from scale.measures import Plan, Series, Trouble, Values, measure, spent_ms
 
--- a/scale/proxy.py
+++ b/scale/proxy.py
@@ -19,7 +19,7 @@
 
 
 class Proxy:
-    """`python -m flintlatch` with a configuration written to a temporary folder. Raises Trouble, with the
+    """`python -m dunecove` with a configuration written to a temporary folder. Raises Trouble, with the
     last line of its log, if it doesn't come up."""
 
     def __init__(self, configuration: dict[str, Any]) -> None:
@@ -30,7 +30,7 @@
         env = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
         with self.log.open("wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "flintlatch"],
+                [sys.executable, "-m", "dunecove"],
                 env=env | {"LB_CONFIG": str(folder / "config.json")},
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.DEVNULL,
--- a/scale/report.py
+++ b/scale/report.py
@@ -43,10 +43,10 @@
 
 
 def revision() -> str:
-    """Of the checkout, with `+` where flintlatch/ differs from it; `?` outside a checkout."""
+    """Of the checkout, with `+` where dunecove/ differs from it; `?` outside a checkout."""
     try:
         head = subprocess.run(["git", "rev-parse", "--short=12", "HEAD"], cwd=ROOT, capture_output=True)
-        dirty = subprocess.run(["git", "status", "--porcelain", "flintlatch"], cwd=ROOT, capture_output=True)
+        dirty = subprocess.run(["git", "status", "--porcelain", "dunecove"], cwd=ROOT, capture_output=True)
     except OSError:
         return "?"
     return (head.stdout.decode().strip() or "?") + ("+" if dirty.stdout.strip() else "")
--- a/scale/wire.py
+++ b/scale/wire.py
@@ -6,9 +6,9 @@
 
 import orjson
 
-from flintlatch.net.backends import Backends
-from flintlatch.net.discovery import Discovery, Listing, read_listing
-from flintlatch.settings import read_wire
+from dunecove.proxy.connection_pool import Backends
+from dunecove.proxy.discovery_client import Discovery, Listing, read_listing
+from dunecove.settings import read_wire
 from scale import made
 from scale.measures import Plan, Series, Trouble, Values, measure, spent_ms
 from scale.registry import HEAD, Exchanged, Registry, change, nothing
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any, cast
 
-from flintlatch.api import Effect
+from dunecove.policy.api import Effect
 from soak.http import Message, Stream
 from soak.proxies import ProxyProcess
 from soak.records import BadClient, Journal, Lane, Request
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -8,7 +8,7 @@
 from math import sqrt
 from typing import NamedTuple
 
-from flintlatch.api import Effect
+from dunecove.policy.api import Effect
 from soak.records import Attempt, Journal, Life, Ran, Request
 
 ANSWER_GRACE_S = 0.5  # after a request's time: later, or never, it is lost
--- a/soak/proxies.py
+++ b/soak/proxies.py
@@ -83,7 +83,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "flintlatch",
+            "dunecove",
             env=kept | environment | {"LB_CONFIG": str(self.path)},
             stderr=asyncio.subprocess.PIPE,
         )
--- a/soak/records.py
+++ b/soak/records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from flintlatch.api import Effect
+from dunecove.policy.api import Effect
 
 
 class Ran(Enum):
--- a/soak/run.py
+++ b/soak/run.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any
 
-from flintlatch.api import Effect
+from dunecove.policy.api import Effect
 from soak.backends import Backend, Mix
 from soak.clients import Clients, Habits
 from soak.discovery import ProxyAgent, Registry
--- a/tests/test_readme.py
+++ b/tests/docs/test_documents.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_example(capsys: pytest.CaptureFixture[str]) -> None:
@@ -18,5 +18,6 @@
 def test_each_crossing_names_a_test_that_is_there() -> None:
     named = re.findall(r"`(test_\w+\.py)::(test_\w+)`", (ROOT / "docs" / "crossings.md").read_text())
     assert len(named) > 40
-    missing = [name for file, name in named if f"def {name}(" not in (ROOT / "tests" / file).read_text()]
+    files = {path.name: path.read_text() for path in (ROOT / "tests").rglob("test_*.py")}
+    missing = [name for file, name in named if f"def {name}(" not in files.get(file, "")]
     assert missing == []
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,10 +15,10 @@
 
 import uvloop
 
-from flintlatch.__main__ import Config, start
-from flintlatch.net.backends import Backends
-from flintlatch.net.engine import Engine
-from flintlatch.net.frontend import Frontend
+from dunecove.__main__ import Config, start
+from dunecove.proxy.connection_pool import Backends
+from dunecove.proxy.engine import Engine
+from dunecove.proxy.listener import Frontend
 
 LIMIT_S = 60.0  # far beyond what any test needs; only a hang comes near it
 PURCHASE = {"Name": "purchase", "AimMs": 20000, "HardLimitMs": 30000, "Effect": "idempotency_key",
--- a/tests/test_mechanism.py
+++ b/tests/policy/test_balancer.py
@@ -6,8 +6,18 @@
 
 import pytest
 
-from flintlatch.api import Arrival, Fail, Outcome, Refuse, RequestClass, Result, Send, ServerInfo, Settings
-from flintlatch.choice import Balancer, Endpoint, Server
+from dunecove.policy.api import (
+    Arrival,
+    Fail,
+    Outcome,
+    Refuse,
+    RequestClass,
+    Result,
+    Send,
+    ServerInfo,
+    Settings,
+)
+from dunecove.policy.balancer import Balancer, Endpoint, Server
 from tests.support import Driver, fleet, of, settings
 
 
--- a/tests/test_many.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from flintlatch.api import Arrival, ListKind, Refuse, RequestClass, Result, ServerInfo, ServerList
+from dunecove.policy.api import Arrival, ListKind, Refuse, RequestClass, Result, ServerInfo, ServerList
 from tests.support import Driver, fleet, of, settings
 
 MANY = {"proxies": 300, "zones": 2}
--- a/tests/test_peers.py
+++ b/tests/policy/test_gossip.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from flintlatch.__main__ import Config, start
-from flintlatch.adapter import Host
-from flintlatch.api import ListKind, PeerSaid, Result, ServerList, Tell
-from flintlatch.net.peers import Peers, Tier
-from flintlatch.settings import Malformed
+from dunecove.__main__ import Config, start
+from dunecove.adapter import Host
+from dunecove.policy.api import ListKind, PeerSaid, Result, ServerList, Tell
+from dunecove.proxy.gossip import Peers, Tier
+from dunecove.settings import Malformed
 from tests.loopback import configuration, run
 from tests.support import Driver, fleet, of, settings
 
--- a/tests/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -8,8 +8,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from flintlatch import choice
-from flintlatch.api import (
+from dunecove.policy import balancer as balancer_module
+from dunecove.policy.api import (
     NEVER_RAN,
     Action,
     Arrival,
@@ -33,7 +33,7 @@
     Settings,
     TimerFired,
 )
-from flintlatch.choice import Balancer
+from dunecove.policy.balancer import Balancer
 
 CLASSES = (
     RequestClass(300.0, 900.0, worth=3.0),
@@ -208,7 +208,7 @@
 def test_rules_hold_when_most_servers_are_beyond_the_kept(
     config: Settings, seed: int, first: list[ServerInfo], moves: list[tuple[str, object, object]]
 ) -> None:
-    with patch.multiple(choice, RESERVE=1, RESERVE_SLACK=1, NEAR=1, LOAD_STEP=1, GROUP=1):
+    with patch.multiple(balancer_module, RESERVE=1, RESERVE_SLACK=1, NEAR=1, LOAD_STEP=1, GROUP=1):
         play(config, seed, first, moves)
 
 
--- a/tests/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from flintlatch.api import (
+from dunecove.policy.api import (
     Action,
     ListKind,
     Outcome,
--- a/tests/test_rules.py
+++ b/tests/policy/test_request_rules.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from flintlatch.api import (
+from dunecove.policy.api import (
     Cancel,
     ClientGone,
     Effect,
@@ -28,7 +28,7 @@
     StreamStarted,
     Watch,
 )
-from flintlatch.choice import ASK_LATEST_MS, BEAT_MS
+from dunecove.policy.balancer import ASK_LATEST_MS, BEAT_MS
 from tests.support import Driver, fleet, of, settings
 
 SAFE = RequestClass(300.0, 1000.0)
--- a/tests/test_cold_fleet.py
+++ b/tests/policy/test_slow_start.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from flintlatch.api import (
+from dunecove.policy.api import (
     Arrival,
     ListKind,
     Outcome,
@@ -22,8 +22,8 @@
     SetTimer,
     TimerFired,
 )
-from flintlatch.choice import BEAT_MS, Balancer
-from flintlatch.slow_start import SlowStart
+from dunecove.policy.balancer import BEAT_MS, Balancer
+from dunecove.policy.slow_start import SlowStart
 from tests.support import settings
 
 COLD_MS, WINDOW_MS, MULTIPLE, START = 24_000.0, 1000.0, 3.0, 0.16
--- a/tests/test_reserve.py
+++ b/tests/policy/test_subsetting.py
@@ -12,8 +12,8 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 
-from flintlatch import choice
-from flintlatch.api import (
+from dunecove.policy import balancer as balancer_module
+from dunecove.policy.api import (
     Arrival,
     Effect,
     ListKind,
@@ -25,7 +25,7 @@
     ServerState,
     TimerFired,
 )
-from flintlatch.choice import Balancer, Server, mix
+from dunecove.policy.balancer import Balancer, Server, mix
 from tests.support import Driver, settings
 
 MANY = {"proxies": 3400, "me": 17, "zones": 2}
@@ -53,7 +53,7 @@
         count[0] += 1
         return mix(key, number)
 
-    with patch.object(choice, "mix", counting):
+    with patch.object(balancer_module, "mix", counting):
         yield count
 
 
@@ -73,7 +73,7 @@
     me: int, lists: list[tuple[ListKind, list[ServerInfo]]]
 ) -> None:
     listed: dict[str, ServerState] = {}
-    with patch.multiple(choice, RESERVE=16, RESERVE_SLACK=2):
+    with patch.multiple(balancer_module, RESERVE=16, RESERVE_SLACK=2):
         balancer = Balancer(settings(**MANY | {"me": me, "cold_ms": 5000.0}), 1)
         for number, (kind, entries) in enumerate(lists):
             if kind in (ListKind.FULL, ListKind.SAVED):
@@ -198,7 +198,7 @@
 
 def test_one_that_arrives_ahead_of_those_moved_up_is_kept() -> None:
     ranked = sorted(servers(60), key=lambda s: mix(MANY["me"] + 1, crc32(s.server.encode())))
-    with patch.multiple(choice, RESERVE=16, RESERVE_SLACK=2):
+    with patch.multiple(balancer_module, RESERVE=16, RESERVE_SLACK=2):
         driver = Driver(settings(**MANY), *ranked[:20], *ranked[30:])
         gone = tuple(s._replace(state=ServerState.GONE) for s in ranked[:10])
         driver.step(ServerList(ListKind.CHANGES, gone))
--- a/tests/test_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from flintlatch.net import frontend as frontend_module
-from flintlatch.net.http1 import hung_up, unread
+from dunecove.proxy import listener as listener_module
+from dunecove.proxy.http1 import hung_up, unread
 from tests.loopback import PURCHASE, Call, Client, Proxy, Reply, proxy, request, reset, run, until
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -54,7 +54,7 @@
             client.send()
             await until(lambda: unread(inside.transport))
             p.frontend.most = 1 if place == "full" else 100
-            monkeypatch.setattr(frontend_module, "IDLE_FULL_S" if place == "full" else "IDLE_S", -1.0)
+            monkeypatch.setattr(listener_module, "IDLE_FULL_S" if place == "full" else "IDLE_S", -1.0)
             assert inside in p.frontend.idle
             p.frontend._sweep()
             inside.transport.resume_reading()
@@ -103,8 +103,8 @@
 
 @pytest.mark.parametrize("at", ["sweep", "cap"])
 def test_who_reads_slowly_gets_its_last_answer_whole(at: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend_module, "LINGER_S", -1.0)
-    monkeypatch.setattr(frontend_module, "SPARE_MS", -1000.0)
+    monkeypatch.setattr(listener_module, "LINGER_S", -1.0)
+    monkeypatch.setattr(listener_module, "SPARE_MS", -1000.0)
 
     async def test() -> None:
         async with proxy() as p:
@@ -132,10 +132,10 @@
             client = await slow_reader(p, stops=False)
             (inside,) = p.frontend.idle
             if how == "idle":
-                monkeypatch.setattr(frontend_module, "IDLE_S", -1.0)
+                monkeypatch.setattr(listener_module, "IDLE_S", -1.0)
                 p.frontend._sweep()
             elif how == "full":
-                monkeypatch.setattr(frontend_module, "IDLE_FULL_S", -1.0)
+                monkeypatch.setattr(listener_module, "IDLE_FULL_S", -1.0)
                 p.frontend.most = 1
                 other = await p.client()
                 other.send("/health/ready", "GET")
@@ -148,8 +148,8 @@
                 client.writer.write_eof()
             await until(lambda: inside.transport.is_closing())
             assert how == "full" or inside in p.frontend.clients
-            monkeypatch.setattr(frontend_module, "LINGER_S", -1.0)
-            monkeypatch.setattr(frontend_module, "READ_S", -1.0)
+            monkeypatch.setattr(listener_module, "LINGER_S", -1.0)
+            monkeypatch.setattr(listener_module, "READ_S", -1.0)
             p.frontend._sweep()
             await until(lambda: inside not in p.frontend.clients)
 
@@ -161,7 +161,7 @@
     at: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Closed over them it would be reset, with all that its client has not been sent yet."""
-    monkeypatch.setattr(frontend_module, "SPARE_MS", -1000.0)
+    monkeypatch.setattr(listener_module, "SPARE_MS", -1000.0)
 
     async def test() -> None:
         async with proxy() as p:
@@ -172,7 +172,7 @@
             client.send(x_call_id="c2")
             await until(lambda: unread(inside.transport))
             if at == "sweep":
-                monkeypatch.setattr(frontend_module, "LINGER_S", -1.0)
+                monkeypatch.setattr(listener_module, "LINGER_S", -1.0)
                 p.frontend._sweep()
             else:
                 assert p.frontend._victim() is None
@@ -203,7 +203,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Sent on, it could not be answered any more."""
-    monkeypatch.setattr(frontend_module, "LAST_WORDS_S", 5.0)
+    monkeypatch.setattr(listener_module, "LAST_WORDS_S", 5.0)
 
     async def test() -> None:
         async with proxy() as p:
@@ -247,7 +247,7 @@
 
 
 def test_noise_without_end_behind_a_request_does_not_take_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend_module, "LINGER_BYTES", 1000)
+    monkeypatch.setattr(listener_module, "LINGER_BYTES", 1000)
 
     async def test() -> None:
         async with proxy() as p:
@@ -367,7 +367,7 @@
 
 
 def test_a_request_and_its_answer_may_come_a_byte_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend_module, "WHOLE_S", 1000.0)  # however slow this machine is
+    monkeypatch.setattr(listener_module, "WHOLE_S", 1000.0)  # however slow this machine is
 
     async def test() -> None:
         async with proxy() as p:
--- a/tests/test_backends.py
+++ b/tests/proxy/test_connection_pool.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from flintlatch.api import Result, ServerInfo, ServerState
-from flintlatch.net import backends as backends_module
-from flintlatch.net.backends import Attempt, Backends
-from flintlatch.net.clock import now_ms
-from flintlatch.net.discovery import Target
-from flintlatch.net.http1 import Response, unread
+from dunecove.policy.api import Result, ServerInfo, ServerState
+from dunecove.proxy import connection_pool as connection_pool_module
+from dunecove.proxy.clock import now_ms
+from dunecove.proxy.connection_pool import Attempt, Backends
+from dunecove.proxy.discovery_client import Target
+from dunecove.proxy.http1 import Response, unread
 from tests.loopback import Gate, Peer, reset, run
 
 HEAD = b"POST /answer HTTP/1.1\r\nhost: b\r\n"
@@ -49,7 +49,7 @@
 
     async def served(self, peer: Peer, uid: str = "s") -> int:
         """One attempt served; the number of the connection that carried it."""
-        await asyncio.sleep(2 * backends_module.REST_MS / 1000)  # those kept may be lent again
+        await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)  # those kept may be lent again
         self.start(uid)
         call = await peer.calls.get()
         call.reply()
@@ -317,7 +317,7 @@
             for _ in range(2):
                 (await peer.calls.get()).reply()
                 await attempts.result()
-            await asyncio.sleep(2 * backends_module.REST_MS / 1000)
+            await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)
             attempts.start(limit_ms=50.0)
             await peer.calls.get()
             assert await attempts.result() is Result.TIMEOUT
@@ -471,7 +471,7 @@
         async with tries() as (attempts, peer):
             if pooled:
                 await attempts.served(peer)
-                await asyncio.sleep(2 * backends_module.REST_MS / 1000)
+                await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)
             attempts.list(target("s", peer.address, state))
             attempts.start()  # the pick was made before the list came
             assert await attempts.result() is Result.CONNECT_FAILED
@@ -504,7 +504,7 @@
     async def test() -> None:
         async with tries() as (attempts, peer):
             await attempts.served(peer)
-            await asyncio.sleep(2 * backends_module.REST_MS / 1000)
+            await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)
             attempt = attempts.start()  # written whole at once; the server's close was on its way
             connection = attempt.connection
             assert connection is not None and connection.waiting
--- a/tests/test_discovery.py
+++ b/tests/proxy/test_discovery_client.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from flintlatch.api import ListKind, ServerList, ServerState, Watch
-from flintlatch.net import discovery as discovery_module
-from flintlatch.net.discovery import MIB, Discovery, Listing
-from flintlatch.settings import Wire
+from dunecove.policy.api import ListKind, ServerList, ServerState, Watch
+from dunecove.proxy import discovery_client as discovery_client_module
+from dunecove.proxy.discovery_client import MIB, Discovery, Listing
+from dunecove.settings import Wire
 from tests.loopback import Call, Peer, listing, proxy, run, target
 from tests.support import Driver, fleet, of, settings
 
@@ -104,8 +104,8 @@
 @pytest.mark.parametrize("how", ["503", "reset", "refused", "silent"])
 def test_each_failed_call_is_told_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if how == "silent":
-        monkeypatch.setattr(discovery_module, "CALL_MS", 50)
-        monkeypatch.setattr(discovery_module, "PLACES", 1)
+        monkeypatch.setattr(discovery_client_module, "CALL_MS", 50)
+        monkeypatch.setattr(discovery_client_module, "PLACES", 1)
 
     async def test() -> None:
         if how == "refused":
@@ -261,7 +261,7 @@
                 driver.step(ServerList(ListKind.FAILED))
         if line and tick % int(each_ms / 25) == 0:
             me, number = line.popleft()
-            if number > calls[me] - discovery_module.PLACES and me not in served:
+            if number > calls[me] - discovery_client_module.PLACES and me not in served:
                 served.add(me)
                 due.pop(me, None)
                 drivers[me].step(ServerList(ListKind.FULL, tuple(fleet(2))))
@@ -269,7 +269,7 @@
 
 
 def test_a_call_given_up_keeps_its_place_in_the_line(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_module, "CALL_MS", 50)
+    monkeypatch.setattr(discovery_client_module, "CALL_MS", 50)
 
     async def test() -> None:
         async with watching() as (heard, peer):
@@ -289,7 +289,7 @@
 
 
 def test_so_many_calls_are_out_at_once_and_a_failed_one_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_module, "CALL_MS", 50)
+    monkeypatch.setattr(discovery_client_module, "CALL_MS", 50)
 
     async def test() -> None:
         async with watching() as (heard, peer):
@@ -299,7 +299,7 @@
                 calls.append(await peer.calls.get())
                 await heard.failures.get()
             await calls[0].closed.wait()
-            assert len(heard.discovery.asked) == discovery_module.PLACES
+            assert len(heard.discovery.asked) == discovery_client_module.PLACES
             calls[1].reply(status=503)
             await calls[1].closed.wait()
             assert len(heard.discovery.asked) == 2 and heard.failures.empty()
@@ -345,7 +345,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for limit in ("SILENT_MS", "CALL_MS"):  # not by the time that it takes
-        monkeypatch.setattr(discovery_module, limit, 60_000)
+        monkeypatch.setattr(discovery_client_module, limit, 60_000)
 
     async def test() -> None:
         async with proxy(memory_mb=192) as p:
@@ -356,7 +356,7 @@
             assert "?since=2&" in call.line and p.engine.backends.active() == 20_000
             assert p.engine.discovery is not None
             most = p.engine.discovery.most
-            assert discovery_module.PROGRAM_MB + 3 * most / MIB < 192  # it takes three times its bytes
+            assert discovery_client_module.PROGRAM_MB + 3 * most / MIB < 192  # it takes three times its bytes
             call.writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
             sent, piece = 0, b" " * 65_536
             while not call.closed.is_set():
@@ -405,7 +405,7 @@
         connect = heard.discovery._connect
         comes_up = asyncio.Event()
 
-        async def late(call: discovery_module.Call) -> None:
+        async def late(call: discovery_client_module.Call) -> None:
             if heard.discovery.address == other.address:
                 await connect(call)
                 return
--- a/tests/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from flintlatch.api import (
+from dunecove.policy.api import (
     Action,
     Arrival,
     Cancel,
@@ -30,12 +30,12 @@
     TimerFired,
     Watch,
 )
-from flintlatch.net import engine as engine_module
-from flintlatch.net import frontend as frontend_module
-from flintlatch.net import request as request_module
-from flintlatch.net import telemetry as telemetry_module
-from flintlatch.net.clock import now_ms
-from flintlatch.net.http1 import hung_up, unread
+from dunecove.proxy import engine as engine_module
+from dunecove.proxy import listener as listener_module
+from dunecove.proxy import request_parser as request_parser_module
+from dunecove.proxy import telemetry as telemetry_module
+from dunecove.proxy.clock import now_ms
+from dunecove.proxy.http1 import hung_up, unread
 from tests.loopback import Client, Gate, Proxy, proxy, request, reset, run, until
 
 Step = Callable[[list[Any]], list[Action]]
@@ -219,7 +219,7 @@
     for name in ids:
         client.send(x_call_id=name)
     for number in range(2):
-        client.send(x_call_id=f"{ids[-1]}-long-{number}", body=b"x" * frontend_module.PIPELINED_BYTES)
+        client.send(x_call_id=f"{ids[-1]}-long-{number}", body=b"x" * listener_module.PIPELINED_BYTES)
 
 
 def test_a_client_that_leaves_is_noticed_while_its_connection_is_not_read(script: type[Script]) -> None:
@@ -241,7 +241,7 @@
 def test_hundreds_of_connections_that_are_not_read_cost_one_question(
     script: type[Script], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontend_module, "PAUSED_LOOK_S", 1000.0)  # the test gives the word
+    monkeypatch.setattr(listener_module, "PAUSED_LOOK_S", 1000.0)  # the test gives the word
     polls, poll = [], select.poll
 
     def counted() -> Any:
@@ -274,7 +274,7 @@
 def test_what_waited_behind_another_is_not_taken_once_its_client_has_left(
     script: type[Script], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontend_module, "PAUSED_LOOK_S", 1000.0)  # this test is about the moment of taking
+    monkeypatch.setattr(listener_module, "PAUSED_LOOK_S", 1000.0)  # this test is about the moment of taking
     script.act = each(Arrival, lambda e: [Send(e.request, "s0", 9000.0)])
 
     async def test() -> None:
@@ -484,7 +484,7 @@
     script: type[Script], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """However many lie before them: one that is parsed only when another has ended waited all that time."""
-    monkeypatch.setattr(frontend_module, "PIECE", 100)
+    monkeypatch.setattr(listener_module, "PIECE", 100)
 
     async def test() -> None:
         async with proxy() as p:
@@ -545,9 +545,9 @@
 ) -> None:
     """Or from when it came, where the kernel tells."""
     clock = [0.0]
-    monkeypatch.setattr(frontend_module, "last_arrival_ms", lambda _: clock[0] if told else None)
-    monkeypatch.setattr(frontend_module, "now_ms", lambda: now_ms() + clock[0])
-    monkeypatch.setattr(request_module, "now_ms", lambda: now_ms() + clock[0])
+    monkeypatch.setattr(listener_module, "last_arrival_ms", lambda _: clock[0] if told else None)
+    monkeypatch.setattr(listener_module, "now_ms", lambda: now_ms() + clock[0])
+    monkeypatch.setattr(request_parser_module, "now_ms", lambda: now_ms() + clock[0])
     script.act = each(Arrival, lambda e: [Send(e.request, "s0", 9000.0)] * (e.request == "c1"))
 
     async def test() -> None:
--- a/tests/test_pieces.py
+++ b/tests/proxy/test_incremental_json.py
@@ -15,12 +15,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintlatch.__main__ import Config
-from flintlatch.api import ServerState
-from flintlatch.net import pieces
-from flintlatch.net.discovery import LONG_BYTES, PIECE, Discovery, Listing, check_ip, pack, unpack
-from flintlatch.net.pieces import consumed, in_pieces
-from flintlatch.settings import Malformed, Wire
+from dunecove.__main__ import Config
+from dunecove.policy.api import ServerState
+from dunecove.proxy import incremental_json
+from dunecove.proxy.discovery_client import LONG_BYTES, PIECE, Discovery, Listing, check_ip, pack, unpack
+from dunecove.proxy.incremental_json import consumed, in_pieces
+from dunecove.settings import Malformed, Wire
 from tests.loopback import Proxy, configuration, listing, proxy, run, target
 
 TEXT = st.text(alphabet='ab{}[],:"\\ \n', max_size=8)
@@ -54,11 +54,11 @@
     data: dict[str, Any], size: int, indent: int | None, path: tuple[str, ...]
 ) -> None:
     text = json.dumps({"a": {"targets": [1]}, "known": data} if path else data, indent=indent).encode()
-    old, pieces.PIECE_BYTES = pieces.PIECE_BYTES, size
+    old, incremental_json.PIECE_BYTES = incremental_json.PIECE_BYTES, size
     try:
         entries, rest = read(text, size, *path)
     finally:
-        pieces.PIECE_BYTES = old
+        incremental_json.PIECE_BYTES = old
     inner = rest["known"] if path else rest
     inner["targets"] = entries + inner["targets"]
     assert rest == orjson.loads(text)
--- a/tests/test_frontend.py
+++ b/tests/proxy/test_listener.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from flintlatch.net import engine as engine_module
-from flintlatch.net import frontend as frontend_module
-from flintlatch.net.http1 import unread
+from dunecove.proxy import engine as engine_module
+from dunecove.proxy import listener as listener_module
+from dunecove.proxy.http1 import unread
 from tests.loopback import Client, Proxy, proxy, request, run
 
 
@@ -249,7 +249,7 @@
 def test_a_client_gets_its_answer_while_it_still_sends_what_nobody_reads(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontend_module, "LINGER_S", 30.0)
+    monkeypatch.setattr(listener_module, "LINGER_S", 30.0)
 
     def ask(address: str) -> bytes:
         host, port = address.split(":")
@@ -285,7 +285,7 @@
 def test_without_a_descriptor_for_a_new_client_an_idle_one_makes_room(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontend_module, "IDLE_S", 10_000.0)  # not because it has been idle for long
+    monkeypatch.setattr(listener_module, "IDLE_S", 10_000.0)  # not because it has been idle for long
 
     async def test() -> None:
         async with proxy() as p:
@@ -358,7 +358,7 @@
 
 def test_a_request_that_never_comes_in_whole_loses_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     # Also one of which a byte comes now and then, and one that comes on a connection kept from before.
-    monkeypatch.setattr(frontend_module, "WHOLE_S", 0.02)
+    monkeypatch.setattr(listener_module, "WHOLE_S", 0.02)
 
     async def test() -> None:
         async with proxy() as p:
@@ -394,7 +394,7 @@
 def test_at_the_cap_a_silent_connection_goes_before_one_that_was_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(frontend_module, "SPARE_MS", 0.0)
+    monkeypatch.setattr(listener_module, "SPARE_MS", 0.0)
 
     async def test() -> None:
         async with proxy() as p:
@@ -412,7 +412,7 @@
 
 
 def test_idle_connections_do_not_pile_up_to_the_cap(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend_module, "IDLE_FULL_S", 0.02)
+    monkeypatch.setattr(listener_module, "IDLE_FULL_S", 0.02)
 
     async def test() -> None:
         async with proxy() as p:
@@ -460,7 +460,7 @@
             client = await p.client()
             for _ in range(500):
                 client.send("/unknown")
-            statuses = [(await client.reply()).status for _ in range(frontend_module.BAD_IN_A_ROW)]
+            statuses = [(await client.reply()).status for _ in range(listener_module.BAD_IN_A_ROW)]
             assert set(statuses) == {404}
             assert await client.ended()
 
@@ -485,8 +485,8 @@
 
 def test_what_is_sent_after_the_last_answer_is_read_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     # 60 MB sent at full speed must not cost the time of the other clients.
-    monkeypatch.setattr(frontend_module, "LINGER_S", 1000.0)
-    monkeypatch.setattr(frontend_module, "LINGER_BYTES", 100_000)
+    monkeypatch.setattr(listener_module, "LINGER_S", 1000.0)
+    monkeypatch.setattr(listener_module, "LINGER_BYTES", 100_000)
 
     async def test() -> None:
         async with proxy() as p:
@@ -612,7 +612,7 @@
 def test_a_new_connection_gets_a_moment_to_ask_while_the_proxy_stops(
     young: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontend_module, "SPARE_MS", 100_000.0 if young else -1.0)
+    monkeypatch.setattr(listener_module, "SPARE_MS", 100_000.0 if young else -1.0)
 
     async def test() -> None:
         async with proxy() as p:
--- a/tests/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from flintlatch.api import ListKind, ServerInfo, ServerState, TimerFired
-from flintlatch.net.discovery import PIECE, Listing, Target
+from dunecove.policy.api import ListKind, ServerInfo, ServerState, TimerFired
+from dunecove.proxy.discovery_client import PIECE, Listing, Target
 from tests.loopback import Proxy, proxy, run
 
 
--- a/tests/test_faults.py
+++ b/tests/proxy/test_system_call_faults.py
@@ -42,7 +42,7 @@
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
-        *(arguments or ("-m", "flintlatch")),
+        *(arguments or ("-m", "dunecove")),
         env=write_configuration(folder, config),
         stderr=stderr,
     )
@@ -123,7 +123,7 @@
         socket.socket = Socket
     else:
         builtins.open = failing(builtins.open)
-    from flintlatch.__main__ import main
+    from dunecove.__main__ import main
     sys.exit(main())"""
 
 
--- a/tests/test_guard.py
+++ b/tests/proxy/test_telemetry.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from flintlatch.api import (
+from dunecove.policy.api import (
     Action,
     Arrival,
     Effect,
@@ -19,9 +19,9 @@
     Send,
     Settings,
 )
-from flintlatch.net import engine as engine_module
-from flintlatch.net.telemetry import LibraryHandler, Telemetry
-from flintlatch.rules import Denial, Violation, may_close, may_refuse, repeat_denial, send_denial
+from dunecove.policy.request_rules import Denial, Violation, may_close, may_refuse, repeat_denial, send_denial
+from dunecove.proxy import engine as engine_module
+from dunecove.proxy.telemetry import LibraryHandler, Telemetry
 from tests.loopback import proxy, run
 
 UNSAFE = RequestClass(300.0, 1000.0, Effect.UNSAFE)
@@ -132,7 +132,7 @@
 def test_what_libraries_log_takes_the_same_way(capfd: pytest.CaptureFixture[str]) -> None:
     record = logging.LogRecord("asyncio", logging.WARNING, "", 0, "socket.%s() raised", ("send",), None)
     LibraryHandler().emit(record)
-    assert capfd.readouterr().err == "flintlatch: asyncio: socket.send() raised\n"
+    assert capfd.readouterr().err == "dunecove: asyncio: socket.send() raised\n"
 
 
 def test_counters_are_told_when_they_have_changed(capfd: pytest.CaptureFixture[str]) -> None:
@@ -140,5 +140,5 @@
     telemetry.note("c1", "answered", "served")
     for _ in range(2):
         telemetry.report()
-    assert capfd.readouterr().err == 'flintlatch: counters {"answered.served":1}\n'
+    assert capfd.readouterr().err == 'dunecove: counters {"answered.served":1}\n'
     assert telemetry.violations() == 0
--- a/tests/support.py
+++ b/tests/support.py
@@ -5,7 +5,7 @@
 from itertools import count
 from typing import Any, TypeVar
 
-from flintlatch.api import (
+from dunecove.policy.api import (
     Action,
     Arrival,
     ListKind,
@@ -18,7 +18,7 @@
     Settings,
     TimerFired,
 )
-from flintlatch.choice import Balancer
+from dunecove.policy.balancer import Balancer
 
 A = TypeVar("A")
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from flintlatch.adapter import Host, read_arrival
-from flintlatch.api import Arrival
-from flintlatch.choice import Balancer
+from dunecove.adapter import Host, read_arrival
+from dunecove.policy.api import Arrival
+from dunecove.policy.balancer import Balancer
 
 INFO: dict[str, Any] = {
     "Balancers": 2,
@@ -31,7 +31,7 @@
 
 def run(*lines: str) -> tuple[int, list[dict[str, Any]], str]:
     done = subprocess.run(
-        [sys.executable, "-m", "flintlatch.adapter"],
+        [sys.executable, "-m", "dunecove.adapter"],
         input="".join(line + "\n" for line in lines),
         capture_output=True,
         text=True,
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from flintlatch.__main__ import Config, places
+from dunecove.__main__ import Config, places
 from tests.loopback import (
     LIMIT_S,
     Client,
@@ -29,7 +29,7 @@
 )
 
 GOOD = configuration("127.0.0.1:1")
-COMMAND = [sys.executable, "-m", "flintlatch"]
+COMMAND = [sys.executable, "-m", "dunecove"]
 
 
 TOLD = configuration("127.0.0.1:1", Peers=True) | {
@@ -143,7 +143,7 @@
 def test_without_a_configuration_it_says_so() -> None:
     env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
     done = subprocess.run(COMMAND, env=env, capture_output=True, text=True, timeout=LIMIT_S, check=False)
-    assert (done.returncode, done.stderr) == (2, "flintlatch: LB_CONFIG is not set\n")
+    assert (done.returncode, done.stderr) == (2, "dunecove: LB_CONFIG is not set\n")
 
 
 def test_more_clients_than_descriptors_are_served_in_turn(tmp_path: Path) -> None:
@@ -292,8 +292,8 @@
     """Walked again and again, 20,000 backends would hold up requests."""
     code = """if True:
         import gc, os, signal, sys
-        from flintlatch import __main__ as program
-        from flintlatch.choice import Balancer
+        from dunecove import __main__ as program
+        from dunecove.policy.balancer import Balancer
         step, freeze, on = Balancer.step, gc.freeze, gc.enable
         Balancer.step = lambda *args: (print("step", gc.isenabled()), step(*args))[1]
         gc.freeze = lambda: (print("freeze"), freeze())
@@ -318,7 +318,7 @@
         )
         assert program.stderr is not None
         line = (await program.stderr.readline()).decode()
-        assert line.startswith("flintlatch: n0 listens on 127.0.0.1:")
+        assert line.startswith("dunecove: n0 listens on 127.0.0.1:")
         address = line.split()[-1]
         client = await Client.open(address)
         client.send()
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-LINES = (Path(__file__).parent.parent / "flintlatch" / "choice.py").read_text().splitlines()
+LINES = (Path(__file__).parent.parent / "dunecove" / "policy" / "balancer.py").read_text().splitlines()
 
 
 def test_module_has_at_most_1200_lines() -> None:
--- a/tests/test_fleet.py
+++ b/tests/tools/test_fleet.py
@@ -11,7 +11,7 @@
 import pytest
 from click.testing import CliRunner
 
-from flintlatch.api import Result
+from dunecove.policy.api import Result
 from scale.fleet.cli import fleet
 from scale.fleet.clock import ORIGIN_S, VirtualLoop, virtual_loop
 from scale.fleet.proxy import HollowProxy
--- a/tests/test_scale.py
+++ b/tests/tools/test_scale.py
@@ -163,7 +163,7 @@
 
 
 def test_the_program_runs_without_the_tool_and_its_libraries() -> None:
-    code = "import sys, flintlatch.__main__, flintlatch.adapter; print(*sys.modules)"
+    code = "import sys, dunecove.__main__, dunecove.adapter; print(*sys.modules)"
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert {"scale", "click", "numpy", "hdrh"}.isdisjoint(loaded.split())
     done = subprocess.run([sys.executable, "-m", "scale", "slopes", "--sizes", "1"], capture_output=True)
--- a/tests/test_soak.py
+++ b/tests/tools/test_soak.py
@@ -9,7 +9,7 @@
 import pytest
 import uvloop
 
-from flintlatch.api import Effect
+from dunecove.policy.api import Effect
 from soak.judge import Rule, cold_bound, judge
 from soak.records import Agent, Attempt, BadClient, Journal, Lane, Life, Ran, Request, Told
 from soak.run import Plan, play
@@ -92,7 +92,7 @@
             [Rule.CRASH],
         ),
         ([lambda j: j.lives.append(Life(1, 1, 0.0))], [Rule.READY]),
-        ([lambda j: j.lives[0].log.append("flintlatch: violation: bad_send")], [Rule.SELF]),
+        ([lambda j: j.lives[0].log.append("dunecove: violation: bad_send")], [Rule.SELF]),
         ([lambda j: j.bad_clients.append(BadClient(0, 1, 5.0, "half"))], [Rule.BAD_CLIENT]),
         ([lambda j: j.bad_clients.append(BadClient(0, 1, 5.0, "half", 7.5))], []),
     ],
