--- a/dunecove/__main__.py
+++ b/dunecove/__main__.py
@@ -19,7 +19,7 @@
 import orjson
 import uvloop
 
-from dunecove.policy.api import Settings
+from dunecove.policy.settings import Settings
 from dunecove.proxy.connection_pool import OWN_LACK
 from dunecove.proxy.discovery_client import Discovery, Saved, check_ip, read_saved
 from dunecove.proxy.engine import Engine
@@ -95,7 +95,7 @@
         try:
             info = mapping(raw["settings"], "settings")
             # The limit tells what the simulator's clients are given; HTTP has Retry-After for all of them.
-            self.settings: Settings = replace(read_settings(info), retry_after=True)
+            self.settings: Settings = replace(read_settings(info), sends_retry_after=True)
             self.settings.check()
             self.wire: Wire = read_wire(info)
             ahead = in_pieces(read(path), "known") if is_long and not again else ()
@@ -112,7 +112,7 @@
             self.memory_mb = number(given(limits, "memory_mb", 192), "memory_mb")
             if not 0 < self.memory_mb < inf:
                 raise Malformed(f"memory_mb: {self.memory_mb} can't be")
-            self.tier = read_tier(raw) if self.settings.may_tell else None
+            self.tier = read_tier(raw) if self.settings.may_gossip else None
             split_address(self.discovery)
             check_ip(split_address(self.listen)[0])
         except KeyError as error:
@@ -139,7 +139,7 @@
         config.known.rev,
         engine.on_list,
         engine.on_list_failure,
-        pushed=not config.settings.ask_for_list,
+        pushed=not config.settings.polls_discovery,
         memory_mb=config.memory_mb,
         held=engine.backends.targets,
     )
@@ -147,7 +147,7 @@
         open_peers(engine, config.tier)
     frontend = Frontend(engine, Reader(config.settings, config.wire), of_clients)
     frontend.listen(config.listen)  # before anything is asked: without the address the program ends here
-    if not config.settings.ask_for_list:
+    if not config.settings.polls_discovery:
         # A pushed list comes as far as the agent on this machine; from there it has to be read, from now on.
         engine.discovery.watch()
     return engine, frontend
--- a/dunecove/adapter.py
+++ b/dunecove/adapter.py
@@ -9,32 +9,32 @@
 
 import orjson
 
-from dunecove.policy.api import (
+from dunecove.policy.actions import (
     Action,
-    Arrival,
-    Cancel,
-    ClientGone,
-    Event,
+    BackendEjected,
+    CancelAttempt,
     Fail,
-    ListKind,
-    Log,
-    Outcome,
-    PeerSaid,
-    Probe,
-    ProbeResult,
-    Refuse,
-    Result,
-    Send,
-    ServerInfo,
-    ServerList,
-    ServerState,
+    Forward,
+    PollDiscovery,
+    Reject,
+    SendGossip,
+    SendHealthCheck,
     SetTimer,
-    StreamStarted,
-    Tell,
-    TimerFired,
-    Watch,
 )
 from dunecove.policy.balancer import Balancer
+from dunecove.policy.events import (
+    AttemptEnded,
+    BackendListUpdate,
+    ClientDisconnected,
+    Event,
+    GossipReceived,
+    HealthCheckResult,
+    ListUpdateKind,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
+from dunecove.policy.models import AttemptResult, BackendInfo, BackendState
 from dunecove.settings import (
     Malformed,
     Message,
@@ -48,22 +48,22 @@
 )
 
 RESULTS = {
-    "ok": Result.OK,
-    "error": Result.ERROR,
-    "full": Result.FULL,
-    "timeout": Result.TIMEOUT,
-    "connect_failed": Result.CONNECT_FAILED,
-    "reset": Result.RESET,
-    "cancelled": Result.CANCELLED,
-    "moot": Result.NOT_SENT,
+    "ok": AttemptResult.OK,
+    "error": AttemptResult.ERROR,
+    "full": AttemptResult.REJECTED,
+    "timeout": AttemptResult.TIMEOUT,
+    "connect_failed": AttemptResult.CONNECT_FAILED,
+    "reset": AttemptResult.RESET,
+    "cancelled": AttemptResult.CANCELLED,
+    "moot": AttemptResult.WITHDRAWN,
 }
 LIST_KINDS = {
-    "INCREMENTAL": ListKind.CHANGES,
-    "FULL": ListKind.FULL,
-    "SAVED": ListKind.SAVED,
-    "FAILED": ListKind.FAILED,
+    "INCREMENTAL": ListUpdateKind.DELTA,
+    "FULL": ListUpdateKind.SNAPSHOT,
+    "SAVED": ListUpdateKind.CACHED,
+    "FAILED": ListUpdateKind.FAILED,
 }
-STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+STATES = {"active": BackendState.ACTIVE, "leaving": BackendState.DRAINING, "left": BackendState.REMOVED}
 HINT_BIT, REPEAT_BIT = 1, 2
 
 
@@ -76,11 +76,11 @@
     tenant = whole(raw.get("Tenant") or 0, "Tenant")
     give_up, bits = number(raw["GiveUpAtMs"], "GiveUpAtMs"), whole(raw.get("Bitmap") or 0, "Bitmap")
     work = number(raw.get("EffortMs") or 0, "EffortMs") if bits & HINT_BIT else 0.0
-    return Arrival(text(raw["Call"], "Call"), cls, tenant, key, give_up, bool(bits & REPEAT_BIT), work)
+    return RequestArrived(text(raw["Call"], "Call"), cls, tenant, key, give_up, bool(bits & REPEAT_BIT), work)
 
 
 def read_outcome(raw: Message, _: int) -> Event:
-    return Outcome(
+    return AttemptEnded(
         text(raw["Call"], "Call"),
         whole(raw["Leg"], "Leg"),
         choice(RESULTS, raw["How"], "How"),
@@ -91,16 +91,16 @@
 
 def read_started(raw: Message, _: int) -> Event:
     delay = number(raw["DelaySeenMs"], "DelaySeenMs")
-    return StreamStarted(text(raw["Call"], "Call"), whole(raw["Leg"], "Leg"), delay)
+    return ResponseStarted(text(raw["Call"], "Call"), whole(raw["Leg"], "Leg"), delay)
 
 
 def read_gone(raw: Message, _: int) -> Event:
-    return ClientGone(text(raw["Call"], "Call"))
+    return ClientDisconnected(text(raw["Call"], "Call"))
 
 
-def read_entry(raw: Message) -> ServerInfo:
+def read_entry(raw: Message) -> BackendInfo:
     started = raw.get("LastStartMs")
-    return ServerInfo(
+    return BackendInfo(
         text(raw["Backend"], "Backend"),
         choice(STATES, raw["State"], "State"),
         whole(raw.get("RackZone") or 0, "RackZone"),
@@ -114,13 +114,15 @@
 def read_list(raw: Message, _: int) -> Event:
     kind = choice(LIST_KINDS, raw["Mode"], "Mode")
     entries = listing(raw.get("Records") or [], "Records")
-    return ServerList(kind, tuple(read_entry(mapping(e, "Records")) for e in entries))
+    return BackendListUpdate(kind, tuple(read_entry(mapping(e, "Records")) for e in entries))
 
 
 def read_probe(raw: Message, _: int) -> Event:
     # A probe may fail for a cause with no name of its own here; only success is told apart.
-    result = RESULTS.get(text(raw["How"], "How"), Result.ERROR)
-    return ProbeResult(text(raw["Backend"], "Backend"), result, number(raw["DelaySeenMs"], "DelaySeenMs"))
+    result = RESULTS.get(text(raw["How"], "How"), AttemptResult.ERROR)
+    return HealthCheckResult(
+        text(raw["Backend"], "Backend"), result, number(raw["DelaySeenMs"], "DelaySeenMs")
+    )
 
 
 def read_ring(raw: Message, _: int) -> Event:
@@ -128,7 +130,7 @@
 
 
 def read_peer(raw: Message, _: int) -> Event:
-    return PeerSaid(whole(raw["SrcPeer"], "SrcPeer"), b64decode(text(raw["Raw"], "Raw"), validate=True))
+    return GossipReceived(whole(raw["SrcPeer"], "SrcPeer"), b64decode(text(raw["Raw"], "Raw"), validate=True))
 
 
 READERS: dict[str, Callable[[Message, int], Event]] = {
@@ -142,15 +144,20 @@
     "FromPeer": read_peer,
 }
 WRITERS: dict[type[Any], Callable[[Any], Message]] = {
-    Send: lambda a: {"what": "Deliver", "Call": a.request, "Backend": a.server, "LimitMs": a.limit_ms},
-    Refuse: lambda a: {"what": "NotNow", "Call": a.request, "ComeBackMs": a.retry_after_ms},
-    Fail: lambda a: {"what": "GiveUp", "Call": a.request},
-    Cancel: lambda a: {"what": "AbortAttempt", "Call": a.request, "Leg": a.attempt},
-    Probe: lambda a: {"what": "SoundOut", "Backend": a.server},
-    Tell: lambda a: {"what": "Notify", "Recipient": "all", "Raw": b64encode(a.data).decode()},
-    Watch: lambda a: {"what": "Subscribe", "Want": True},
+    Forward: lambda a: {
+        "what": "Deliver",
+        "Call": a.request_id,
+        "Backend": a.backend_id,
+        "LimitMs": a.timeout_ms,
+    },
+    Reject: lambda a: {"what": "NotNow", "Call": a.request_id, "ComeBackMs": a.retry_after_ms},
+    Fail: lambda a: {"what": "GiveUp", "Call": a.request_id},
+    CancelAttempt: lambda a: {"what": "AbortAttempt", "Call": a.request_id, "Leg": a.attempt_index},
+    SendHealthCheck: lambda a: {"what": "SoundOut", "Backend": a.backend_id},
+    SendGossip: lambda a: {"what": "Notify", "Recipient": "all", "Raw": b64encode(a.payload).decode()},
+    PollDiscovery: lambda a: {"what": "Subscribe", "Want": True},
     SetTimer: lambda a: {"what": "Schedule", "OffsetMs": a.delay_ms, "Ref": a.token},
-    Log: lambda a: {"what": "NoteDown", "Msg": a.text},
+    BackendEjected: lambda a: {"what": "NoteDown", "Msg": str(a)},
 }
 
 
--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -17,12 +17,40 @@
 from random import Random
 from zlib import crc32
 
-from dunecove.policy.api import (
-    NEVER_RAN, Action, Arrival, Cancel, ClientGone, Effect, EndReason, Event, Fail, ListKind, Log, Outcome,
-    PeerSaid, Refuse, RequestClass, Result, Scope, Send, ServerInfo, ServerList, ServerState, ServiceMoved,
-    SetTimer, Settings, StreamStarted, Tell, TimerFired, Watch,
-)  # fmt: skip
-from dunecove.policy.request_rules import first_run, repeat_denial, same_group
+from dunecove.policy.actions import (
+    Action,
+    BackendEjected,
+    CancelAttempt,
+    EndReason,
+    Fail,
+    Forward,
+    PollDiscovery,
+    Reject,
+    SendGossip,
+    SetTimer,
+)
+from dunecove.policy.events import (
+    AttemptEnded,
+    BackendListUpdate,
+    ClientDisconnected,
+    DiscoveryMoved,
+    Event,
+    GossipReceived,
+    ListUpdateKind,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
+from dunecove.policy.models import (
+    NEVER_EXECUTED,
+    AttemptResult,
+    BackendInfo,
+    BackendState,
+    DeduplicationScope,
+    Idempotency,
+)
+from dunecove.policy.request_rules import first_executed_attempt, in_dedup_scope, retry_denial
+from dunecove.policy.settings import RequestClass, Settings
 from dunecove.policy.slow_start import SlowStart
 
 BEAT_MS = 25.0  # ms between housekeeping rounds: expiry and recovery need no finer grain
@@ -110,24 +138,57 @@
 BLAME_SPREAD = (1.0, 3.0)  # times its rest: all eject it in the same moment, and must not all return so
 BLAME_MARK = b"\x01"  # first byte of a message that names servers seen to fail
 BLAME_MOST = 60  # servers in one message of at most 256 bytes
-FAULTS = (Result.ERROR, Result.RESET, Result.CONNECT_FAILED)  # failures that are the server's, not its load's
+FAULTS = (
+    AttemptResult.ERROR,
+    AttemptResult.RESET,
+    AttemptResult.CONNECT_FAILED,
+)  # failures that are the server's, not its load's
 
 Traits = tuple[int, int, int, float | None, float]  # what ServerInfo tells beside name and state
-GIVEN_UP = (Result.TIMEOUT, Result.CANCELLED)  # we stopped waiting
+GIVEN_UP = (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)  # we stopped waiting
 
 
 class Server:
     """What this proxy knows of one server."""
 
-    __slots__ = ("proxies", "id", "hash", "started", "state", "zone", "kind", "cell", "inflight", "rank",
-                 "weight", "limit", "peak", "samples", "latency", "floor", "heard_count", "crowd", "payoff",
-                 "plays", "strikes", "rest_until", "rest_ms", "answered", "rate", "tokens", "blames",
-                 "told_at", "silent_from", "cold_until", "draw_at")  # fmt: skip
-
-    def __init__(self, info: ServerInfo, proxies: int) -> None:
+    __slots__ = (
+        "proxies",
+        "id",
+        "hash",
+        "started_at",
+        "state",
+        "zone",
+        "kind",
+        "cell",
+        "inflight",
+        "rank",
+        "weight",
+        "limit",
+        "peak",
+        "samples",
+        "latency",
+        "floor",
+        "heard_count",
+        "crowd",
+        "payoff",
+        "plays",
+        "strikes",
+        "rest_until",
+        "rest_ms",
+        "answered",
+        "rate",
+        "tokens",
+        "blames",
+        "told_at",
+        "silent_from",
+        "cold_until",
+        "draw_at",
+    )
+
+    def __init__(self, info: BackendInfo, proxies: int) -> None:
         self.proxies = proxies
-        self.id, self.hash = info.server, crc32(info.server.encode())
-        self.started: float | None
+        self.id, self.hash = info.backend_id, crc32(info.backend_id.encode())
+        self.started_at: float | None
         self.state, self.zone, self.kind, self.cell = info.state, info.zone, info.kind, info.cell
         self.inflight, self.rank, self.weight = 0, 0, 1.0
         self.forget()
@@ -144,7 +205,7 @@
         self.blames: list[tuple[float, int]] = []  # when and by which proxy it was last seen to fail
         self.told_at = -inf  # when this proxy last told the others of it
         self.silent_from = 0.0  # its last answer, or the first send since it held nothing of ours
-        self.started, self.cold_until = None, 0.0
+        self.started_at, self.cold_until = None, 0.0
 
     def room(self, now: float, each: float = 0.0) -> bool:
         if self.rest_until > now:
@@ -228,11 +289,13 @@
             found += nsmallest(most - len(found), self.buckets[number], key=self.rank)
         return found
 
-    def members(self, scope: Scope, ran: Attempt) -> list[str]:
+    def members(self, scope: DeduplicationScope, ran: Attempt) -> list[str]:
         """Some of the group that may see a keyed request again."""
-        if scope is Scope.ALL:
+        if scope is DeduplicationScope.ALL:
             return self.first(GROUP)
-        hints, group, trait = (self.zones, ran.zone, 0) if scope is Scope.ZONE else (self.cells, ran.cell, 2)
+        hints, group, trait = (
+            (self.zones, ran.zone, 0) if scope is DeduplicationScope.ZONE else (self.cells, ran.cell, 2)
+        )
         found: list[str] = []
         left = hints.get(group, 0)
         while left and len(found) < GROUP:
@@ -247,20 +310,27 @@
 
 class Attempt:
     def __init__(self, server: Server, sent: float) -> None:
-        self.server, self.sent, self.open, self.maybe_ran = server, sent, True, True
+        self.server, self.sent_at, self.is_open, self.may_have_executed = server, sent, True, True
         self.zone, self.cell = server.zone, server.cell  # where it was sent, wherever the list puts it later
 
 
 class Request:
-    def __init__(self, event: Arrival, spec: RequestClass, place: Endpoint, now: float, first: float) -> None:
-        self.id, self.cls, self.key, self.give_up = event.request, event.cls, event.key, event.give_up
-        self.spec, self.endpoint, self.arrived, self.work = spec, place, now, event.work
+    def __init__(
+        self, event: RequestArrived, spec: RequestClass, place: Endpoint, now: float, first: float
+    ) -> None:
+        self.id, self.cls, self.key, self.give_up = (
+            event.request_id,
+            event.class_index,
+            event.affinity_key,
+            event.deadline,
+        )
+        self.spec, self.endpoint, self.arrived, self.work = spec, place, now, event.work_hint_ms
         # Where late answers earn something a late repeat still does; failing it brings it back once more.
-        self.aim_end = (now if spec.late_worth > 0 else first) + spec.aim_ms
+        self.aim_end = (now if spec.late_weight > 0 else first) + spec.latency_objective_ms
         # After this an answer is worth nothing, or the client has left.
-        self.useful = event.give_up if spec.late_worth > 0 else min(event.give_up, self.aim_end)
+        self.useful = event.deadline if spec.late_weight > 0 else min(event.deadline, self.aim_end)
         self.attempts: list[Attempt] = []
-        self.last_call = event.give_up  # the last moment to send it
+        self.last_call = event.deadline  # the last moment to send it
         self.open = 0  # attempts without an outcome
         self.held = self.over = self.stream = False
         self.lacks, self.lacks_until = 0, 0.0  # attempts for which this proxy lacked a connection; next one
@@ -319,24 +389,30 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
         self.settings, self.rng = settings, Random(seed)
-        self.sparse = settings.proxies > START_LIMIT  # one of many
-        by_aim = {a: Endpoint(a, settings.tick_ms) for a in sorted({c.aim_ms for c in settings.classes})}
+        self.sparse = settings.proxy_count > START_LIMIT  # one of many
+        by_aim = {
+            a: Endpoint(a, settings.step_interval_ms)
+            for a in sorted({c.latency_objective_ms for c in settings.classes})
+        }
         self.endpoints = list(by_aim.values())
-        self.endpoint_of = [by_aim[c.aim_ms] for c in settings.classes]
+        self.endpoint_of = [by_aim[c.latency_objective_ms] for c in settings.classes]
         self.patience = [0.0] * len(settings.classes)  # longest wait left to a client seen, by class
-        self.best_worth = max(c.worth for c in settings.classes)
-        self.quota_left = [q / settings.proxies * OVER_BURST_S for q in settings.quotas]
-        self.quota_at = [0.0] * len(settings.quotas)
-        self.part = 1 / settings.proxies  # of the deployment's traffic that comes to this proxy
-        self.asked = [0] * len(settings.quotas)  # first tries of each tenant in this second
-        self.usage = [0.0] * len(settings.quotas)  # smoothed rate of first tries over the quota
+        self.best_worth = max(c.priority_weight for c in settings.classes)
+        self.quota_left = [q / settings.proxy_count * OVER_BURST_S for q in settings.tenant_quotas]
+        self.quota_at = [0.0] * len(settings.tenant_quotas)
+        self.part = 1 / settings.proxy_count  # of the deployment's traffic that comes to this proxy
+        self.asked = [0] * len(settings.tenant_quotas)  # first tries of each tenant in this second
+        self.usage = [0.0] * len(settings.tenant_quotas)  # smoothed rate of first tries over the quota
         self.class_latency = [(0.0, 0.0)] * len(settings.classes)  # smoothed latency and deviation
         self.all_latency = 0.0
         self.crowd, self.crowd_samples = 0.0, 0  # smoothed latency as a part of the aim, all servers
         self.servers: dict[str, Server] = {}  # those of which what was learned is kept
         self.active: list[Server] = []  # of these
-        self.far, self.edge = Far(settings.me), (0, "")  # all others, and the last rank that is not of them
-        self.slow_start = SlowStart(settings.cold_ms)
+        self.far, self.edge = (
+            Far(settings.proxy_index),
+            (0, ""),
+        )  # all others, and the last rank that is not of them
+        self.slow_start = SlowStart(settings.slow_start_ms)
         self.heard_list = False  # since this process began
         self.reserve, self.listed = RESERVE, 0  # servers to keep; active ones of the whole list
         self.cold: list[Server] = []  # those of `near` that were cold as it was chosen
@@ -366,21 +442,21 @@
         if not self.beating and events:
             self.start(now)
         for event in events:
-            if isinstance(event, Arrival):
+            if isinstance(event, RequestArrived):
                 self.on_arrival(now, event)
-            elif isinstance(event, Outcome):
+            elif isinstance(event, AttemptEnded):
                 self.on_outcome(now, event)
             elif isinstance(event, TimerFired):
                 self.on_beat(now)
-            elif isinstance(event, ClientGone):
+            elif isinstance(event, ClientDisconnected):
                 self.on_client_gone(event)
-            elif isinstance(event, ServerList):
+            elif isinstance(event, BackendListUpdate):
                 self.on_list(now, event)
-            elif isinstance(event, PeerSaid):
+            elif isinstance(event, GossipReceived):
                 self.on_peer(now, event)
-            elif isinstance(event, ServiceMoved):
+            elif isinstance(event, DiscoveryMoved):
                 self.on_moved(now)
-            elif isinstance(event, StreamStarted):
+            elif isinstance(event, ResponseStarted):
                 self.on_stream(event)
         if self.bound:
             self.send_bound(now)
@@ -395,34 +471,34 @@
         self.second_at = self.beat_at = self.credit_at = now
         self.quota_at = [now] * len(self.quota_at)
         self.out.append(SetTimer(BEAT_MS, 0))
-        if self.settings.ask_for_list:
+        if self.settings.polls_discovery:
             # Proxies restarted together must not call the list service in the same moment: each has its
             # turn. Past the time the settings oblige, a proxy counts as told of drains it never heard of.
-            proxies, me = self.settings.proxies, self.settings.me
-            span = min(ASK_TURN_MS * proxies, ASK_SPREAD * self.settings.must_ask_ms, ASK_START_MS)
+            proxies, me = self.settings.proxy_count, self.settings.proxy_index
+            span = min(ASK_TURN_MS * proxies, ASK_SPREAD * self.settings.max_poll_interval_ms, ASK_START_MS)
             self.ask_at = now + span * (me % proxies + self.rng.random()) / proxies
 
     # 1. Events
 
-    def on_arrival(self, now: float, event: Arrival) -> None:
-        spec, endpoint = self.settings.classes[event.cls], self.endpoint_of[event.cls]
-        level = self.level_of(now, spec, event.tenant, event.work)
-        if event.tenant < len(self.asked) and not event.repeat:
+    def on_arrival(self, now: float, event: RequestArrived) -> None:
+        spec, endpoint = self.settings.classes[event.class_index], self.endpoint_of[event.class_index]
+        level = self.level_of(now, spec, event.tenant, event.work_hint_ms)
+        if event.tenant < len(self.asked) and not event.is_retry:
             self.asked[event.tenant] += 1
         self.retries = min(RETRY_BURST, self.retries + RETRY_SHARE)
         # A client's wait runs over all its tries: one that has less of it left than others had is a repeat,
         # and its aim counts from the first. Clients don't say so everywhere.
-        left = event.give_up - now
-        self.patience[event.cls] = max(self.patience[event.cls], left)
-        waited = self.patience[event.cls] - left
-        if waited > SHORT_OF_AIM * endpoint.aim and not event.repeat:
+        left = event.deadline - now
+        self.patience[event.class_index] = max(self.patience[event.class_index], left)
+        waited = self.patience[event.class_index] - left
+        if waited > SHORT_OF_AIM * endpoint.aim and not event.is_retry:
             # Only as many are repeats as were turned away. Others just come with less time: taken for
             # repeats whose aim has passed they would fail unsent beside idle servers.
             if self.turned_away < 1:
                 waited = 0.0
             self.turned_away = max(self.turned_away - 1, 0.0)
         request = Request(event, spec, endpoint, now, now - waited)
-        self.requests[event.request] = request
+        self.requests[event.request_id] = request
         if level >= 3:
             excess = endpoint.excess(now)
             if self.sparse:  # its buffer is mostly empty, and few waits are seen: the wait to come counts
@@ -438,25 +514,25 @@
             if self.rng.random() < (1 - cleared if level == 4 and kept_out else excess / 3 - 1):
                 self.refuse(request)
                 return
-        if min(event.give_up, request.useful) <= now + 2 * self.settings.tick_ms:
-            self.end(request, EndReason.NO_TIME)  # as it comes: no later batch could answer it
+        if min(event.deadline, request.useful) <= now + 2 * self.settings.step_interval_ms:
+            self.end(request, EndReason.DEADLINE_TOO_CLOSE)  # as it comes: no later batch could answer it
         else:
             self.hold(request, False)
 
     def level_of(self, now: float, spec: RequestClass, tenant: int, work: float = 0.0) -> int:
-        worth = spec.worth / self.best_worth
+        worth = spec.priority_weight / self.best_worth
         part, brings = LONG_MANY if self.sparse else LONG
-        if work * min(self.pace.values(), default=0.0) > part * spec.aim_ms:
+        if work * min(self.pace.values(), default=0.0) > part * spec.latency_objective_ms:
             worth *= brings  # on the fastest kind it is usually late: for the same work, others earn more
         if tenant < len(self.quota_left):
-            rate = self.settings.quotas[tenant] * self.part  # the quota is for all proxies together
+            rate = self.settings.tenant_quotas[tenant] * self.part  # the quota is for all proxies together
             left = self.quota_left[tenant] + (now - self.quota_at[tenant]) * rate / 1000
             left = min(left, max(rate * OVER_BURST_S, OVER_LEAST))
             self.quota_at[tenant] = now
             if left >= 1:
                 left -= 1
             else:
-                worth *= self.settings.over_share_worth
+                worth *= self.settings.over_quota_weight
             self.quota_left[tenant] = left
         return 1 + sum(worth < bound for bound in LEVELS)
 
@@ -466,7 +542,9 @@
         # Sent later than this it can't be useful. At most half its time is set aside: were the usual
         # latency above the aim, nothing would ever be sent again and the latency never be corrected.
         spare = self.fair_chance(request)
-        request.last_call = min(request.useful - spare, request.give_up - BEAT_MS - 2 * self.settings.tick_ms)
+        request.last_call = min(
+            request.useful - spare, request.give_up - BEAT_MS - 2 * self.settings.step_interval_ms
+        )
         if not request.attempts:
             half = request.arrived + UNSENT_PART * (request.give_up - request.arrived)
             request.last_call = min(request.last_call, half)
@@ -477,47 +555,52 @@
         mean, spread = self.class_latency[request.cls]
         return min(mean + FAIR_SPREADS * spread, request.endpoint.aim / 2)
 
-    def on_outcome(self, now: float, event: Outcome) -> None:
-        request = self.requests.get(event.request)
-        if request is None or event.attempt >= len(request.attempts):
+    def on_outcome(self, now: float, event: AttemptEnded) -> None:
+        request = self.requests.get(event.request_id)
+        if request is None or event.attempt_index >= len(request.attempts):
             return
-        attempt = request.attempts[event.attempt]
-        if not attempt.open:
+        attempt = request.attempts[event.attempt_index]
+        if not attempt.is_open:
             return
-        attempt.open, attempt.maybe_ran = False, event.result not in NEVER_RAN
+        attempt.is_open, attempt.may_have_executed = False, event.result not in NEVER_EXECUTED
         request.open -= 1
         attempt.server.inflight -= 1  # also of one given up: work stops when its connection closes
         self.out_count -= 1
         if event.result not in FAULTS:  # no work was in flight there, or it has ended
-            self.credit -= min(event.delay, HANG * (self.all_latency or event.delay))
+            self.credit -= min(event.latency_ms, HANG * (self.all_latency or event.latency_ms))
         self.learn(now, request, attempt.server, event)
-        if event.finished or request.over:
+        if event.request_finished or request.over:
             self.close(request)
             return
         if request.open == 0:
             self.again(now, request, event.result)
 
-    def learn(self, now: float, request: Request, server: Server, event: Outcome) -> None:
+    def learn(self, now: float, request: Request, server: Server, event: AttemptEnded) -> None:
         # A delay of nothing, below the clock's grain, must not become a latency to divide by.
-        result, delay = event.result, max(event.delay, 0.001)
+        result, delay = event.result, max(event.latency_ms, 0.001)
         if result in GIVEN_UP:
             # Were only the answers counted, each attempt given up would make the next look later still.
             fair = self.fair_chance(request)
             self.learn_class(request.cls, delay)
             if delay < fair:
                 return  # sent too late to have a fair chance: says nothing of the server
-        if result in (Result.CANCELLED, Result.NOT_SENT, Result.NO_ROOM, Result.INVALID):
+        if result in (
+            AttemptResult.CANCELLED,
+            AttemptResult.WITHDRAWN,
+            AttemptResult.NO_LOCAL_RESOURCE,
+            AttemptResult.BAD_REQUEST,
+        ):
             return  # our own doing, likewise, or the client's
         server.plays = min(server.plays + 1, 1 / PAYOFF_STEP)
         self.outcomes += 1
         # The aim counts from the send here: a server isn't blamed for the wait in our buffer.
-        won = result is Result.OK and delay <= request.endpoint.aim
+        won = result is AttemptResult.OK and delay <= request.endpoint.aim
         if self.sparse:
             self.learn_allow(request, server, result, delay)
         # Of few outcomes each counts for more, or one of many proxies would never tell servers apart.
         step = max(PAYOFF_STEP, self.sparse / (1 + server.plays))
         server.payoff += ((1.0 if won else 0.0) - server.payoff) * step
-        if result is Result.OK:
+        if result is AttemptResult.OK:
             server.strikes, server.silent_from = 0, now
             blamed = bool(server.blames) and now - server.blames[-1][0] < REST_MS[1]
             if not (self.sparse and (blamed or self.outlier(server))):
@@ -535,19 +618,19 @@
             # Classes differ in work: scale to the mix, so a run of long ones doesn't look like a queue.
             server.learn_latency(delay * self.all_latency / mean, part_of_aim)
             return
-        if result in (Result.FULL, Result.TIMEOUT):
+        if result in (AttemptResult.REJECTED, AttemptResult.TIMEOUT):
             server.cut(FAIL_CUT)
             if self.sparse and request.work > 0 and server.cold_until <= now:  # at least so slow
                 self.learn_pace(server.kind, max(delay / request.work, self.pace.get(server.kind, 0.0)))
         server.strikes += 1
         # Seldom met, a server that fails every other request seldom fails three in a row.
-        if self.sparse and self.settings.may_tell and result in FAULTS:
-            self.blame(now, server, self.settings.me)
+        if self.sparse and self.settings.may_gossip and result in FAULTS:
+            self.blame(now, server, self.settings.proxy_index)
             if now - server.told_at >= BLAME_AGAIN_MS:
                 server.told_at = now
                 self.to_tell.append(server)
         # A time-out may tell of load alone, in which all share.
-        bad = self.sparse and result is not Result.TIMEOUT and self.outlier(server)
+        bad = self.sparse and result is not AttemptResult.TIMEOUT and self.outlier(server)
         if (bad or server.strikes >= STRIKES) and server.rest_until <= now:
             self.rest(now, server)
 
@@ -560,16 +643,18 @@
             for server in self.active if self.crowd > CROWD else ():
                 server.cut(LIMIT_CUT)
 
-    def learn_allow(self, request: Request, server: Server, result: Result, delay: float) -> None:
+    def learn_allow(self, request: Request, server: Server, result: AttemptResult, delay: float) -> None:
         """One of many proxies has less than one request at each server: only a limit on all it has in flight
         can follow the load, and only outcomes of all servers together are enough to learn it from. Work
         differs tenfold within a class: only the aim, not a usual latency, tells a long answer from a late."""
-        spoilt = result in (Result.FULL, Result.TIMEOUT) or delay > SPOILT * request.endpoint.aim
+        spoilt = (
+            result in (AttemptResult.REJECTED, AttemptResult.TIMEOUT) or delay > SPOILT * request.endpoint.aim
+        )
         self.spoilt += (spoilt - self.spoilt) * LATENCY_STEP
         if spoilt:
             if server.payoff > self.usual_payoff() / 2:  # a server known to be bad tells nothing of the rest
                 self.allow = max(ALLOW_LEAST, self.allow * (1 - ALLOW_DOWN))
-        elif result is Result.OK and self.allow < 2 + 2 * self.out_count:
+        elif result is AttemptResult.OK and self.allow < 2 + 2 * self.out_count:
             self.allow += ALLOW_UP * sqrt(self.allow)
 
     def learn_class(self, cls: int, delay: float) -> float:
@@ -605,7 +690,7 @@
         if 2 * (resting + 1) > len(self.active) or not self.outlier(server):
             server.strikes = 0
             return
-        self.out.append(Log(f"rest {server.id}: {server.strikes} failures in a row"))
+        self.out.append(BackendEjected(server.id, server.strikes))
         self.lay_off(now, server, 0.75, 1.25)
 
     def lay_off(self, now: float, server: Server, low: float, high: float) -> None:
@@ -626,16 +711,20 @@
     def tell(self) -> None:
         data = b"".join(s.hash.to_bytes(4, "big") for s in self.to_tell[:BLAME_MOST])
         self.to_tell = []
-        self.out.append(Tell(BLAME_MARK + data))
+        self.out.append(SendGossip(BLAME_MARK + data))
 
-    def on_peer(self, now: float, event: PeerSaid) -> None:
+    def on_peer(self, now: float, event: GossipReceived) -> None:
         """Messages of another kind, from a later release maybe, are passed over."""
-        if not self.sparse or event.peer == self.settings.me or not event.data.startswith(BLAME_MARK):
+        if (
+            not self.sparse
+            or event.sender_index == self.settings.proxy_index
+            or not event.payload.startswith(BLAME_MARK)
+        ):
             return
-        for at in range(len(BLAME_MARK), len(event.data) - 3, 4):
-            alike = self.by_hash.get(int.from_bytes(event.data[at : at + 4], "big"))
+        for at in range(len(BLAME_MARK), len(event.payload) - 3, 4):
+            alike = self.by_hash.get(int.from_bytes(event.payload[at : at + 4], "big"))
             if alike is not None:
-                self.blame(now, alike[-1], event.peer)
+                self.blame(now, alike[-1], event.sender_index)
 
     def outlier(self, server: Server) -> bool:
         return server.payoff <= (OUTLIER if self.sparse else 0.5) * self.usual_payoff()
@@ -643,15 +732,15 @@
     def usual_payoff(self) -> float:
         return sum(s.payoff for s in self.near) / max(len(self.near), 1)
 
-    def again(self, now: float, request: Request, result: Result) -> None:
+    def again(self, now: float, request: Request, result: AttemptResult) -> None:
         """An attempt failed and none is out: another one, a refusal or a failure."""
-        if result is Result.NOT_SENT:
-            self.end(request, EndReason.NOT_SENT)
-        elif result is Result.INVALID:
-            self.end(request, EndReason.REQUEST_AT_FAULT)
+        if result is AttemptResult.WITHDRAWN:
+            self.end(request, EndReason.ATTEMPT_WITHDRAWN)
+        elif result is AttemptResult.BAD_REQUEST:
+            self.end(request, EndReason.BAD_REQUEST)
         elif not self.may_follow(now, request):
-            self.end(request, EndReason.MAY_NOT_FOLLOW)
-        elif result is Result.NO_ROOM:
+            self.end(request, EndReason.RETRY_NOT_ALLOWED)
+        elif result is AttemptResult.NO_LOCAL_RESOURCE:
             request.lacks += 1
             if request.lacks == 1:
                 self.follow(request)
@@ -663,33 +752,33 @@
 
     def follow(self, request: Request) -> None:
         """Get it ready for another attempt."""
-        spec, ran = request.spec, first_run(request.attempts)
+        spec, ran = request.spec, first_executed_attempt(request.attempts)
         if ran is None:
             self.hold(request, True)
         elif self.retries < 1:
-            self.end(request, EndReason.RETRY_BUDGET)
-        elif spec.effect is Effect.SAFE:
+            self.end(request, EndReason.RETRY_BUDGET_EXHAUSTED)
+        elif spec.idempotency is Idempotency.IDEMPOTENT:
             self.retries -= 1
             self.hold(request, True)
         else:
             self.retries -= 1
             request.held = True
             self.bound.append(request)
-            usual = min(self.class_latency[request.cls][0], spec.aim_ms / 2)
-            request.last_call = min(request.useful - usual, ran.sent + spec.window_ms - BEAT_MS)
+            usual = min(self.class_latency[request.cls][0], spec.latency_objective_ms / 2)
+            request.last_call = min(request.useful - usual, ran.sent_at + spec.dedup_window_ms - BEAT_MS)
             self.at(request.last_call, request)
 
     def send_bound(self, now: float) -> None:
         """Only the group that drops a keyed request's repeats may see it again, as soon as it has room."""
         waiting, self.bound = self.bound, []
         for request in waiting:
-            ran = first_run(request.attempts)
+            ran = first_executed_attempt(request.attempts)
             if not request.held or ran is None:
                 continue
-            group = [s for s in self.active if same_group(request.spec.scope, s, ran)]
+            group = [s for s in self.active if in_dedup_scope(request.spec.dedup_scope, s, ran)]
             if self.far.count and len(group) < GROUP:
-                self.bring_near(now, self.far.members(request.spec.scope, ran))
-                group = [s for s in self.active if same_group(request.spec.scope, s, ran)]
+                self.bring_near(now, self.far.members(request.spec.dedup_scope, ran))
+                group = [s for s in self.active if in_dedup_scope(request.spec.dedup_scope, s, ran)]
             group = [s for s in group if s.room(now, self.each)]
             if group and now < request.last_call:
                 request.held = False
@@ -706,8 +795,8 @@
         """Low levels are let in again over the endpoint's release: that is when to come back."""
         wait = min(request.endpoint.release * request.endpoint.aim, self.settings.max_retry_after_ms)
         self.turned_away = min(self.turned_away + AWAY_EACH, AWAY_MOST)
-        wait = wait if self.settings.retry_after else 0.0
-        self.out.append(Refuse(request.id, wait, EndReason.SHED))
+        wait = wait if self.settings.sends_retry_after else 0.0
+        self.out.append(Reject(request.id, wait, EndReason.LOAD_SHED))
         self.close(request)
 
     def close(self, request: Request) -> None:
@@ -716,38 +805,40 @@
         if request.open == 0:
             del self.requests[request.id]
 
-    def on_client_gone(self, event: ClientGone) -> None:
-        if (request := self.requests.get(event.request)) is None:
+    def on_client_gone(self, event: ClientDisconnected) -> None:
+        if (request := self.requests.get(event.request_id)) is None:
             return
         self.turned_away = min(self.turned_away + AWAY_EACH, AWAY_MOST)
         if self.settings.may_cancel:
-            self.out.extend(Cancel(request.id, n) for n, a in enumerate(request.attempts) if a.open)
+            self.out.extend(CancelAttempt(request.id, n) for n, a in enumerate(request.attempts) if a.is_open)
         self.close(request)
 
-    def on_stream(self, event: StreamStarted) -> None:
-        if (request := self.requests.get(event.request)) is not None:
+    def on_stream(self, event: ResponseStarted) -> None:
+        if (request := self.requests.get(event.request_id)) is not None:
             request.stream, request.held = True, False
 
-    def on_list(self, now: float, event: ServerList) -> None:
-        if event.kind is ListKind.FAILED:
+    def on_list(self, now: float, event: BackendListUpdate) -> None:
+        if event.kind is ListUpdateKind.FAILED:
             self.ask_failures = min(self.ask_failures + 1, ASK_DOUBLINGS)
-            turns = ASK_RETRY_MS * self.settings.proxies  # hundreds that call at once would keep it down
+            turns = ASK_RETRY_MS * self.settings.proxy_count  # hundreds that call at once would keep it down
             most = max(ASK_SOON_MS, 0 if self.ask_failures <= 2 else ASK_LATEST_MS - (now - self.asked_at))
-            wait = min(max(ASK_FIRST_MS * 2**self.ask_failures, turns), most, self.settings.must_ask_ms / 2)
-            if now < self.moved_at + MOVED_MS or not self.settings.ask_for_list:
+            wait = min(
+                max(ASK_FIRST_MS * 2**self.ask_failures, turns), most, self.settings.max_poll_interval_ms / 2
+            )
+            if now < self.moved_at + MOVED_MS or not self.settings.polls_discovery:
                 wait = SOON_MS
             self.ask_at = now + wait * self.rng.uniform(0.5, 1.0)
             return
-        if event.kind not in (ListKind.SAVED, ListKind.MORE):
+        if event.kind not in (ListUpdateKind.CACHED, ListUpdateKind.CACHED_CONTINUED):
             self.ask_failures, self.ask_at, self.moved_at = 0, None, -inf
         before = self.far
-        if event.kind not in (ListKind.CHANGES, ListKind.MORE):
-            listed = {e.server for e in event.entries}
+        if event.kind not in (ListUpdateKind.DELTA, ListUpdateKind.CACHED_CONTINUED):
+            listed = {e.backend_id for e in event.entries}
             for server in [s for name, s in self.servers.items() if name not in listed]:
-                self.drop(server, ServerState.GONE)
+                self.drop(server, BackendState.REMOVED)
                 self.slow_start.forget(server.id)
-            self.far = Far(self.settings.me)
-        saved = event.kind in (ListKind.SAVED, ListKind.MORE)
+            self.far = Far(self.settings.proxy_index)
+        saved = event.kind in (ListUpdateKind.CACHED, ListUpdateKind.CACHED_CONTINUED)
         clock_was_right = self.slow_start.clock_is_right
         for entry in event.entries:
             self.date_start(now, entry, before, saved)
@@ -755,19 +846,19 @@
             if len(self.servers) > self.reserve + RESERVE_SLACK:
                 self.trim()
         if saved or not self.heard_list or self.slow_start.clock_is_right != clock_was_right:
-            for dated in [s for s in self.servers.values() if s.started is not None]:
+            for dated in [s for s in self.servers.values() if s.started_at is not None]:
                 self.set_cold(now, dated)
         self.heard_list = self.heard_list or not saved
         self.find_active()
-        if not self.near or event.kind is ListKind.MORE:
-            self.allow = max(ALLOW_LEAST, START_LIMIT * self.listed / self.settings.proxies)
+        if not self.near or event.kind is ListUpdateKind.CACHED_CONTINUED:
+            self.allow = max(ALLOW_LEAST, START_LIMIT * self.listed / self.settings.proxy_count)
         self.choose_near(now)
 
     def on_moved(self, now: float) -> None:
         """Failures of the old service say nothing of the new one, and its drains count as told soon."""
         self.ask_failures, self.moved_at = 0, now
-        self.ask_at = now + self.settings.must_ask_ms / 2  # should no word come back
-        self.out.append(Watch())
+        self.ask_at = now + self.settings.max_poll_interval_ms / 2  # should no word come back
+        self.out.append(PollDiscovery())
 
     def choose_near(self, now: float) -> None:
         """Of many proxies each keeps to a few servers by hash, more with more traffic: few are soon known and
@@ -784,7 +875,7 @@
         self.cold = [s for s in self.near if s.cold_until > now]
 
     def find_active(self) -> None:
-        self.active = [s for s in self.servers.values() if s.state is ServerState.ACTIVE]
+        self.active = [s for s in self.servers.values() if s.state is BackendState.ACTIVE]
         self.listed = len(self.active) + self.far.count
 
     def keep_reserve(self, now: float) -> None:
@@ -808,13 +899,13 @@
     def bring_near(self, now: float, names: list[str]) -> None:
         for name in names:
             if (traits := self.far.pop(name)) is not None:
-                self.take(now, ServerInfo(name, ServerState.ACTIVE, *traits))
+                self.take(now, BackendInfo(name, BackendState.ACTIVE, *traits))
         self.find_active()
 
     def trim(self) -> None:
         """What was learned of the last by rank is forgotten, but for those in use."""
-        for server in [s for s in self.servers.values() if s.state is not ServerState.ACTIVE]:
-            self.drop(server, ServerState.DRAINING)
+        for server in [s for s in self.servers.values() if s.state is not BackendState.ACTIVE]:
+            self.drop(server, BackendState.DRAINING)
         if len(self.servers) <= self.reserve:
             return
         ranked = sorted(self.servers.values(), key=lambda s: (s.rank, s.id))
@@ -822,10 +913,10 @@
         self.edge = min(self.edge, last) if self.far.count else last
         for s in ranked[self.reserve :]:
             if s.inflight == 0:
-                self.drop(s, ServerState.ACTIVE)
-                self.far.put(s.id, (s.zone, s.kind, s.cell, s.started, s.weight))
+                self.drop(s, BackendState.ACTIVE)
+                self.far.put(s.id, (s.zone, s.kind, s.cell, s.started_at, s.weight))
 
-    def drop(self, server: Server, state: ServerState) -> None:
+    def drop(self, server: Server, state: BackendState) -> None:
         del self.servers[server.id]
         server.state = state
         alike = self.by_hash[server.hash]
@@ -833,48 +924,48 @@
         if not alike:
             del self.by_hash[server.hash]
 
-    def date_start(self, now: float, entry: ServerInfo, before: Far, saved: bool) -> None:
+    def date_start(self, now: float, entry: BackendInfo, before: Far, saved: bool) -> None:
         """Whether this entry tells of a start that this process had not heard of; `before`: what it held."""
-        if entry.state is ServerState.GONE:
-            self.slow_start.forget(entry.server)
+        if entry.state is BackendState.REMOVED:
+            self.slow_start.forget(entry.backend_id)
             return
-        server = self.servers.get(entry.server)
-        traits = before.get(entry.server) if server is None else None
+        server = self.servers.get(entry.backend_id)
+        traits = before.get(entry.backend_id) if server is None else None
         known = server is not None or traits is not None
-        started = server.started if server is not None else traits[3] if traits is not None else None
-        if known and started == entry.started:
+        started = server.started_at if server is not None else traits[3] if traits is not None else None
+        if known and started == entry.started_at:
             return
         if saved:
-            self.slow_start.found(now, entry.server, entry.started)
+            self.slow_start.found(now, entry.backend_id, entry.started_at)
         elif self.heard_list:
-            self.slow_start.restarted(now, entry.server, entry.started)
+            self.slow_start.restarted(now, entry.backend_id, entry.started_at)
         else:
-            self.slow_start.first_told(now, entry.server, entry.started)
+            self.slow_start.first_told(now, entry.backend_id, entry.started_at)
 
-    def on_entry(self, now: float, entry: ServerInfo) -> None:
-        server, name = self.servers.get(entry.server), entry.server
-        if server is not None and entry.state is ServerState.GONE:
-            self.drop(server, ServerState.GONE)
-        elif server is not None or (not self.far.count and entry.state is not ServerState.GONE):
+    def on_entry(self, now: float, entry: BackendInfo) -> None:
+        server, name = self.servers.get(entry.backend_id), entry.backend_id
+        if server is not None and entry.state is BackendState.REMOVED:
+            self.drop(server, BackendState.REMOVED)
+        elif server is not None or (not self.far.count and entry.state is not BackendState.REMOVED):
             self.take(now, entry)
-        elif entry.state is not ServerState.ACTIVE:
+        elif entry.state is not BackendState.ACTIVE:
             self.far.pop(name)
         elif self.far.rank(name) > self.edge:
             self.far.put(name, entry[2:])
         else:
             self.take(now, entry)
 
-    def take(self, now: float, entry: ServerInfo) -> None:
-        server = self.servers.get(entry.server)
+    def take(self, now: float, entry: BackendInfo) -> None:
+        server = self.servers.get(entry.backend_id)
         if server is None:
-            server = self.servers[entry.server] = Server(entry, self.settings.proxies)
-            server.rank = affinity(self.settings.me + 1, server)
+            server = self.servers[entry.backend_id] = Server(entry, self.settings.proxy_count)
+            server.rank = affinity(self.settings.proxy_index + 1, server)
             self.by_hash.setdefault(server.hash, []).append(server)
         server.state, server.zone, server.kind, server.cell = entry.state, entry.zone, entry.kind, entry.cell
         server.weight = max(entry.weight, 0.01)
-        if entry.started != server.started:
+        if entry.started_at != server.started_at:
             server.forget()
-            server.started = entry.started
+            server.started_at = entry.started_at
             self.set_cold(now, server)
 
     def set_cold(self, now: float, server: Server) -> None:
@@ -883,7 +974,7 @@
             server.limit = min(1.0, server.limit)
             # All proxies hear of it at once: their first requests must not come at once as well.
             server.tokens = self.rng.random() if self.sparse else 0.0
-            server.draw_at = now + server.tokens * self.settings.fall_ms
+            server.draw_at = now + server.tokens * self.settings.slow_start_window_ms
 
     def on_beat(self, now: float) -> None:
         self.out.append(SetTimer(BEAT_MS, 0))
@@ -892,10 +983,10 @@
             self.refill(now, server)
         self.beat_at = now
         if self.ask_at is not None and now >= self.ask_at:
-            self.out.append(Watch())
+            self.out.append(PollDiscovery())
             self.asked_at = now
             # Should no word come back, ask anew before this proxy counts as told of what it never heard.
-            self.ask_at = now + self.settings.must_ask_ms / 2
+            self.ask_at = now + self.settings.max_poll_interval_ms / 2
         if now - self.second_at >= 1000:
             self.every_second(now)
 
@@ -909,7 +1000,7 @@
                 if self.may_follow(now, request):
                     self.follow(request)
                 else:
-                    self.end(request, EndReason.MAY_NOT_FOLLOW)
+                    self.end(request, EndReason.RETRY_NOT_ALLOWED)
 
     def at(self, when: float, request: Request) -> None:
         self.order += 1
@@ -919,15 +1010,15 @@
         """A held request has reached the end of its use; a late answer, if worth something, is only for
         times when there are servers to spare: under overload it costs a request that is still in time."""
         if request.endpoint.excess(now) > 1 or now >= request.last_call:
-            self.end(request, EndReason.HELD_TOO_LONG)
+            self.end(request, EndReason.QUEUE_TIMEOUT)
         else:
             self.at(min(now + 2 * BEAT_MS, request.last_call), request)
 
     def may_follow(self, now: float, request: Request) -> bool:
         """Whether another attempt is allowed and of use if those so far may have run."""
         spec = request.spec
-        usual = min(self.class_latency[request.cls][0], spec.aim_ms / 2)
-        denial = repeat_denial(self.settings, spec, request.attempts, now + 2 * self.settings.tick_ms)
+        usual = min(self.class_latency[request.cls][0], spec.latency_objective_ms / 2)
+        denial = retry_denial(self.settings, spec, request.attempts, now + 2 * self.settings.step_interval_ms)
         return denial is None and now + usual <= request.useful
 
     def every_second(self, now: float) -> None:
@@ -960,37 +1051,37 @@
     def find_part(self, seconds: float) -> None:
         """Traffic is seldom split evenly: a proxy alone in its zone would judge all beyond their share. So
         the tenant in the middle is taken to keep its share, if that makes the part more than one in N."""
-        for tenant, quota in enumerate(self.settings.quotas):
+        for tenant, quota in enumerate(self.settings.tenant_quotas):
             usage = self.asked[tenant] / seconds / max(quota, 0.001)
             self.usage[tenant] += (usage - self.usage[tenant]) * USAGE_STEP
             self.asked[tenant] = 0
-        if len(self.usage) > 1 and self.settings.zones > 1:
+        if len(self.usage) > 1 and self.settings.zone_count > 1:
             # No more than a whole zone's part: in a flood all are beyond their share, the middle one too.
-            middle = min(sorted(self.usage)[(len(self.usage) - 1) // 2], 1 / self.settings.zones)
-            self.part = max(middle, 1 / self.settings.proxies)
+            middle = min(sorted(self.usage)[(len(self.usage) - 1) // 2], 1 / self.settings.zone_count)
+            self.part = max(middle, 1 / self.settings.proxy_count)
 
     def refill(self, now: float, server: Server) -> None:
         """A cold server's budget: its part of what we send to a warm one. What all proxies carry is under
         a server's capacity, so the sum of their parts is under the rule, however traffic is split."""
         settings = self.settings
-        age = max(0.0, 1 - (server.cold_until - now) / max(settings.cold_ms, 1.0))
-        part = settings.start_capacity + (1 - settings.start_capacity) * age
+        age = max(0.0, 1 - (server.cold_until - now) / max(settings.slow_start_ms, 1.0))
+        part = settings.slow_start_capacity + (1 - settings.slow_start_capacity) * age
         if server.heard_count * LATENCY_STEP >= 1 and server.kind in self.warm_floor:
             # It has shown its speed: measured against the uncrowded latency of warm ones of its kind.
             part = max(part, min(1.0, self.warm_floor[server.kind] / server.latency))
         known = [self.warm_rate[server.kind]] if server.kind in self.warm_rate else self.warm_rate.values()
-        rate = min(known, default=0.0) * part * min(COLD_HEAT, settings.fall_multiple / 2) / 1000
+        rate = min(known, default=0.0) * part * min(COLD_HEAT, settings.slow_start_overload_factor / 2) / 1000
         # Nothing observed yet: one request a window, of all who keep to this server.
-        sharers = max(1.0, settings.proxies * self.near_size / max(self.listed, 1))
-        rate = max(rate, 1 / settings.fall_ms / (sharers if self.sparse else 1))
-        if self.sparse and rate * settings.fall_ms < 1:
+        sharers = max(1.0, settings.proxy_count * self.near_size / max(self.listed, 1))
+        rate = max(rate, 1 / settings.slow_start_window_ms / (sharers if self.sparse else 1))
+        if self.sparse and rate * settings.slow_start_window_ms < 1:
             # One request saved up by each while little came would be too many when all come at once: each
             # draws for each window whether it has one, and loses what it doesn't use.
             if now >= server.draw_at:
-                server.tokens = float(self.rng.random() < rate * settings.fall_ms)
-                server.draw_at = now + settings.fall_ms
+                server.tokens = float(self.rng.random() < rate * settings.slow_start_window_ms)
+                server.draw_at = now + settings.slow_start_window_ms
             return
-        burst = max(1.0, rate * settings.fall_ms / 4)
+        burst = max(1.0, rate * settings.slow_start_window_ms / 4)
         server.tokens = min(burst, server.tokens + rate * (now - self.beat_at))
 
     # 2. Dispatch
@@ -1045,7 +1136,7 @@
         room = self.fit(now, request, room)
         if len(room) == 1:
             return room[0]
-        if self.settings.warm_keys and (key := request.key) is not None:
+        if self.settings.key_affinity and (key := request.key) is not None:
             # Servers do less work for a key met lately: every proxy draws the same two for it.
             a, b = nlargest(2, room, key=lambda s: affinity(key, s))
         elif self.sparse:
@@ -1073,7 +1164,7 @@
         return server.payoff + BONUS * sqrt(log(1 + self.outcomes) / (1 + server.plays))
 
     def send(self, now: float, request: Request, server: Server) -> None:
-        ran, spec = first_run(request.attempts), request.spec
+        ran, spec = first_executed_attempt(request.attempts), request.spec
         request.attempts.append(Attempt(server, now))
         request.open += 1
         self.out_count += 1
@@ -1083,10 +1174,12 @@
         server.peak = max(server.peak, server.inflight)
         if server.cold_until > now:
             server.tokens -= 1
-        left = max(min(request.useful - self.settings.tick_ms, request.give_up) - now, 1.0)
+        left = max(min(request.useful - self.settings.step_interval_ms, request.give_up) - now, 1.0)
         # Its connection may come up late; by then the servers that drop repeats of it may have forgotten it.
-        within = ran.sent + spec.window_ms - now if ran and spec.effect is Effect.KEYED else inf
-        self.out.append(Send(request.id, server.id, left, within))
+        within = (
+            ran.sent_at + spec.dedup_window_ms - now if ran and spec.idempotency is Idempotency.KEYED else inf
+        )
+        self.out.append(Forward(request.id, server.id, left, within))
 
 
 def smooth(mean: float, value: float) -> float:
--- a/dunecove/policy/request_rules.py
+++ b/dunecove/policy/request_rules.py
@@ -12,34 +12,35 @@
 from enum import Enum
 from typing import Protocol, TypeVar
 
-from dunecove.policy.api import Effect, RequestClass, Scope, Settings
+from dunecove.policy.models import DeduplicationScope, Idempotency
+from dunecove.policy.settings import RequestClass, Settings
 
 
 class Denial(Enum):
     """Why something may not be done now."""
 
-    CLIENT_LEFT = "client_left"
+    CLIENT_DISCONNECTED = "client_disconnected"
     ANSWERED = "answered"  # the request has its final answer
-    BACKEND_LEFT = "backend_left"  # it drains or is gone
-    TIME_OVER = "time_over"  # of the attempt or of the request
-    STOPPED = "stopped"  # the program ends, and could not answer it any more
-    WINDOW_OVER = "window_over"  # repeats of a keyed request are not remembered any longer
+    BACKEND_REMOVED = "backend_removed"  # it drains or is gone
+    DEADLINE_EXCEEDED = "deadline_exceeded"  # of the attempt or of the request
+    SHUTTING_DOWN = "shutting_down"  # the program ends, and could not answer it any more
+    DEDUP_WINDOW_OVER = "dedup_window_over"  # repeats of a keyed request are not remembered any longer
     TOO_MANY_ATTEMPTS = "too_many_attempts"
-    SECOND_COPY = "second_copy"  # another attempt is still out
-    MAY_HAVE_RUN = "may_have_run"
-    OUTSIDE_GROUP = "outside_group"  # backends there don't know the repeats of this request
+    CONCURRENT_ATTEMPT = "concurrent_attempt"  # another attempt is still out
+    MAY_HAVE_EXECUTED = "may_have_executed"
+    OUTSIDE_DEDUP_SCOPE = "outside_dedup_scope"  # backends there don't know the repeats of this request
 
 
 # Those that the world may bring about between a decision and its first byte. The others mean that the
 # decision itself broke a rule, and are counted as violations.
-EXPECTED = frozenset(
+EXPECTED_DENIALS = frozenset(
     (
-        Denial.CLIENT_LEFT,
+        Denial.CLIENT_DISCONNECTED,
         Denial.ANSWERED,
-        Denial.BACKEND_LEFT,
-        Denial.TIME_OVER,
-        Denial.STOPPED,
-        Denial.WINDOW_OVER,
+        Denial.BACKEND_REMOVED,
+        Denial.DEADLINE_EXCEEDED,
+        Denial.SHUTTING_DOWN,
+        Denial.DEDUP_WINDOW_OVER,
     )
 )
 
@@ -47,16 +48,18 @@
 class Violation(Enum):
     """A rule that was broken, or would have been, had the rules not been asked."""
 
-    BAD_SEND = "bad_send"  # a decision that the rules denied
-    BAD_REFUSAL = "bad_refusal"  # a refusal of what may have run
-    LATE_ANSWER = "late_answer"  # more than `LATE_MS` after the request's time
+    FORBIDDEN_ATTEMPT = "forbidden_attempt"  # a decision that the rules denied
+    FORBIDDEN_REJECTION = "forbidden_rejection"  # a refusal of what may have run
+    LATE_RESPONSE = "late_response"  # more than `LATE_MS` after the request's time
     UNANSWERED = "unanswered"  # the program ended, or closed a connection, with a request open
 
 
-LATE_MS = 500.0  # after a request's time: its answer earns nothing before that, and is lost from then on
+RESPONSE_GRACE_MS = (
+    500.0  # after a request's time: its answer earns nothing before that, and is lost from then on
+)
 
 
-class Place(Protocol):
+class Location(Protocol):
     """Where a backend stands."""
 
     @property
@@ -66,70 +69,70 @@
     def cell(self) -> int: ...
 
 
-class Earlier(Place, Protocol):
+class PreviousAttempt(Location, Protocol):
     """An attempt that was made before."""
 
     @property
-    def sent(self) -> float: ...  # when its first byte was written, or earlier
+    def sent_at(self) -> float: ...  # when its first byte was written, or earlier
 
     @property
-    def open(self) -> bool: ...  # it has not ended
+    def is_open(self) -> bool: ...  # it has not ended
 
     @property
-    def maybe_ran(self) -> bool: ...
+    def may_have_executed(self) -> bool: ...
 
 
-E = TypeVar("E", bound=Earlier)
+E = TypeVar("E", bound=PreviousAttempt)
 
 
-def first_run(earlier: Sequence[E]) -> E | None:
+def first_executed_attempt(earlier: Sequence[E]) -> E | None:
     """The earliest attempt that may have run: what a class allows counts from it."""
-    return next((attempt for attempt in earlier if attempt.maybe_ran), None)
+    return next((attempt for attempt in earlier if attempt.may_have_executed), None)
 
 
-def same_group(scope: Scope, place: Place, ran: Place) -> bool:
+def in_dedup_scope(scope: DeduplicationScope, place: Location, ran: Location) -> bool:
     """Whether a backend at `place` drops repeats of what ran at the other place."""
-    if scope is Scope.ALL:
+    if scope is DeduplicationScope.ALL:
         return True
-    return place.zone == ran.zone if scope is Scope.ZONE else place.cell == ran.cell
+    return place.zone == ran.zone if scope is DeduplicationScope.ZONE else place.cell == ran.cell
 
 
-def repeat_denial(
-    settings: Settings, spec: RequestClass, earlier: Sequence[Earlier], now: float
+def retry_denial(
+    settings: Settings, spec: RequestClass, earlier: Sequence[PreviousAttempt], now: float
 ) -> Denial | None:
     """Whether a request of this class may be sent once more, wherever; None if it may."""
     if not earlier:
         return None
-    if len(earlier) >= settings.most_attempts:
+    if len(earlier) >= settings.max_attempts:
         return Denial.TOO_MANY_ATTEMPTS
-    if not settings.may_duplicate and any(attempt.open for attempt in earlier):
-        return Denial.SECOND_COPY
-    ran = first_run(earlier)
-    if ran is None or spec.effect is Effect.SAFE:
+    if not settings.may_hedge and any(attempt.is_open for attempt in earlier):
+        return Denial.CONCURRENT_ATTEMPT
+    ran = first_executed_attempt(earlier)
+    if ran is None or spec.idempotency is Idempotency.IDEMPOTENT:
         return None
-    if spec.effect is Effect.UNSAFE:
-        return Denial.MAY_HAVE_RUN
-    return Denial.WINDOW_OVER if now >= ran.sent + spec.window_ms else None
+    if spec.idempotency is Idempotency.NON_IDEMPOTENT:
+        return Denial.MAY_HAVE_EXECUTED
+    return Denial.DEDUP_WINDOW_OVER if now >= ran.sent_at + spec.dedup_window_ms else None
 
 
-def send_denial(
-    settings: Settings, spec: RequestClass, earlier: Sequence[Earlier], place: Place, now: float
+def attempt_denial(
+    settings: Settings, spec: RequestClass, earlier: Sequence[PreviousAttempt], place: Location, now: float
 ) -> Denial | None:
     """Whether it may be sent to a backend at `place`; None if it may."""
-    denial = repeat_denial(settings, spec, earlier, now)
-    ran = first_run(earlier)
-    if denial is not None or ran is None or spec.effect is not Effect.KEYED:
+    denial = retry_denial(settings, spec, earlier, now)
+    ran = first_executed_attempt(earlier)
+    if denial is not None or ran is None or spec.idempotency is not Idempotency.KEYED:
         return denial
-    return None if same_group(spec.scope, place, ran) else Denial.OUTSIDE_GROUP
+    return None if in_dedup_scope(spec.dedup_scope, place, ran) else Denial.OUTSIDE_DEDUP_SCOPE
 
 
-def may_close(requests_open: bool, asked: bool) -> bool:
+def may_close_connection(requests_open: bool, asked: bool) -> bool:
     """Whether this proxy may end a client's connection; `asked`: bytes of the client lie there unread."""
     return not requests_open and not asked
 
 
-def may_refuse(spec: RequestClass, earlier: Sequence[Earlier]) -> bool:
+def may_reject(spec: RequestClass, earlier: Sequence[PreviousAttempt]) -> bool:
     """Whether it may be answered with the promise that another try does no harm."""
-    if spec.effect is Effect.SAFE or first_run(earlier) is None:
+    if spec.idempotency is Idempotency.IDEMPOTENT or first_executed_attempt(earlier) is None:
         return True
-    return spec.effect is Effect.KEYED and spec.scope is Scope.ALL
+    return spec.idempotency is Idempotency.KEYED and spec.dedup_scope is DeduplicationScope.ALL
--- /dev/null
+++ b/dunecove/policy/settings.py
@@ -0,0 +1,105 @@
+"""The settings of a deployment, as the decisions use them. Durations are in milliseconds."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from math import inf
+
+from dunecove.policy.models import DeduplicationScope, Idempotency
+
+
+@dataclass(frozen=True, slots=True)
+class RequestClass:
+    """What holds for all requests of one class."""
+
+    latency_objective_ms: float  # a response within it earns the full priority weight
+    deadline_ms: float  # the client's whole wait over all its retries
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    dedup_scope: DeduplicationScope = DeduplicationScope.ALL  # KEYED only
+    dedup_window_ms: float = 0.0  # KEYED only: for how long backends remember a key
+    priority_weight: float = 1.0  # value of a response in time for each unit of work
+    late_weight: float = 0.0  # part of the priority weight that a response past the objective earns
+    streams_response: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class Settings:
+    """What the operator configures. `check` says whether it is consistent."""
+
+    classes: tuple[RequestClass, ...]
+    proxy_count: int = 1  # proxies of this tier, this one included
+    proxy_index: int = 0  # of this one
+    zone: int = 0
+    zone_count: int = 1  # each zone's clients come to the proxies of their own zone
+    tenant_quotas: tuple[float, ...] = ()  # requests a second by tenant, over all proxies
+    over_quota_weight: float = 1.0  # factor on the priority weight of a request over its tenant's quota
+    step_interval_ms: float = 1.0  # shortest time between two calls of `Balancer.step`
+    polls_discovery: bool = False  # the endpoint list has to be polled; otherwise it is pushed
+    max_poll_interval_ms: float = 10000.0  # longest time without a poll or an open watch
+    may_cancel: bool = False
+    may_hedge: bool = False  # a second attempt may be open beside the first
+    may_health_check: bool = False
+    may_gossip: bool = False
+    sends_retry_after: bool = False
+    max_retry_after_ms: float = 0.0
+    max_attempts: int = 1  # for one request
+    key_affinity: bool = False  # a backend has less work with a key that it met lately
+    slow_start_capacity: float = 1.0  # part of its capacity that a backend starts with, at least
+    slow_start_ms: float = 0.0  # a backend has warmed up no later than this after its start
+    slow_start_overload_factor: float = (
+        2.0  # a cold backend fails when sent more than this times its capacity
+    )
+    slow_start_window_ms: float = 1000.0  # for this long
+
+    def check(self) -> None:
+        """Raise ValueError for settings that no deployment can have."""
+        if not self.classes:
+            raise ValueError("classes: settings name no request class")
+        for number, request_class in enumerate(self.classes):
+            _check_class(request_class, f"class {number}: ")
+        if not any(request_class.priority_weight > 0 for request_class in self.classes):
+            raise ValueError("priority_weight: no class is worth anything")
+        for name in ("proxy_count", "max_attempts", "zone_count"):
+            if not getattr(self, name) >= 1:
+                raise ValueError(f"{name} must be at least 1")
+        _check_positive(self, _POSITIVE)
+        _check_not_negative(self, _NOT_NEGATIVE)
+        if not all(0 <= quota < inf for quota in self.tenant_quotas):
+            raise ValueError("tenant_quotas must not be negative or infinite")
+
+
+_POSITIVE = (
+    "step_interval_ms",
+    "max_poll_interval_ms",
+    "slow_start_window_ms",
+    "slow_start_overload_factor",
+)
+_NOT_NEGATIVE = (
+    "proxy_index",
+    "slow_start_ms",
+    "max_retry_after_ms",
+    "over_quota_weight",
+    "slow_start_capacity",
+)
+
+
+def _check_class(request_class: RequestClass, prefix: str) -> None:
+    _check_positive(request_class, ("latency_objective_ms", "deadline_ms"), prefix)
+    _check_not_negative(request_class, ("priority_weight", "late_weight", "dedup_window_ms"), prefix)
+    if not isinstance(request_class.idempotency, Idempotency):
+        raise ValueError(f"{prefix}idempotency is unknown: {request_class.idempotency!r}")
+    if not isinstance(request_class.dedup_scope, DeduplicationScope):
+        raise ValueError(f"{prefix}dedup_scope is unknown: {request_class.dedup_scope!r}")
+
+
+def _check_positive(checked: RequestClass | Settings, names: Iterable[str], prefix: str = "") -> None:
+    for name in names:
+        if not 0 < getattr(checked, name) < inf:
+            raise ValueError(f"{prefix}{name} must be above 0 and finite")
+
+
+def _check_not_negative(checked: RequestClass | Settings, names: Iterable[str], prefix: str = "") -> None:
+    for name in names:
+        if not 0 <= getattr(checked, name) < inf:
+            raise ValueError(f"{prefix}{name} must not be negative or infinite")
--- a/dunecove/proxy/connection_pool.py
+++ b/dunecove/proxy/connection_pool.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from math import inf
 
-from dunecove.policy.api import NEVER_RAN, Result, ServerInfo, ServerState
+from dunecove.policy.models import NEVER_EXECUTED, AttemptResult, BackendInfo, BackendState
 from dunecove.policy.request_rules import Denial
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.discovery_client import Target, pack, place_of, unpack
@@ -20,7 +20,10 @@
 REST_MS = 10.0
 
 # How an attempt ends that may not be written. That this proxy was too slow for it is not the backend's doing.
-DENIED = {Denial.BACKEND_LEFT: Result.CONNECT_FAILED, Denial.TIME_OVER: Result.NO_ROOM}
+DENIED = {
+    Denial.BACKEND_REMOVED: AttemptResult.CONNECT_FAILED,
+    Denial.DEADLINE_EXCEEDED: AttemptResult.NO_LOCAL_RESOURCE,
+}
 # What this proxy may lack for a moment: no doing of the backend that it wanted to reach.
 OWN_LACK = frozenset(
     (
@@ -45,14 +48,14 @@
         head: bytes,
         body: bytes,
         limit_ms: float,
-        done: Callable[[Attempt, Result, Response | None], None],
+        done: Callable[[Attempt, AttemptResult, Response | None], None],
         within_ms: float = inf,
         denial: Callable[[], Denial | None] = lambda: None,  # whether its request may still be sent
     ) -> None:
         self.uid, self.head, self.body, self.done, self.denial = uid, head, body, done, denial
-        self.started = self.sent = now_ms()
+        self.started = self.sent_at = now_ms()
         self.zone = self.cell = 0  # where its backend stood as it began
-        self.maybe_ran = True
+        self.may_have_executed = True
         self.deadline = self.started + limit_ms
         self.write_by = self.started + within_ms
         self.connection: Connection | None = None
@@ -60,17 +63,17 @@
         self.ended = False
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return not self.ended
 
     def over(self) -> bool:
         """Too late to write it."""
         return now_ms() >= min(self.deadline, self.write_by)
 
-    def end(self, result: Result, response: Response | None = None) -> None:
+    def end(self, result: AttemptResult, response: Response | None = None) -> None:
         if self.ended:
             return
-        self.ended, self.maybe_ran = True, result not in NEVER_RAN
+        self.ended, self.may_have_executed = True, result not in NEVER_EXECUTED
         if self.timer is not None:
             self.timer.cancel()
         if self.connection is not None:
@@ -119,7 +122,7 @@
             self.close()
 
     def carry(self, attempt: Attempt) -> None:
-        self.attempt, attempt.connection, attempt.sent = attempt, self, now_ms()
+        self.attempt, attempt.connection, attempt.sent_at = attempt, self, now_ms()
         budget = max(1, int(attempt.deadline - now_ms()))
         self.ask(b"%bx-budget-ms: %d\r\n\r\n%b" % (attempt.head, budget, attempt.body))
 
@@ -139,19 +142,19 @@
         if attempt is None:
             return
         if response.status == 200:
-            attempt.end(Result.OK, response)
+            attempt.end(AttemptResult.OK, response)
         elif response.status in (503, 504) and response.header(b"x-rejected") == b"1":
-            attempt.end(Result.FULL)
+            attempt.end(AttemptResult.REJECTED)
         elif 400 <= response.status < 500:
-            attempt.end(Result.INVALID)
+            attempt.end(AttemptResult.BAD_REQUEST)
         else:
-            attempt.end(Result.ERROR)
+            attempt.end(AttemptResult.ERROR)
 
     def on_broken(self) -> None:
         if self in self.backend.idle:
             self.backend.idle.remove(self)
         if self.attempt is not None:
-            self.attempt.end(Result.CONNECT_FAILED if self.never_ran() else Result.RESET)
+            self.attempt.end(AttemptResult.CONNECT_FAILED if self.never_ran() else AttemptResult.RESET)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.connections.discard(self)
@@ -174,7 +177,7 @@
             for uid in [uid for uid in self.targets if uid not in listed]:
                 self._remove(uid)
         for target in targets:
-            if target.info.state is not ServerState.ACTIVE:
+            if target.info.state is not BackendState.ACTIVE:
                 self._remove(target.uid)
                 continue
             held, new = self.targets.of(target.uid), pack(target)
@@ -184,7 +187,7 @@
                 before = unpack(target.uid, old)
                 if before[1:3] != target[1:3]:  # it has moved
                     self._retire(backend)
-                elif before.info.started != target.info.started:
+                elif before.info.started_at != target.info.started_at:
                     backend.renew()
 
     def _remove(self, uid: str) -> None:
@@ -199,12 +202,12 @@
             attempt = connection.attempt
             self._drop(connection)
             if attempt is not None:
-                attempt.end(Result.CONNECT_FAILED)
+                attempt.end(AttemptResult.CONNECT_FAILED)
 
     def active(self) -> int:
         return len(self.targets)
 
-    def infos(self, uids: list[str]) -> tuple[ServerInfo, ...]:
+    def infos(self, uids: list[str]) -> tuple[BackendInfo, ...]:
         """Of those that are still active."""
         known = ((uid, self.targets.get(uid)) for uid in uids)
         return tuple(unpack(uid, k).info for uid, k in known if k is not None)
@@ -215,7 +218,7 @@
             attempt.zone, attempt.cell = place_of(known)
         denial = self._denial(attempt)
         if denial is not None or known is None:
-            attempt.end(DENIED.get(denial or Denial.BACKEND_LEFT, Result.NOT_SENT))
+            attempt.end(DENIED.get(denial or Denial.BACKEND_REMOVED, AttemptResult.WITHDRAWN))
             return
         self._time(attempt, min(attempt.deadline, attempt.write_by))
         backend = self.backends.get(attempt.uid) or self.backends.setdefault(attempt.uid, Backend())
@@ -224,7 +227,7 @@
             kept.carry(attempt)
             return
         if not self._make_room():
-            attempt.end(Result.NO_ROOM)
+            attempt.end(AttemptResult.NO_LOCAL_RESOURCE)
             return
         target = unpack(attempt.uid, known)
         connection = Connection(self, backend, (target.host, target.port))
@@ -256,36 +259,38 @@
             # ended is told by the connection.
             if connection.attempt is not None and connection.transport is None:
                 lack = error.errno in OWN_LACK
-                connection.attempt.end(Result.NO_ROOM if lack else Result.CONNECT_FAILED)
+                connection.attempt.end(
+                    AttemptResult.NO_LOCAL_RESOURCE if lack else AttemptResult.CONNECT_FAILED
+                )
         finally:
             connection.backend.connecting.discard(connection)
             if connection.transport is None:
                 self.connections.discard(connection)
 
     def cancel(self, attempt: Attempt) -> None:
-        self._give_up(attempt, Result.CANCELLED)
+        self._give_up(attempt, AttemptResult.CANCELLED)
 
     def withdraw(self, attempt: Attempt) -> None:
         """End it if it is still to be written: its connection comes up, or has not taken all of it."""
         if attempt.connection is not None and attempt.connection.never_ran():
-            self._give_up(attempt, Result.NOT_SENT)
+            self._give_up(attempt, AttemptResult.WITHDRAWN)
 
     def _denial(self, attempt: Attempt) -> Denial | None:
         """Asked before the first byte of each attempt; None if it may be written."""
         if self.targets.get(attempt.uid) is None:
-            return Denial.BACKEND_LEFT
+            return Denial.BACKEND_REMOVED
         if attempt.over():
-            return Denial.TIME_OVER
+            return Denial.DEADLINE_EXCEEDED
         return attempt.denial()
 
     def end_if_denied(self, attempt: Attempt) -> None:
         """It has waited for its connection, and that for its turn of the loop, which may not have come yet to
         its timer or to the end of its client's connection."""
         denial = self._denial(attempt)
-        if denial is Denial.TIME_OVER:
+        if denial is Denial.DEADLINE_EXCEEDED:
             self._limit(attempt)
         elif denial is not None:
-            self._give_up(attempt, DENIED.get(denial, Result.NOT_SENT))
+            self._give_up(attempt, DENIED.get(denial, AttemptResult.WITHDRAWN))
 
     def _time(self, attempt: Attempt, until: float) -> None:
         seconds = max(until - now_ms(), 0.0) / 1000
@@ -298,13 +303,13 @@
             attempt.write_by = inf  # it was written in time, and has the rest of its time for the answer
             self._time(attempt, attempt.deadline)
             return
-        self._give_up(attempt, Result.CONNECT_FAILED if never else Result.TIMEOUT)
+        self._give_up(attempt, AttemptResult.CONNECT_FAILED if never else AttemptResult.TIMEOUT)
         backend = self.backends.get(attempt.uid)
         if backend is not None and not never and backend.heard < attempt.started:
             # Nothing came from there in all that time: a machine cut off leaves connections that look fit.
             backend.close_idle()
 
-    def _give_up(self, attempt: Attempt, result: Result) -> None:
+    def _give_up(self, attempt: Attempt, result: AttemptResult) -> None:
         if attempt.connection is not None:
             self._drop(attempt.connection)
         attempt.end(result)
--- a/dunecove/proxy/discovery_client.py
+++ b/dunecove/proxy/discovery_client.py
@@ -15,13 +15,13 @@
 
 import orjson
 
-from dunecove.policy.api import ServerInfo, ServerState
+from dunecove.policy.models import BackendInfo, BackendState
 from dunecove.proxy.http1 import Exchange, Response, split_address
 from dunecove.proxy.incremental_json import consumed, in_pieces
 from dunecove.proxy.sharded_table import Table
 from dunecove.settings import Malformed, Wire, choice, listing, mapping, number, text, whole
 
-STATES = {"active": ServerState.ACTIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+STATES = {"active": BackendState.ACTIVE, "leaving": BackendState.DRAINING, "left": BackendState.REMOVED}
 FIRST_WAIT_MS = 1  # a new watch asks for what is known now, so that success shows at once
 # What a silent watch misses counts as told 6 s after it fell silent. By then it must have been found silent,
 # opened anew, and once more if connecting hangs; so it waits for a second and is given a second to answer.
@@ -53,7 +53,7 @@
     uid: str
     host: str
     port: int
-    info: ServerInfo
+    info: BackendInfo
 
 
 Parts = list[bytes | bytearray]  # of an answer's body
@@ -66,7 +66,7 @@
 
 def unpack(uid: str, known: Known) -> Target:
     host, port, *traits = loads(known)
-    return Target(uid, host.decode(), port, ServerInfo(uid, ServerState.ACTIVE, *traits))
+    return Target(uid, host.decode(), port, BackendInfo(uid, BackendState.ACTIVE, *traits))
 
 
 def place_of(known: Known) -> tuple[int, int]:
@@ -101,7 +101,7 @@
     uid, started = text(entry["uid"], "uid"), entry.get("boot_ms")
     host, port = split_address(text(entry["endpoint"], "endpoint"))
     check_ip(host)
-    info = ServerInfo(
+    info = BackendInfo(
         uid,
         choice(STATES, entry["state"], "state"),
         place(wire.zones, entry.get("az"), "az"),
@@ -141,7 +141,7 @@
             for entry in entries:
                 target = read_target(entry, wire)
                 held = saved.of(target.uid)
-                if target.info.state is ServerState.ACTIVE:
+                if target.info.state is BackendState.ACTIVE:
                     if target.uid not in held:
                         uids.append(target.uid)
                     held[target.uid] = pack(target)
@@ -354,13 +354,13 @@
 
         def look(entries: list[Any]) -> None:
             targets = [read_target(entry, self.wire) for entry in entries]
-            drains = [t for t in targets if t.info.state is not ServerState.ACTIVE]
+            drains = [t for t in targets if t.info.state is not BackendState.ACTIVE]
             if drains := [t for t in drains if self.held.get(t.uid) is not None]:
                 self.on_list(Listing(self.rev or 0, False, tuple(drains)))
             changed: dict[str, Known] = {}
             for target in targets:
                 unseen.of(target.uid).pop(target.uid, None)
-                if target.info.state is ServerState.ACTIVE:
+                if target.info.state is BackendState.ACTIVE:
                     known = pack(target)
                     if self.held.get(target.uid) != known:
                         changed[target.uid] = known
@@ -398,7 +398,7 @@
             if not left:
                 unseen.parts.pop()
                 continue
-            gone = (Target(uid, "", 0, ServerInfo(uid, ServerState.GONE)) for uid in left)
+            gone = (Target(uid, "", 0, BackendInfo(uid, BackendState.REMOVED)) for uid in left)
             self.on_list(Listing(rev, False, tuple(gone)))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -7,33 +7,41 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dunecove.policy.api import (
+from dunecove.policy.actions import (
     Action,
-    Arrival,
-    Cancel,
-    ClientGone,
-    Event,
+    BackendEjected,
+    CancelAttempt,
     Fail,
-    ListKind,
-    Log,
-    Outcome,
-    PeerSaid,
-    Probe,
-    ProbeResult,
-    Refuse,
-    Result,
-    Send,
-    ServerInfo,
-    ServerList,
-    ServiceMoved,
+    Forward,
+    PollDiscovery,
+    Reject,
+    SendGossip,
+    SendHealthCheck,
     SetTimer,
-    Settings,
-    Tell,
-    TimerFired,
-    Watch,
 )
 from dunecove.policy.balancer import Balancer
-from dunecove.policy.request_rules import EXPECTED, LATE_MS, Denial, Violation, may_refuse, send_denial
+from dunecove.policy.events import (
+    AttemptEnded,
+    BackendListUpdate,
+    ClientDisconnected,
+    DiscoveryMoved,
+    Event,
+    GossipReceived,
+    HealthCheckResult,
+    ListUpdateKind,
+    RequestArrived,
+    TimerFired,
+)
+from dunecove.policy.models import AttemptResult, BackendInfo
+from dunecove.policy.request_rules import (
+    EXPECTED_DENIALS,
+    RESPONSE_GRACE_MS,
+    Denial,
+    Violation,
+    attempt_denial,
+    may_reject,
+)
+from dunecove.policy.settings import Settings
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.connection_pool import Attempt, Backends
 from dunecove.proxy.discovery_client import PIECE, Discovery, Listing, Saved
@@ -95,7 +103,7 @@
         self.requests: dict[str, Held] = {}
         self.known: dict[str, float] = {}  # ids of late, with the time at which they came, oldest first
         self.longest_ms = max(c.deadline_ms for c in settings.classes)
-        self.news: list[ServerList] = []
+        self.news: list[BackendListUpdate] = []
         self.untold: list[str] = []  # uids that the module has still to hear of, the next one last
         self.events: list[Event] = []
         self.ended: list[Held] = []  # to be forgotten once the module has been told of their end
@@ -107,15 +115,15 @@
 
     # What happens outside
 
-    def on_list(self, listing: Listing, kind: ListKind | None = None) -> None:
+    def on_list(self, listing: Listing, kind: ListUpdateKind | None = None) -> None:
         # The pools hear of a drain here and now, before anything else of this turn can be written.
         self.backends.update(listing.targets, listing.whole)
-        kind = kind or (ListKind.FULL if listing.whole else ListKind.CHANGES)
+        kind = kind or (ListUpdateKind.SNAPSHOT if listing.whole else ListUpdateKind.DELTA)
         self.telemetry.count(f"list.{kind.value}")
-        if kind is ListKind.SAVED:
+        if kind is ListUpdateKind.CACHED:
             self._tell_held([target.uid for target in listing.targets])
         else:
-            self.news.append(ServerList(kind, tuple(target.info for target in listing.targets)))
+            self.news.append(BackendListUpdate(kind, tuple(target.info for target in listing.targets)))
         self._wake()
 
     def take_saved(self, saved: Saved) -> None:
@@ -127,28 +135,28 @@
     def _tell_held(self, uids: list[str]) -> None:
         """A module that has just begun hears of the whole list, of a long one by and by."""
         self.untold = uids[::-1]
-        self.news = [ServerList(ListKind.SAVED, self._next_held())]
+        self.news = [BackendListUpdate(ListUpdateKind.CACHED, self._next_held())]
 
-    def _next_held(self) -> tuple[ServerInfo, ...]:
+    def _next_held(self) -> tuple[BackendInfo, ...]:
         piece = self.untold[-PIECE:][::-1]
         del self.untold[-PIECE:]
         return self.backends.infos(piece)
 
     def on_list_failure(self, reason: str) -> None:
-        self.news.append(ServerList(ListKind.FAILED))
+        self.news.append(BackendListUpdate(ListUpdateKind.FAILED))
         self._wake()
         self.telemetry.count("list.failed")
         log(f"list: {reason}")
 
     def on_peer(self, peer: int, data: bytes) -> None:
-        self._raise(PeerSaid(peer, data))
+        self._raise(GossipReceived(peer, data))
 
     def move_list(self, address: str) -> None:
         """The list comes from another service from now on; the one held stands until that has answered."""
         if self.discovery is not None and self.discovery.move(address):
             self.telemetry.count("list.moved")
             log(f"list: now from {address}")
-            self._raise(ServiceMoved())
+            self._raise(DiscoveryMoved())
 
     def take(self, taken: Taken) -> bool:
         """False if a request of this id is open or was of late: ids don't return, and another's must not."""
@@ -166,7 +174,9 @@
             return True
         held.timer = self.loop.call_later(max(budget, 0.0) / 1000, self._deadline, held)
         give_up, again = now_ms() + budget, taken.repeat
-        self._raise(Arrival(taken.id, taken.cls, taken.tenant, taken.key, give_up, again, taken.work_ms))
+        self._raise(
+            RequestArrived(taken.id, taken.cls, taken.tenant, taken.key, give_up, again, taken.work_ms)
+        )
         return True
 
     def _forget_ids(self) -> None:
@@ -181,7 +191,7 @@
         held = self.requests.get(request_id)
         if held is None or held.over:
             return
-        self.telemetry.note(request_id, "client_left")
+        self.telemetry.note(request_id, "client_disconnected")
         self._close(held)
         self._abandon(held)
 
@@ -202,29 +212,29 @@
 
     def _refuse_at_end(self, held: Held) -> None:
         if not held.over:
-            self._answer(held, Answer(503), Denial.STOPPED.value)
+            self._answer(held, Answer(503), Denial.SHUTTING_DOWN.value)
             self.requests.pop(held.taken.id, None)
 
     def _abandon(self, held: Held) -> None:
         """Nobody waits for it any more. Whether attempts that are out may be called off is the module's
         affair; one whose bytes have not gone out is none yet, and never goes out."""
-        self._raise(ClientGone(held.taken.id))
+        self._raise(ClientDisconnected(held.taken.id))
         for attempt in held.attempts:
             self.backends.withdraw(attempt)
 
     def _on_attempt(
-        self, held: Held, number: int, attempt: Attempt, result: Result, got: Response | None
+        self, held: Held, number: int, attempt: Attempt, result: AttemptResult, got: Response | None
     ) -> None:
-        if result is Result.OK and got is not None and not held.over:
+        if result is AttemptResult.OK and got is not None and not held.over:
             headers = b"".join(b"%b: %b\r\n" % pair for pair in got.headers if pair[0] in PASSED_ON)
             self._answer(held, Answer(200, headers, got.body), "served")
         self.telemetry.note(held.taken.id, "attempt_ended", result.value)
         delay = now_ms() - attempt.started
-        self._raise(Outcome(held.taken.id, number, result, delay, held.over))
+        self._raise(AttemptEnded(held.taken.id, number, result, delay, held.over))
         self._forget(held)
 
-    def _on_probe(self, attempt: Attempt, result: Result, _: Response | None) -> None:
-        self._raise(ProbeResult(attempt.uid, result, now_ms() - attempt.started))
+    def _on_probe(self, attempt: Attempt, result: AttemptResult, _: Response | None) -> None:
+        self._raise(HealthCheckResult(attempt.uid, result, now_ms() - attempt.started))
 
     def _on_timer(self, token: int, life: int) -> None:
         if life == self.life:
@@ -245,7 +255,7 @@
         batch: list[Event] = [*self.news, *self.events]
         self.news, self.events = [], []
         if self.untold:
-            self.news.append(ServerList(ListKind.MORE, self._next_held()))
+            self.news.append(BackendListUpdate(ListUpdateKind.CACHED_CONTINUED, self._next_held()))
             self._wake()
         ended, self.ended = self.ended, []
         try:
@@ -276,7 +286,7 @@
             self.turn.cancel()
         # One that breaks at once, again and again, must leave time for answering.
         self.turn = self.loop.call_later(MODULE_REST_S, self._step)
-        if self.discovery is not None and not self.settings.ask_for_list:
+        if self.discovery is not None and not self.settings.polls_discovery:
             # Word that the watch ended may have gone with the old module. A pushed list is read at all times;
             # one that must be asked for the new module asks for by itself.
             self.discovery.watch()
@@ -289,41 +299,43 @@
                 self._answer(held, Answer(500), "module_broke")
 
     def _carry_out(self, action: Action) -> None:
-        if isinstance(action, Send):
+        if isinstance(action, Forward):
             self._send(action)
-        elif isinstance(action, (Refuse, Fail)):
-            held = self.requests.get(action.request)
+        elif isinstance(action, (Reject, Fail)):
+            held = self.requests.get(action.request_id)
             if held is not None and not held.over:
                 self._answer(held, self._final(held, action), action.reason.value)
-        elif isinstance(action, Cancel):
-            held = self.requests.get(action.request)
-            if held is not None and action.attempt < len(held.attempts):
-                self.backends.cancel(held.attempts[action.attempt])
+        elif isinstance(action, CancelAttempt):
+            held = self.requests.get(action.request_id)
+            if held is not None and action.attempt_index < len(held.attempts):
+                self.backends.cancel(held.attempts[action.attempt_index])
         elif isinstance(action, SetTimer):
             self.loop.call_later(action.delay_ms / 1000, self._on_timer, action.token, self.life)
-        elif isinstance(action, Watch):
+        elif isinstance(action, PollDiscovery):
             if self.discovery is not None:
                 self.discovery.watch()
-        elif isinstance(action, Tell):
+        elif isinstance(action, SendGossip):
             if self.peers is not None:
-                self.peers.tell(action.data)
-        elif isinstance(action, Probe):
-            self.backends.start(Attempt(action.server, PROBE_HEAD, b"", self.probe_limit_ms, self._on_probe))
-        elif isinstance(action, Log):
-            log(action.text)
-
-    def _send(self, action: Send) -> None:
-        held = self.requests.get(action.request)
+                self.peers.tell(action.payload)
+        elif isinstance(action, SendHealthCheck):
+            self.backends.start(
+                Attempt(action.backend_id, PROBE_HEAD, b"", self.probe_limit_ms, self._on_probe)
+            )
+        elif isinstance(action, BackendEjected):
+            log(str(action))
+
+    def _send(self, action: Forward) -> None:
+        held = self.requests.get(action.request_id)
         if held is None:
             return
         number, taken, spent = len(held.attempts), held.taken, now_ms() - self.stepped
         attempt = Attempt(
-            action.server,
+            action.backend_id,
             taken.head,
             taken.body,
-            action.limit_ms - spent,
+            action.timeout_ms - spent,
             lambda ended, result, response: self._on_attempt(held, number, ended, result, response),
-            action.within_ms - spent,
+            action.write_within_ms - spent,
             lambda: self._denial(held, number),
         )
         held.attempts.append(attempt)
@@ -338,21 +350,21 @@
         if held.over:
             denial = Denial.ANSWERED
         elif held.taken.gone():
-            denial = Denial.CLIENT_LEFT
+            denial = Denial.CLIENT_DISCONNECTED
         else:
-            denial = send_denial(self.settings, spec, held.attempts[:number], attempt, now_ms())
+            denial = attempt_denial(self.settings, spec, held.attempts[:number], attempt, now_ms())
         if denial is not None:
             self.telemetry.note(held.taken.id, "denied", denial.value)
-            if denial not in EXPECTED:
-                self.telemetry.violation(Violation.BAD_SEND, held.taken.id, denial.value)
+            if denial not in EXPECTED_DENIALS:
+                self.telemetry.violation(Violation.FORBIDDEN_ATTEMPT, held.taken.id, denial.value)
         return denial
 
-    def _final(self, held: Held, action: Refuse | Fail) -> Answer:
+    def _final(self, held: Held, action: Reject | Fail) -> Answer:
         if isinstance(action, Fail):
             return Answer(504)
-        if may_refuse(self.settings.classes[held.taken.cls], held.attempts):
+        if may_reject(self.settings.classes[held.taken.cls], held.attempts):
             return refusal(action)
-        self.telemetry.violation(Violation.BAD_REFUSAL, held.taken.id, action.reason.value)
+        self.telemetry.violation(Violation.FORBIDDEN_REJECTION, held.taken.id, action.reason.value)
         return Answer(504)
 
     def give_up(self) -> None:
@@ -378,8 +390,8 @@
 
     def _answer(self, held: Held, answer: Answer, reason: str) -> None:
         self.telemetry.note(held.taken.id, "answered", reason)
-        if (late := now_ms() - held.give_up) > LATE_MS:
-            self.telemetry.violation(Violation.LATE_ANSWER, held.taken.id, f"{late:.0f} ms, {reason}")
+        if (late := now_ms() - held.give_up) > RESPONSE_GRACE_MS:
+            self.telemetry.violation(Violation.LATE_RESPONSE, held.taken.id, f"{late:.0f} ms, {reason}")
         self._close(held)
         held.taken.answer(answer)
 
@@ -394,7 +406,7 @@
             self.ended.append(held)
 
 
-def refusal(action: Refuse) -> Answer:
+def refusal(action: Reject) -> Answer:
     if action.retry_after_ms <= 0:
         return Answer(503)
     return Answer(503, b"retry-after: %.3f\r\n" % (action.retry_after_ms / 1000))
--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from dunecove.policy.request_rules import LATE_MS, Violation, may_close
+from dunecove.policy.request_rules import RESPONSE_GRACE_MS, Violation, may_close_connection
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.engine import Answer, Engine
 from dunecove.proxy.http1 import (
@@ -54,7 +54,7 @@
 UNREAD_MS = 500.0  # ms after a request's time in which its answer may yet be read: then it is lost
 # ms after its time by which a request behind another gets its answer: half of the time in which an
 # answer only earns nothing.
-BEHIND_MS = LATE_MS / 2
+BEHIND_MS = RESPONSE_GRACE_MS / 2
 READY_PATH = b"/health/ready"
 
 PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
@@ -133,7 +133,7 @@
 
     def may_close(self) -> bool:
         """Whether nothing is owed on it, and nothing has just been asked."""
-        return may_close(self._owes_answers(), unread(self.transport))
+        return may_close_connection(self._owes_answers(), unread(self.transport))
 
     def _owes_answers(self) -> bool:
         return self.request_id is not None or bool(self.queue)
--- a/dunecove/proxy/request_parser.py
+++ b/dunecove/proxy/request_parser.py
@@ -8,7 +8,8 @@
 from typing import NamedTuple
 from urllib.parse import unquote_to_bytes
 
-from dunecove.policy.api import Effect, Settings
+from dunecove.policy.models import Idempotency
+from dunecove.policy.settings import Settings
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.engine import Answer, Taken
 from dunecove.proxy.http1 import MAX_BODY, Headers
@@ -17,9 +18,18 @@
 # What goes on to a backend. Anything else is the client's own affair, and one way less to make a backend
 # hang up, and so fail a request that it was made to look guilty of.
 FORWARDED = frozenset(
-    (b"host", b"x-call-id", b"x-caller", b"x-route-hash", b"idempotency-key", b"x-again", b"x-call-cost",
-     b"x-call-info", b"content-type")
-)  # fmt: skip
+    (
+        b"host",
+        b"x-call-id",
+        b"x-caller",
+        b"x-route-hash",
+        b"idempotency-key",
+        b"x-again",
+        b"x-call-cost",
+        b"x-call-info",
+        b"content-type",
+    )
+)
 # Told twice, the backend could read the other value; HTTP/1.1 asks for one host.
 SINGLE = FORWARDED | {b"x-budget-ms", b"content-length", b"transfer-encoding"}
 TARGET = re.compile(rb"/[!-~]{0,2047}")  # a longer one is nobody's path, and servers bound their first line
@@ -87,12 +97,12 @@
         cls = self.wire.classes.get(as_name(unquote_to_bytes(path.split(b"/")[1])))
         if cls is None:
             raise Bad(404)
-        effect = self.settings.classes[cls].effect
-        if message.method != (b"GET" if effect is Effect.SAFE else b"POST"):
+        effect = self.settings.classes[cls].idempotency
+        if message.method != (b"GET" if effect is Idempotency.IDEMPOTENT else b"POST"):
             raise Bad(405)
         if message.method == b"GET" and message.body:
             raise Bad(400)
-        if effect is Effect.KEYED and not headers.get(b"idempotency-key"):
+        if effect is Idempotency.KEYED and not headers.get(b"idempotency-key"):
             raise Bad(400)
         request_id, budget = headers.get(b"x-call-id", b""), headers.get(b"x-budget-ms", b"")
         if not ID.fullmatch(request_id) or not BUDGET.fullmatch(budget):
--- a/dunecove/settings.py
+++ b/dunecove/settings.py
@@ -6,9 +6,14 @@
 from math import inf
 from typing import Any
 
-from dunecove.policy.api import Effect, RequestClass, Scope, Settings
-
-EFFECTS = {"read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE}
+from dunecove.policy.models import DeduplicationScope, Idempotency
+from dunecove.policy.settings import RequestClass, Settings
+
+EFFECTS = {
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.KEYED,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
+}
 Message = dict[str, Any]
 
 
@@ -68,14 +73,16 @@
 
 def read_class(raw: Message) -> RequestClass:
     return RequestClass(
-        aim_ms=number(raw["AimMs"], "AimMs"),
+        latency_objective_ms=number(raw["AimMs"], "AimMs"),
         deadline_ms=number(raw["HardLimitMs"], "HardLimitMs"),
-        effect=choice(EFFECTS, raw["Effect"], "Effect"),
-        scope=choice({s.value: s for s in Scope}, raw.get("KeyScope") or "all", "KeyScope"),
-        window_ms=number(raw.get("KeyTtlMs") or 0, "KeyTtlMs"),
-        worth=number(given(raw, "Points", 1), "Points"),
-        late_worth=number(raw.get("LateWorth") or 0, "LateWorth"),
-        stream=bool(raw.get("Stream")),
+        idempotency=choice(EFFECTS, raw["Effect"], "Effect"),
+        dedup_scope=choice(
+            {s.value: s for s in DeduplicationScope}, raw.get("KeyScope") or "all", "KeyScope"
+        ),
+        dedup_window_ms=number(raw.get("KeyTtlMs") or 0, "KeyTtlMs"),
+        priority_weight=number(given(raw, "Points", 1), "Points"),
+        late_weight=number(raw.get("LateWorth") or 0, "LateWorth"),
+        streams_response=bool(raw.get("Stream")),
     )
 
 
@@ -86,27 +93,27 @@
     tenants = [mapping(t, "Projects") for t in listing(info.get("Projects") or [], "Projects")]
     return Settings(
         classes=tuple(read_class(mapping(c, "Lanes")) for c in listing(info["Lanes"], "Lanes")),
-        proxies=whole(given(info, "Balancers", 1), "Balancers"),
-        me=whole(given(info, "Me", 0), "Me"),
+        proxy_count=whole(given(info, "Balancers", 1), "Balancers"),
+        proxy_index=whole(given(info, "Me", 0), "Me"),
         zone=whole(info.get("Az") or 0, "Az"),
-        zones=max(1, len(listing(info.get("Dcs") or [], "Dcs"))),
-        quotas=tuple(number(t["QuotaPerS"], "QuotaPerS") for t in tenants),
-        over_share_worth=number(given(info, "OverShareWorth", 1), "OverShareWorth"),
-        tick_ms=number(given(info, "TickMs", 1), "TickMs"),
-        ask_for_list=info.get("Discovery") == "ask",
-        must_ask_ms=number(given(rules, "MustAskInMs", 10000), "MustAskInMs"),
+        zone_count=max(1, len(listing(info.get("Dcs") or [], "Dcs"))),
+        tenant_quotas=tuple(number(t["QuotaPerS"], "QuotaPerS") for t in tenants),
+        over_quota_weight=number(given(info, "OverShareWorth", 1), "OverShareWorth"),
+        step_interval_ms=number(given(info, "TickMs", 1), "TickMs"),
+        polls_discovery=info.get("Discovery") == "ask",
+        max_poll_interval_ms=number(given(rules, "MustAskInMs", 10000), "MustAskInMs"),
         may_cancel=bool(limits.get("MayCancel")),
-        may_duplicate=bool(limits.get("MayDuplicate")),
-        may_probe=bool(limits.get("Probes")),
-        may_tell=bool(limits.get("Peers")),
-        retry_after=bool(limits.get("RetryAfter")),
+        may_hedge=bool(limits.get("MayDuplicate")),
+        may_health_check=bool(limits.get("Probes")),
+        may_gossip=bool(limits.get("Peers")),
+        sends_retry_after=bool(limits.get("RetryAfter")),
         max_retry_after_ms=number(limits.get("MaxRetryAfterMs") or 0, "MaxRetryAfterMs"),
-        most_attempts=whole(given(limits, "MostTries", 1), "MostTries"),
-        warm_keys=bool(domain.get("WarmKeys")),
-        start_capacity=number(given(rules, "StartCapacity", 1), "StartCapacity"),
-        cold_ms=number(rules.get("ColdMs") or 0, "ColdMs"),
-        fall_multiple=number(given(rules, "FallMultiple", 2), "FallMultiple"),
-        fall_ms=number(given(rules, "OverloadForMs", 1000), "OverloadForMs"),
+        max_attempts=whole(given(limits, "MostTries", 1), "MostTries"),
+        key_affinity=bool(domain.get("WarmKeys")),
+        slow_start_capacity=number(given(rules, "StartCapacity", 1), "StartCapacity"),
+        slow_start_ms=number(rules.get("ColdMs") or 0, "ColdMs"),
+        slow_start_overload_factor=number(given(rules, "FallMultiple", 2), "FallMultiple"),
+        slow_start_window_ms=number(given(rules, "OverloadForMs", 1000), "OverloadForMs"),
     )
 
 
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -10,23 +10,18 @@
 
 import orjson
 
-from dunecove.policy.api import (
-    Action,
-    Arrival,
-    ClientGone,
+from dunecove.policy.actions import Action, Fail, Forward, PollDiscovery, Reject, SetTimer
+from dunecove.policy.balancer import Balancer
+from dunecove.policy.events import (
+    AttemptEnded,
+    BackendListUpdate,
+    ClientDisconnected,
     Event,
-    Fail,
-    ListKind,
-    Outcome,
-    Refuse,
-    Result,
-    Send,
-    ServerList,
-    SetTimer,
+    ListUpdateKind,
+    RequestArrived,
     TimerFired,
-    Watch,
 )
-from dunecove.policy.balancer import Balancer
+from dunecove.policy.models import AttemptResult
 from dunecove.proxy.connection_pool import Backends
 from dunecove.proxy.discovery_client import Discovery, Listing, read_listing
 from dunecove.settings import read_settings, read_wire
@@ -104,7 +99,7 @@
         listing = read_listing(orjson.loads(known), self.wire)
         self.backends = Backends(self.wire.connect_timeout_ms, self.wire.conn_idle_ms, 1)
         self.balancer = Balancer(self.settings, self.seed * 100_003 + self.number)
-        self.news: list[ServerList] = []
+        self.news: list[BackendListUpdate] = []
         self.events: list[Event] = []
         self.requests: dict[str, Open] = {}
         self.waking = False
@@ -118,7 +113,7 @@
             memory_mb=MEMORY_MB,
             held=self.backends.targets,
         )
-        self._take(listing, ListKind.SAVED)
+        self._take(listing, ListUpdateKind.CACHED)
         if self.pushed:
             self.discovery.watch()
         if self.rate > 0:
@@ -128,18 +123,18 @@
 
     def on_list(self, listing: Listing) -> None:
         if not self.frozen:
-            self._take(listing, ListKind.FULL if listing.whole else ListKind.CHANGES)
+            self._take(listing, ListUpdateKind.SNAPSHOT if listing.whole else ListUpdateKind.DELTA)
 
-    def _take(self, listing: Listing, kind: ListKind) -> None:
+    def _take(self, listing: Listing, kind: ListUpdateKind) -> None:
         self.backends.update(listing.targets, listing.whole)
-        self.news.append(ServerList(kind, tuple(target.info for target in listing.targets)))
+        self.news.append(BackendListUpdate(kind, tuple(target.info for target in listing.targets)))
         self.account.held.add(self.loop.time(), listing.rev)
         self.wake()
 
     def on_failure(self, reason: str) -> None:
         self.account.counts["failed calls"] += 1
         self.account.counts[f"failed calls: {reason}"] += 1
-        self.news.append(ServerList(ListKind.FAILED))
+        self.news.append(BackendListUpdate(ListUpdateKind.FAILED))
         self.wake()
 
     # Turns
@@ -177,7 +172,7 @@
         self.life += 1
         self.balancer = Balancer(self.settings, self.seed * 100_003 + self.number + self.life)
         entries = self.backends.infos(list(self.backends.targets))
-        self.news, self.events, self.requests = [ServerList(ListKind.SAVED, entries)], [], {}
+        self.news, self.events, self.requests = [BackendListUpdate(ListUpdateKind.CACHED, entries)], [], {}
         self.waking = True
         self.loop.call_later(MODULE_REST_S, self.turn, self.life)
         if self.pushed and self.discovery is not None:
@@ -186,15 +181,15 @@
             self.loop.call_later(self.rng.expovariate(self.rate), self.arrive, self.life)
 
     def carry_out(self, action: Action) -> None:
-        if isinstance(action, Send):
+        if isinstance(action, Forward):
             self.send(action)
         elif isinstance(action, SetTimer):
             self.loop.call_later(action.delay_ms / 1000, self.on_timer, action.token, self.life)
-        elif isinstance(action, Watch) and self.discovery is not None:
+        elif isinstance(action, PollDiscovery) and self.discovery is not None:
             self.discovery.watch()
-        elif isinstance(action, (Refuse, Fail)):
-            self.account.counts["refused" if isinstance(action, Refuse) else "failed"] += 1
-            self._over(action.request)
+        elif isinstance(action, (Reject, Fail)):
+            self.account.counts["refused" if isinstance(action, Reject) else "failed"] += 1
+            self._over(action.request_id)
 
     def on_timer(self, token: int, life: int) -> None:
         if life == self.life:
@@ -209,7 +204,7 @@
         request = f"{self.number}.{self.arrivals}"
         self.requests[request] = Open()
         self.account.counts["requests"] += 1
-        self.tell(Arrival(request, 0, 0, None, self.loop.now_ms() + DEADLINE_MS))
+        self.tell(RequestArrived(request, 0, 0, None, self.loop.now_ms() + DEADLINE_MS))
         self.loop.call_later(DEADLINE_MS / 1000, self._deadline, request, life)
         self.loop.call_later(self.rng.expovariate(self.rate), self.arrive, life)
 
@@ -218,7 +213,7 @@
         if life == self.life and held is not None and not held.over:
             self.account.counts["unanswered"] += 1
             self._over(request)
-            self.tell(ClientGone(request))
+            self.tell(ClientDisconnected(request))
 
     def _over(self, request: str) -> None:
         held = self.requests.get(request)
@@ -227,28 +222,30 @@
             if held.out == 0:
                 del self.requests[request]
 
-    def send(self, action: Send) -> None:
-        held = self.requests.get(action.request)
+    def send(self, action: Forward) -> None:
+        held = self.requests.get(action.request_id)
         if held is None:
             return
         attempt = held.attempts
         held.attempts += 1
         held.out += 1
-        self.check(action.server)
-        result, delay = self.world.serve(action.server, self.region, self.rng)
-        if delay > action.limit_ms:
-            result, delay = Result.TIMEOUT, action.limit_ms
-        self.loop.call_later(delay / 1000, self.on_outcome, action.request, attempt, result, delay, self.life)
+        self.check(action.backend_id)
+        result, delay = self.world.serve(action.backend_id, self.region, self.rng)
+        if delay > action.timeout_ms:
+            result, delay = AttemptResult.TIMEOUT, action.timeout_ms
+        self.loop.call_later(
+            delay / 1000, self.on_outcome, action.request_id, attempt, result, delay, self.life
+        )
 
-    def on_outcome(self, request: str, attempt: int, result: Result, delay: float, life: int) -> None:
+    def on_outcome(self, request: str, attempt: int, result: AttemptResult, delay: float, life: int) -> None:
         held = self.requests.get(request)
         if life != self.life or held is None:
             return
         held.out -= 1
-        if result is Result.OK and not held.over:
+        if result is AttemptResult.OK and not held.over:
             held.over = True
             self.account.counts["served"] += 1
-        self.tell(Outcome(request, attempt, result, delay, held.over))
+        self.tell(AttemptEnded(request, attempt, result, delay, held.over))
         if held.over and held.out == 0:
             del self.requests[request]
 
--- a/scale/fleet/run.py
+++ b/scale/fleet/run.py
@@ -21,8 +21,19 @@
 KILLED_S = 0.5  # s between the end of all proxies and their new start
 SETTLE_S = 6.0  # s that a change may be on its way at the end of the run without counting as missed
 PROGRESS_S = 10.0  # s of real time between two lines of progress
-COUNTS = ("requests", "served", "refused", "failed", "unanswered", "sends", "sends after grace",
-          "sends to gone", "sends to cold", "failed calls", "module exceptions")  # fmt: skip
+COUNTS = (
+    "requests",
+    "served",
+    "refused",
+    "failed",
+    "unanswered",
+    "sends",
+    "sends after grace",
+    "sends to gone",
+    "sends to cold",
+    "failed calls",
+    "module exceptions",
+)
 
 
 class BadPlan(Exception):
--- a/scale/fleet/world.py
+++ b/scale/fleet/world.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from dunecove.policy.api import Result
+from dunecove.policy.models import AttemptResult
 from scale.fleet.clock import VirtualLoop
 from scale.fleet.service import Change, ListService
 
@@ -49,9 +49,16 @@
         return region_of(self.zone)
 
     def change(self) -> Change:
-        entry = {"uid": self.uid, "endpoint": self.endpoint, "az": zone_name(self.zone), "model": "m1",
-                 "pod_group": self.rack, "state": self.state, "capacity_hint": self.weight,
-                 "boot_ms": round(self.boot_ms)}  # fmt: skip
+        entry = {
+            "uid": self.uid,
+            "endpoint": self.endpoint,
+            "az": zone_name(self.zone),
+            "model": "m1",
+            "pod_group": self.rack,
+            "state": self.state,
+            "capacity_hint": self.weight,
+            "boot_ms": round(self.boot_ms),
+        }
         # A copy: what orjson gives holds on to 4 KB, and the service keeps one for each backend.
         return Change(self.uid, bytes(memoryview(orjson.dumps(entry))), self.state == LEFT)
 
@@ -218,16 +225,19 @@
 
     # Requests
 
-    def serve(self, uid: str, region: int, rng: Random) -> tuple[Result, float]:
+    def serve(self, uid: str, region: int, rng: Random) -> tuple[AttemptResult, float]:
         """How an attempt sent now from that region ends, and after how many ms."""
         backend, now = self.all[uid], self.loop.now_ms()
         if not backend.up or (region in self.split) != (backend.region in self.split):
             known = backend.state != ACTIVE  # a machine taken down refuses; one that vanished is silent
-            return Result.CONNECT_FAILED, REFUSED_MS if known and not backend.up else self.rules.connect_ms
+            return (
+                AttemptResult.CONNECT_FAILED,
+                REFUSED_MS if known and not backend.up else self.rules.connect_ms,
+            )
         if backend.state == LEAVING and self.drained_for(uid) > self.rules.drain_grace_ms:
-            return Result.FULL, REFUSED_MS
+            return AttemptResult.REJECTED, REFUSED_MS
         cold = backend.boot_ms > 0 and now < backend.boot_ms + self.rules.cold_ms
-        return Result.OK, rng.expovariate(1 / SERVE_MS) * (COLD_TIMES if cold else 1.0)
+        return AttemptResult.OK, rng.expovariate(1 / SERVE_MS) * (COLD_TIMES if cold else 1.0)
 
     def drained_for(self, uid: str) -> float:
         """ms since the list dropped or drained it; 0 for one that it did not."""
--- a/scale/load.py
+++ b/scale/load.py
@@ -59,8 +59,9 @@
     return {name: of.get_value_at_percentile(percent) / 1000 for name, percent in PERCENTILES.items()}
 
 
-def through_proxy(listen: str, proxies: int, backends: list[str], rate: float, seconds: float,
-                  seed: int) -> dict[str, Any]:  # fmt: skip
+def through_proxy(
+    listen: str, proxies: int, backends: list[str], rate: float, seconds: float, seed: int
+) -> dict[str, Any]:
     known = [made.entry(number, endpoint=address) for number, address in enumerate(backends)]
     info = made.settings(proxies, deadline_ms=DEADLINE_MS)
     with ExitStack() as stack:
@@ -155,8 +156,22 @@
         "a core that it used. direct: the same clients, straight to the backends.",
         "",
     ]
-    head = ["rate/s", "answered", "added p50", "p99", "p99.9", "p99 least", "most", "within", "late p99",
-            "cpu", "kept", "core", "refused", "failed"]  # fmt: skip
+    head = [
+        "rate/s",
+        "answered",
+        "added p50",
+        "p99",
+        "p99.9",
+        "p99 least",
+        "most",
+        "within",
+        "late p99",
+        "cpu",
+        "kept",
+        "core",
+        "refused",
+        "failed",
+    ]
     cells = []
     for row in data["rows"]:
         added = [f"{row['added_ms'][name]:.3f}" for name in PERCENTILES]
@@ -199,15 +214,36 @@
 @click.option("--service-ms", type=click.FloatRange(0, 1000), default=5.0, show_default=True)
 @click.option("--repeats", type=click.IntRange(1), default=5, show_default=True)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--proxies", type=click.IntRange(1), default=1, show_default=True,
-              help="As one of how many the proxy is set up; it runs alone.")  # fmt: skip
-@click.option("--listen", default="127.0.0.1:0", show_default=True, callback=check_address,
-              help="Where the proxy listens.")  # fmt: skip
+@click.option(
+    "--proxies",
+    type=click.IntRange(1),
+    default=1,
+    show_default=True,
+    help="As one of how many the proxy is set up; it runs alone.",
+)
+@click.option(
+    "--listen",
+    default="127.0.0.1:0",
+    show_default=True,
+    callback=check_address,
+    help="Where the proxy listens.",
+)
 @click.option("--json", "json_file", metavar="FILE", help="Save all values, and a histogram for each row.")
 @click.option("--table", "table_file", metavar="FILE", help="Save what is printed.")
 @click.option("--quiet", is_flag=True, help="No progress on standard error.")
-def load(rates: str, seconds: float, backends: int, service_ms: float, repeats: int, seed: int, proxies: int,
-         listen: str, json_file: str | None, table_file: str | None, quiet: bool) -> None:  # fmt: skip
+def load(
+    rates: str,
+    seconds: float,
+    backends: int,
+    service_ms: float,
+    repeats: int,
+    seed: int,
+    proxies: int,
+    listen: str,
+    json_file: str | None,
+    table_file: str | None,
+    quiet: bool,
+) -> None:
     """Send requests through one real proxy to hollow backends, and straight to these."""
     wanted = rates_of(rates)
     for file in (json_file, table_file):
@@ -235,12 +271,19 @@
     rows = [summary(rate, path, found, seconds) for (rate, path), found in runs.items()]
     data = {
         "machine": machine,
-        "arguments": {"rates": wanted, "seconds": seconds, "backends": backends, "service_ms": service_ms,
-                      "repeats": repeats, "seed": seed, "proxies": proxies},
+        "arguments": {
+            "rates": wanted,
+            "seconds": seconds,
+            "backends": backends,
+            "service_ms": service_ms,
+            "repeats": repeats,
+            "seed": seed,
+            "proxies": proxies,
+        },
         "target_rate": TARGET_RATE,
         "rows": rows,
         "verdict": verdict(rows),
-    }  # fmt: skip
+    }
     text = as_text(data)
     click.echo(text, nl=False)
     report.save(table_file, text)
--- a/scale/made.py
+++ b/scale/made.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from dunecove.policy.api import ServerInfo
+from dunecove.policy.models import BackendInfo
 
 ZONES, KINDS = 11, 4
 LONG_MS = 60000  # a deadline beyond any run
@@ -43,10 +43,10 @@
     return orjson.dumps(listing(rev, [entry(number) for number in range(count)]))
 
 
-def infos(count: int, weight: float = 1.0) -> tuple[ServerInfo, ...]:
+def infos(count: int, weight: float = 1.0) -> tuple[BackendInfo, ...]:
     """The same list as the module is told it."""
     return tuple(
-        ServerInfo(uid(n), zone=n % ZONES, kind=n % KINDS, cell=n % 97, weight=weight) for n in range(count)
+        BackendInfo(uid(n), zone=n % ZONES, kind=n % KINDS, cell=n % 97, weight=weight) for n in range(count)
     )
 
 
--- a/scale/messages.py
+++ b/scale/messages.py
@@ -7,20 +7,18 @@
 from itertools import count
 from random import Random
 
-from dunecove.policy.api import (
-    Arrival,
+from dunecove.policy.actions import Forward, SendGossip, SetTimer
+from dunecove.policy.balancer import Balancer
+from dunecove.policy.events import (
+    AttemptEnded,
+    BackendListUpdate,
     Event,
-    ListKind,
-    Outcome,
-    PeerSaid,
-    Result,
-    Send,
-    ServerList,
-    SetTimer,
-    Tell,
+    GossipReceived,
+    ListUpdateKind,
+    RequestArrived,
     TimerFired,
 )
-from dunecove.policy.balancer import Balancer
+from dunecove.policy.models import AttemptResult
 from dunecove.settings import read_settings
 from scale import made
 from scale.measures import Plan, Series, Values, measure
@@ -51,30 +49,34 @@
     due: list[tuple[float, int, int, Event]] = []
     end = GOOD_MS + BAD_MS
     for me in range(size):
-        heappush(due, (0.0, next(order), me, ServerList(ListKind.FULL, made.infos(BACKENDS))))
+        heappush(
+            due, (0.0, next(order), me, BackendListUpdate(ListUpdateKind.SNAPSHOT, made.infos(BACKENDS)))
+        )
         at = 1 + rng.random() * EACH_MS
         while at < end:
-            heappush(due, (at, next(order), me, Arrival(f"r{me}-{at:.3f}", 0, 0, None, at + 1000)))
+            heappush(due, (at, next(order), me, RequestArrived(f"r{me}-{at:.3f}", 0, 0, None, at + 1000)))
             at += EACH_MS
     told = octets = 0
     sent: dict[str, int] = {}
     while due and due[0][0] < end:
         now, _, me, event = heappop(due)
         for action in modules[me].step(now, [event]):
-            if isinstance(action, Send):
-                attempt = sent.get(action.request, 0)
-                sent[action.request] = attempt + 1
-                bad = action.server == BAD and now >= GOOD_MS
-                result, delay = (Result.CONNECT_FAILED, REFUSED_MS) if bad else (Result.OK, ANSWER_MS)
-                outcome = Outcome(action.request, attempt, result, delay, not bad)
+            if isinstance(action, Forward):
+                attempt = sent.get(action.request_id, 0)
+                sent[action.request_id] = attempt + 1
+                bad = action.backend_id == BAD and now >= GOOD_MS
+                result, delay = (
+                    (AttemptResult.CONNECT_FAILED, REFUSED_MS) if bad else (AttemptResult.OK, ANSWER_MS)
+                )
+                outcome = AttemptEnded(action.request_id, attempt, result, delay, not bad)
                 heappush(due, (now + delay, next(order), me, outcome))
             elif isinstance(action, SetTimer):
                 heappush(due, (now + action.delay_ms, next(order), me, TimerFired(action.token)))
-            elif isinstance(action, Tell):
-                told, octets = told + 1, octets + len(action.data)
+            elif isinstance(action, SendGossip):
+                told, octets = told + 1, octets + len(action.payload)
                 for peer in range(size):
                     if peer != me:
-                        heappush(due, (now + WAY_MS, next(order), peer, PeerSaid(me, action.data)))
+                        heappush(due, (now + WAY_MS, next(order), peer, GossipReceived(me, action.payload)))
     return {
         "tells": float(told),
         "datagrams": float(told * (size - 1)),
--- a/scale/module.py
+++ b/scale/module.py
@@ -5,9 +5,11 @@
 from collections import deque
 from itertools import count
 
-from dunecove.policy.api import Arrival, ListKind, Outcome, Result, Send, ServerInfo, ServerList, ServerState
-from dunecove.policy.api import TimerFired as Beat
+from dunecove.policy.actions import Forward
 from dunecove.policy.balancer import Balancer
+from dunecove.policy.events import AttemptEnded, BackendListUpdate, ListUpdateKind, RequestArrived
+from dunecove.policy.events import TimerFired as Beat
+from dunecove.policy.models import AttemptResult, BackendInfo, BackendState
 from dunecove.settings import read_settings
 from scale import made
 from scale.measures import Plan, Series, Trouble, Values, measure, spent_ms
@@ -22,7 +24,7 @@
 def balancer(plan: Plan, size: int, proxies: int = 0) -> Balancer:
     """One that holds a list of `size` backends."""
     made_one = Balancer(read_settings(made.settings(proxies or plan.proxies, deadline_ms=1000)), plan.seed)
-    made_one.step(START, [ServerList(ListKind.FULL, made.infos(size))])
+    made_one.step(START, [BackendListUpdate(ListUpdateKind.SNAPSHOT, made.infos(size))])
     return made_one
 
 
@@ -34,7 +36,7 @@
 )
 def whole_list(plan: Plan, size: int) -> Values:
     fresh = Balancer(read_settings(made.settings(plan.proxies)), plan.seed)
-    event = ServerList(ListKind.FULL, made.infos(size))
+    event = BackendListUpdate(ListUpdateKind.SNAPSHOT, made.infos(size))
     first = spent_ms(lambda: fresh.step(START, [event]))
     return {"list-first": first, "list-again": spent_ms(lambda: fresh.step(START + 1, [event]))}
 
@@ -43,9 +45,9 @@
 def change(plan: Plan, size: int) -> Values:
     module = balancer(plan, size)
     events = [
-        ServerList(
-            ListKind.CHANGES,
-            (ServerInfo(made.uid(n), ServerState.DRAINING), ServerInfo(made.uid(size + n))),
+        BackendListUpdate(
+            ListUpdateKind.DELTA,
+            (BackendInfo(made.uid(n), BackendState.DRAINING), BackendInfo(made.uid(size + n))),
         )
         for n in range(CHANGES)
     ]
@@ -71,7 +73,7 @@
 )
 def weights(plan: Plan, size: int) -> Values:
     module = balancer(plan, size)
-    event = ServerList(ListKind.CHANGES, made.infos(size, 1.25))
+    event = BackendListUpdate(ListUpdateKind.DELTA, made.infos(size, 1.25))
     return {"weights": spent_ms(lambda: module.step(START + 1, [event]))}
 
 
@@ -82,11 +84,11 @@
         nonlocal now
         now += 200  # one at a time, so that no limit holds it back
         name = f"r{next(number)}"
-        actions = module.step(now, [Arrival(name, 0, 0, None, now + 1000)])
-        if not any(isinstance(action, Send) for action in actions):
+        actions = module.step(now, [RequestArrived(name, 0, 0, None, now + 1000)])
+        if not any(isinstance(action, Forward) for action in actions):
             raise Trouble("the module holds a lone request back")
         now += 20
-        module.step(now, [Outcome(name, 0, Result.OK, 20.0, True)])
+        module.step(now, [AttemptEnded(name, 0, AttemptResult.OK, 20.0, True)])
 
     for warm in range(min(requests, 50)):
         one(warm)
--- a/scale/process.py
+++ b/scale/process.py
@@ -70,8 +70,15 @@
         size = max(map(len, answers))
         note(f"{name}: a list in {len(answers)} answers of up to {size:,} bytes was not taken: {refused}")
         return values
-    found = (resident, take - rest * 1000 * SETTLE_S, rest * 1000, spent / CHANGES, gap, change_gap,
-             (asked - rest) * REST_S * 1e6 / max(asks, 1))  # fmt: skip
+    found = (
+        resident,
+        take - rest * 1000 * SETTLE_S,
+        rest * 1000,
+        spent / CHANGES,
+        gap,
+        change_gap,
+        (asked - rest) * REST_S * 1e6 / max(asks, 1),
+    )
     return dict(zip(values, found, strict=True))
 
 
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -47,8 +47,9 @@
     return found
 
 
-def run_all(chosen: list[Measure], at: dict[str, tuple[int, ...]], proxies: int, repeats: int, seed: int,
-            quiet: bool) -> dict[str, list[dict[int, Values]]]:  # fmt: skip
+def run_all(
+    chosen: list[Measure], at: dict[str, tuple[int, ...]], proxies: int, repeats: int, seed: int, quiet: bool
+) -> dict[str, list[dict[int, Values]]]:
     """Repeat by repeat, so that a spell of other work on the machine falls on all of them alike."""
     found: dict[str, list[dict[int, Values]]] = {measure.name: [] for measure in chosen}
     for repeat in range(repeats):
@@ -106,8 +107,18 @@
         if not rows:
             continue
         sizes = list(rows[0]["values"])
-        head = [f"per {axis}", "unit", *(f"at {int(size):,}" for size in sizes),
-                "slope", "min", "max", "sd", "intercept", "R2", "off"]  # fmt: skip
+        head = [
+            f"per {axis}",
+            "unit",
+            *(f"at {int(size):,}" for size in sizes),
+            "slope",
+            "min",
+            "max",
+            "sd",
+            "intercept",
+            "R2",
+            "off",
+        ]
         cells = []
         for row in rows:
             middles = [middle(row["values"][size]) for size in sizes]
@@ -130,16 +141,29 @@
 @click.command()
 @click.option("--what", multiple=True, metavar="NAME", help="Only this measurement; may be given again.")
 @click.option("--sizes", default="1000,10000,150000", show_default=True, help="Numbers of backends.")
-@click.option("--counts", multiple=True, metavar="NAME=N,N",
-              help=f"Sizes of something else: {', '.join(list(AXES)[1:])}.")  # fmt: skip
+@click.option(
+    "--counts",
+    multiple=True,
+    metavar="NAME=N,N",
+    help=f"Sizes of something else: {', '.join(list(AXES)[1:])}.",
+)
 @click.option("--proxies", type=click.IntRange(1), default=3400, show_default=True, help="In the whole tier.")
 @click.option("--repeats", type=click.IntRange(1), default=5, show_default=True)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--json", "json_file", metavar="FILE", help="Save all values and fits.")
 @click.option("--table", "table_file", metavar="FILE", help="Save what is printed.")
 @click.option("--quiet", is_flag=True, help="No progress on standard error.")
-def slopes(what: tuple[str, ...], sizes: str, counts: tuple[str, ...], proxies: int, repeats: int, seed: int,
-           json_file: str | None, table_file: str | None, quiet: bool) -> None:  # fmt: skip
+def slopes(
+    what: tuple[str, ...],
+    sizes: str,
+    counts: tuple[str, ...],
+    proxies: int,
+    repeats: int,
+    seed: int,
+    json_file: str | None,
+    table_file: str | None,
+    quiet: bool,
+) -> None:
     """Measure what each thing costs at several sizes, and fit a line through it."""
     unknown = [name for name in what if name not in MEASURES]
     if unknown:
@@ -153,8 +177,13 @@
     found = run_all(chosen, at, proxies, repeats, seed, quiet)
     data = {
         "machine": machine,
-        "arguments": {"what": [measure.name for measure in chosen], "proxies": proxies, "repeats": repeats,
-                      "seed": seed, "sizes": {measure.axis: at[measure.axis] for measure in chosen}},
+        "arguments": {
+            "what": [measure.name for measure in chosen],
+            "proxies": proxies,
+            "repeats": repeats,
+            "seed": seed,
+            "sizes": {measure.axis: at[measure.axis] for measure in chosen},
+        },
         "series": [
             summary(series, measure.axis, at[measure.axis], found[measure.name])
             for measure in chosen
@@ -162,7 +191,7 @@
         ],
         "notes": list(NOTES),
         "not_measured": ABSENT,
-    }  # fmt: skip
+    }
     text = as_text(data)
     click.echo(text, nl=False)
     report.save(table_file, text)
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any, cast
 
-from dunecove.policy.api import Effect
+from dunecove.policy.models import Idempotency
 from soak.http import Message, Stream
 from soak.proxies import ProxyProcess
 from soak.records import BadClient, Journal, Lane, Request
@@ -256,7 +256,7 @@
 
 
 def encode(request: Request, lane: Lane) -> bytes:
-    method = "GET" if lane.effect is Effect.SAFE else "POST"
+    method = "GET" if lane.effect is Idempotency.IDEMPOTENT else "POST"
     lines = [
         f"{method} /{lane.name} HTTP/1.1",
         "Host: backend.local",
@@ -264,7 +264,7 @@
         "X-Caller: all",
         f"X-Budget-Ms: {int(request.budget_s * 1000)}",
     ]
-    if lane.effect is Effect.KEYED:
+    if lane.effect is Idempotency.KEYED:
         lines.append(f"Idempotency-Key: k{request.id}")
     if method == "POST":
         lines.append("Content-Length: 0")
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -8,7 +8,7 @@
 from math import sqrt
 from typing import NamedTuple
 
-from dunecove.policy.api import Effect
+from dunecove.policy.models import Idempotency
 from soak.records import Attempt, Journal, Life, Ran, Request
 
 ANSWER_GRACE_S = 0.5  # after a request's time: later, or never, it is lost
@@ -91,14 +91,14 @@
     ran = [attempt for attempt in attempts if attempt.ran is not Ran.REJECTED]
     for again in attempts[attempts.index(ran[0]) + 1 :] if ran else []:
         text = f"at {again.backend}, {again.last_byte - ran[0].last_byte:.3f} s after {ran[0].backend}"
-        if lane.effect is Effect.UNSAFE:
+        if lane.effect is Idempotency.NON_IDEMPOTENT:
             yield Breach(Rule.DUPLICATE, request.id, text)
-        elif lane.effect is Effect.KEYED:
+        elif lane.effect is Idempotency.KEYED:
             if again.cell != ran[0].cell:
                 yield Breach(Rule.DUPLICATE, request.id, text)
             if again.last_byte - ran[0].last_byte > lane.window_s + SOCKET_SLACK_S + journal.lag_s:
                 yield Breach(Rule.WINDOW, request.id, text)
-    if request.status in REFUSALS and lane.effect is not Effect.SAFE and ran:
+    if request.status in REFUSALS and lane.effect is not Idempotency.IDEMPOTENT and ran:
         yield Breach(Rule.REFUSED_AFTER_RUN, request.id, f"{request.status}")
 
 
@@ -123,10 +123,13 @@
     """When a process counts as told of a drain, by what was written to it or by what could be reached."""
     proxy, change = life.proxy, journal.drains[backend]
     written = [
-        told.at for told in journal.told
-        if told.proxy == proxy and told.at >= life.started and backend in told.drains
+        told.at
+        for told in journal.told
+        if told.proxy == proxy
+        and told.at >= life.started
+        and backend in told.drains
         and (life.ended is None or told.at <= life.ended)
-    ]  # fmt: skip
+    ]
     times = [min(written)] if written else []
     for begin, end in journal.agents[proxy].spans:
         start = max(change, begin, life.started)
--- a/soak/records.py
+++ b/soak/records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from dunecove.policy.api import Effect
+from dunecove.policy.models import Idempotency
 
 
 class Ran(Enum):
@@ -96,7 +96,7 @@
     """A class of requests, as the settings of the run name it."""
 
     name: str
-    effect: Effect
+    effect: Idempotency
     aim_s: float
     deadline_s: float
     window_s: float = 0.0  # keyed: how long the backends of one cell drop repeats
--- a/soak/run.py
+++ b/soak/run.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any
 
-from dunecove.policy.api import Effect
+from dunecove.policy.models import Idempotency
 from soak.backends import Backend, Mix
 from soak.clients import Clients, Habits
 from soak.discovery import ProxyAgent, Registry
@@ -23,11 +23,15 @@
 from soak.troubles import Kind, Trouble, draw_environment, draw_troubles
 
 LANES = (
-    Lane("ficha", Effect.SAFE, 0.4, 1.2),
-    Lane("cargo", Effect.UNSAFE, 0.6, 1.6),
-    Lane("cuota", Effect.KEYED, 0.8, 2.0, 1.0),
+    Lane("ficha", Idempotency.IDEMPOTENT, 0.4, 1.2),
+    Lane("cargo", Idempotency.NON_IDEMPOTENT, 0.6, 1.6),
+    Lane("cuota", Idempotency.KEYED, 0.8, 2.0, 1.0),
 )
-EFFECTS = {Effect.SAFE: "read_like", Effect.UNSAFE: "non_idempotent", Effect.KEYED: "idempotency_key"}
+EFFECTS = {
+    Idempotency.IDEMPOTENT: "read_like",
+    Idempotency.NON_IDEMPOTENT: "non_idempotent",
+    Idempotency.KEYED: "idempotency_key",
+}
 DRAIN_GRACE_S = 2.5
 COLD_S, START_PART, FALL_MULTIPLE, FALL_S = 6.0, 0.16, 3.0, 1.0
 CONNECT_TIMEOUT_MS, CONN_IDLE_MS = 250, 4000
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -21,8 +21,15 @@
 from dunecove.proxy.listener import Frontend
 
 LIMIT_S = 60.0  # far beyond what any test needs; only a hang comes near it
-PURCHASE = {"Name": "purchase", "AimMs": 20000, "HardLimitMs": 30000, "Effect": "idempotency_key",
-            "KeyScope": "cell", "KeyTtlMs": 10000, "Points": 12}  # fmt: skip
+PURCHASE = {
+    "Name": "purchase",
+    "AimMs": 20000,
+    "HardLimitMs": 30000,
+    "Effect": "idempotency_key",
+    "KeyScope": "cell",
+    "KeyTtlMs": 10000,
+    "Points": 12,
+}
 ANSWER = {"Name": "answer", "AimMs": 20000, "HardLimitMs": 30000, "Effect": "non_idempotent", "Points": 12}
 LOOKUP = {"Name": "lookup", "AimMs": 20000, "HardLimitMs": 30000, "Effect": "read_like", "Points": 12}
 
@@ -158,8 +165,16 @@
 
 
 def target(uid: str, address: str, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
-    return {"uid": uid, "endpoint": address, "az": "a", "model": "m", "pod_group": 1, "state": state,
-            "capacity_hint": 1.0, "boot_ms": boot_ms}  # fmt: skip
+    return {
+        "uid": uid,
+        "endpoint": address,
+        "az": "a",
+        "model": "m",
+        "pod_group": 1,
+        "state": state,
+        "capacity_hint": 1.0,
+        "boot_ms": boot_ms,
+    }
 
 
 def listing(rev: int, *targets: dict[str, Any], whole: bool = True) -> dict[str, Any]:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -6,44 +6,37 @@
 
 import pytest
 
-from dunecove.policy.api import (
-    Arrival,
-    Fail,
-    Outcome,
-    Refuse,
-    RequestClass,
-    Result,
-    Send,
-    ServerInfo,
-    Settings,
-)
+from dunecove.policy.actions import Fail, Forward, Reject
 from dunecove.policy.balancer import Balancer, Endpoint, Server
+from dunecove.policy.events import AttemptEnded, RequestArrived
+from dunecove.policy.models import AttemptResult, BackendInfo
+from dunecove.policy.settings import RequestClass, Settings
 from tests.support import Driver, fleet, of, settings
 
 
 def test_nothing_waits_beside_an_idle_ready_server() -> None:
     driver = Driver(settings(), *fleet(1))
     driver.arrive()
-    assert [s.server for s in of(Send, driver.last)] == ["10.0.0.0:80"]
+    assert [s.backend_id for s in of(Forward, driver.last)] == ["10.0.0.0:80"]
 
 
 def test_gate_holds_beyond_the_limit_and_a_freed_slot_takes_the_head() -> None:
-    driver = Driver(settings(proxies=4), *fleet(1))
+    driver = Driver(settings(proxy_count=4), *fleet(1))
     first, second, third = driver.arrive(), driver.arrive(), driver.arrive()
     assert list(driver.sends) == [first]
-    assert [s.request for s in of(Send, driver.end(first))] == [second]
+    assert [s.request_id for s in of(Forward, driver.end(first))] == [second]
     assert third not in driver.sends
 
 
 def test_slot_goes_to_the_head_that_waited_the_largest_part_of_its_aim() -> None:
     classes = (RequestClass(1000.0, 3000.0), RequestClass(200.0, 3000.0))
-    driver = Driver(settings(*classes, proxies=4), *fleet(1))
+    driver = Driver(settings(*classes, proxy_count=4), *fleet(1))
     first = driver.arrive(0)
     driver.now += 5
     older = driver.arrive(0, wait=3000)
     driver.now += 10
     pressed = driver.arrive(1, wait=3000)
-    assert [s.request for s in of(Send, driver.end(first))] == [pressed]
+    assert [s.request_id for s in of(Forward, driver.end(first))] == [pressed]
     assert older not in driver.sends
 
 
@@ -78,13 +71,13 @@
     assert server.payoff == pytest.approx(0.55)
     driver.end(driver.arrive(), after=301)
     assert server.payoff == pytest.approx(0.495)
-    driver.end(driver.arrive(), Result.ERROR)
+    driver.end(driver.arrive(), AttemptResult.ERROR)
     assert server.payoff == pytest.approx(0.4455)
 
 
 def stuck(*classes: RequestClass, **more: Any) -> Driver:
     """One request at the only server, one held that can wait for long."""
-    driver = Driver(settings(*classes, proxies=4, **more), *fleet(1))
+    driver = Driver(settings(*classes, proxy_count=4, **more), *fleet(1))
     driver.arrive(0)
     driver.arrive(0, wait=100_000)
     return driver
@@ -124,27 +117,27 @@
 
 
 def test_levels_come_from_worth_and_share() -> None:
-    classes = tuple(RequestClass(300.0, 900.0, worth=w) for w in (12.0, 7.0, 4.0, 1.0))
-    balancer = Balancer(settings(*classes, quotas=(2.0,), over_share_worth=0.05, proxies=2), 1)
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (12.0, 7.0, 4.0, 1.0))
+    balancer = Balancer(settings(*classes, tenant_quotas=(2.0,), over_quota_weight=0.05, proxy_count=2), 1)
     assert [balancer.level_of(0.0, c, 5) for c in classes] == [1, 2, 3, 4]
     assert [balancer.level_of(1.0, classes[0], 0) for _ in range(3)] == [1, 4, 4]
     assert balancer.level_of(2001.0, classes[0], 0) == 1  # a second's quota has come in
 
 
-@pytest.mark.parametrize(("cls", "answer"), [(0, None), (1, None), (3, Refuse)])
+@pytest.mark.parametrize(("cls", "answer"), [(0, None), (1, None), (3, Reject)])
 def test_under_the_flag_only_low_levels_are_refused(cls: int, answer: type | None) -> None:
-    classes = tuple(RequestClass(300.0, 900.0, worth=w) for w in (12.0, 7.0, 4.0, 1.0))
-    driver = stuck(*classes, retry_after=True, max_retry_after_ms=500)
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (12.0, 7.0, 4.0, 1.0))
+    driver = stuck(*classes, sends_retry_after=True, max_retry_after_ms=500)
     driver.now += 160  # stuck longer than a window
     driver.arrive(cls)
-    refused = of(Refuse, driver.last)
-    assert bool(refused) == (answer is Refuse)
+    refused = of(Reject, driver.last)
+    assert bool(refused) == (answer is Reject)
     if refused:
         assert 0 < refused[0].retry_after_ms <= 500
 
 
 def test_level_three_is_refused_less_readily_than_four() -> None:
-    classes = tuple(RequestClass(300.0, 900.0, worth=w) for w in (12.0, 4.0, 1.0))
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (12.0, 4.0, 1.0))
     counts = {}
     for cls in (1, 2):
         driver = stuck(*classes)
@@ -152,12 +145,12 @@
         for _ in range(9):
             driver.now += 20
             endpoint.note_send(driver.now, 1.5 * 0.08 * 300)
-        counts[cls] = sum(bool(of(Refuse, driver.last)) for _ in range(20) if driver.arrive(cls))
+        counts[cls] = sum(bool(of(Reject, driver.last)) for _ in range(20) if driver.arrive(cls))
     assert counts == {1: 0, 2: 20}
 
 
 def test_half_the_best_worth_is_shed_under_a_long_wait_and_the_best_is_not() -> None:
-    classes = tuple(RequestClass(300.0, 900.0, worth=w) for w in (10.0, 5.0))
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (10.0, 5.0))
     counts = {}
     for cls in (0, 1):
         driver = stuck(*classes)
@@ -165,52 +158,58 @@
         for _ in range(9):
             driver.now += 20
             endpoint.note_send(driver.now, 6.5 * 0.08 * 300)
-        counts[cls] = sum(bool(of(Refuse, driver.last)) for _ in range(20) if driver.arrive(cls))
+        counts[cls] = sum(bool(of(Reject, driver.last)) for _ in range(20) if driver.arrive(cls))
     assert counts == {0: 0, 1: 20}
 
 
 def test_the_flag_is_per_endpoint() -> None:
-    classes = (RequestClass(300.0, 900.0, worth=12.0), RequestClass(500.0, 900.0, worth=1.0))
+    classes = (
+        RequestClass(300.0, 900.0, priority_weight=12.0),
+        RequestClass(500.0, 900.0, priority_weight=1.0),
+    )
     driver = stuck(*classes)
     driver.now += 160
     driver.arrive(1)
-    assert not of(Refuse, driver.last)
+    assert not of(Reject, driver.last)
 
 
 def test_a_request_that_cannot_be_useful_is_failed_while_held() -> None:
-    driver = Driver(settings(proxies=4), *fleet(1))
+    driver = Driver(settings(proxy_count=4), *fleet(1))
     driver.arrive()
     held = driver.arrive()
-    assert [f.request for f in of(Fail, driver.beats(325))] == [held]
+    assert [f.request_id for f in of(Fail, driver.beats(325))] == [held]
 
 
 def test_a_request_never_sent_is_given_up_before_half_its_wait() -> None:
     # Told later, its client has no time for another try, and nothing was ever done for it.
-    driver = Driver(settings(RequestClass(5000.0, 9000.0), proxies=4), *fleet(1))
+    driver = Driver(settings(RequestClass(5000.0, 9000.0), proxy_count=4), *fleet(1))
     driver.arrive(wait=1000)
     held = driver.arrive(wait=1000)
     assert not of(Fail, driver.beats(400))
-    assert [f.request for f in of(Fail, driver.beats(75))] == [held]
+    assert [f.request_id for f in of(Fail, driver.beats(75))] == [held]
 
 
 def test_level_four_is_let_in_beside_an_empty_buffer_unless_the_flag_keeps_returning() -> None:
-    classes = (RequestClass(300.0, 900.0, worth=12.0), RequestClass(300.0, 900.0, worth=1.0))
+    classes = (
+        RequestClass(300.0, 900.0, priority_weight=12.0),
+        RequestClass(300.0, 900.0, priority_weight=1.0),
+    )
     for release, refused in ((0.5, False), (4.0, True)):
         driver = Driver(settings(*classes), *fleet(40))
         driver.balancer.endpoints[0].flagged_at = driver.now
         driver.balancer.endpoints[0].release = release
         driver.arrive(1)
-        assert bool(of(Refuse, driver.last)) is refused
+        assert bool(of(Reject, driver.last)) is refused
 
 
 def test_a_late_answer_is_waited_for_only_without_overload() -> None:
-    spec = RequestClass(300.0, 1000.0, late_worth=0.3)
-    driver = Driver(settings(spec, proxies=4), *fleet(1))
+    spec = RequestClass(300.0, 1000.0, late_weight=0.3)
+    driver = Driver(settings(spec, proxy_count=4), *fleet(1))
     first, held = driver.arrive(), driver.arrive()
     driver.balancer.endpoints[0].excess = lambda now: 0.0  # type: ignore[method-assign]
     assert not of(Fail, driver.beats(400))
     driver.balancer.endpoints[0].excess = lambda now: 2.0  # type: ignore[method-assign]
-    assert [f.request for f in of(Fail, driver.beats(75))] == [held]
+    assert [f.request_id for f in of(Fail, driver.beats(75))] == [held]
     assert first in driver.sends
 
 
@@ -243,7 +242,7 @@
 
 
 def test_limits_below_one_add_up_to_a_limit_on_all_in_flight() -> None:
-    driver = Driver(settings(proxies=4), *fleet(8))
+    driver = Driver(settings(proxy_count=4), *fleet(8))
     for server in driver.balancer.active:
         server.limit = 0.25
     for _ in range(8):
@@ -254,7 +253,7 @@
 
 
 def test_servers_that_hang_do_not_use_up_the_sum_of_limits() -> None:
-    driver = Driver(settings(proxies=4), *fleet(8))
+    driver = Driver(settings(proxy_count=4), *fleet(8))
     for _ in range(20):
         driver.end(driver.arrive(), after=20)
     for server in driver.balancer.active:
@@ -279,8 +278,8 @@
     driver = Driver(settings(), *fleet(1))
     request = driver.arrive()
     driver.end(request)
-    assert driver.step(Outcome(request, 0, Result.OK, 1.0, True)) == []
-    assert driver.step(Outcome("nobody", 3, Result.OK, 1.0, True)) == []
+    assert driver.step(AttemptEnded(request, 0, AttemptResult.OK, 1.0, True)) == []
+    assert driver.step(AttemptEnded("nobody", 3, AttemptResult.OK, 1.0, True)) == []
 
 
 @pytest.mark.parametrize(
@@ -288,22 +287,41 @@
     [
         {"classes": ()},
         {"classes": (RequestClass(-1.0, 100.0),)},
-        {"classes": (RequestClass(1.0, 100.0, worth=-1.0),)},
-        {"classes": (RequestClass(1.0, 100.0, worth=0.0),)},
-        {"classes": (RequestClass(1.0, 100.0, effect="odd"),)},  # type: ignore[arg-type]
-        {"classes": (RequestClass(1.0, 100.0, scope="odd"),)},  # type: ignore[arg-type]
+        {"classes": (RequestClass(1.0, 100.0, priority_weight=-1.0),)},
+        {"classes": (RequestClass(1.0, 100.0, priority_weight=0.0),)},
+        {"classes": (RequestClass(1.0, 100.0, idempotency="odd"),)},  # type: ignore[arg-type]
+        {"classes": (RequestClass(1.0, 100.0, dedup_scope="odd"),)},  # type: ignore[arg-type]
         {"classes": (RequestClass(1.0, float("nan")),)},
     ],
 )
 def test_impossible_classes_are_named(bad: dict[str, object]) -> None:
-    with pytest.raises(ValueError, match="^(class 0: (aim|deadline|worth|effect|scope)|classes|worth)"):
+    with pytest.raises(
+        ValueError,
+        match="^(class 0: (latency_objective|deadline|priority_weight|idempotency|dedup_scope)"
+        "|classes|priority_weight)",
+    ):
         Balancer(Settings(**bad), 1)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
     ("name", "value"),
-    [(n, 0) for n in ("proxies", "most_attempts", "zones", "tick_ms", "must_ask_ms", "fall_ms")]
-    + [("quotas", (1.0, -1.0)), ("cold_ms", -1.0), ("fall_multiple", float("inf")), ("me", -1)],
+    [
+        (n, 0)
+        for n in (
+            "proxy_count",
+            "max_attempts",
+            "zone_count",
+            "step_interval_ms",
+            "max_poll_interval_ms",
+            "slow_start_window_ms",
+        )
+    ]
+    + [
+        ("tenant_quotas", (1.0, -1.0)),
+        ("slow_start_ms", -1.0),
+        ("slow_start_overload_factor", float("inf")),
+        ("proxy_index", -1),
+    ],
 )
 def test_impossible_settings_are_named(name: str, value: object) -> None:
     with pytest.raises(ValueError, match=f"^{name} must"):
@@ -313,7 +331,7 @@
 def test_where_keys_are_warm_every_proxy_draws_the_same_two_servers_for_a_key() -> None:
     used: dict[int, set[str]] = {}
     for seed in range(6):
-        driver = Driver(settings(warm_keys=True), *fleet(9), seed=seed)
+        driver = Driver(settings(key_affinity=True), *fleet(9), seed=seed)
         for key in range(20):
             request = driver.arrive(key=key)
             used.setdefault(key, set()).update(driver.sends[request])
@@ -324,7 +342,7 @@
 
 def test_all_limits_are_cut_when_answers_of_all_servers_take_much_of_the_aim() -> None:
     """Two answers of each server say nothing of it alone; twenty servers together say enough."""
-    driver = Driver(settings(proxies=4), *fleet(20))
+    driver = Driver(settings(proxy_count=4), *fleet(20))
     servers = driver.balancer.active
     before = sum(s.limit for s in servers)
     for _ in range(80):
@@ -334,12 +352,14 @@
 
 
 def test_a_proxy_with_more_than_its_part_of_traffic_does_not_judge_everyone_beyond_their_share() -> None:
-    config = settings(quotas=(40.0, 10.0, 10.0, 10.0), over_share_worth=0.05, proxies=4, zones=2)
+    config = settings(
+        tenant_quotas=(40.0, 10.0, 10.0, 10.0), over_quota_weight=0.05, proxy_count=4, zone_count=2
+    )
     driver = Driver(config, *fleet(9))
     for second in range(12):  # this proxy gets half of all traffic; tenant 0 asks for three times its share
         for slot in range(80):
             tenant = 0 if slot < 60 else 1 + slot % 3
-            driver.step(Arrival(f"{second}.{slot}", 0, tenant, None, driver.now + 900))
+            driver.step(RequestArrived(f"{second}.{slot}", 0, tenant, None, driver.now + 900))
             driver.beat(after=12.5)
     balancer, spec = driver.balancer, config.classes[0]
     assert balancer.part > 0.4
@@ -350,16 +370,16 @@
 
 
 def test_in_a_flood_of_all_tenants_the_part_is_at_most_a_zone() -> None:
-    config = settings(quotas=(10.0, 10.0, 10.0), over_share_worth=0.05, proxies=4, zones=3)
+    config = settings(tenant_quotas=(10.0, 10.0, 10.0), over_quota_weight=0.05, proxy_count=4, zone_count=3)
     driver = Driver(config, *fleet(9))
     for count in range(800):
-        driver.step(Arrival(f"{count}", 0, count % 3, None, driver.now + 900))
+        driver.step(RequestArrived(f"{count}", 0, count % 3, None, driver.now + 900))
         driver.beat(after=10)
     assert driver.balancer.part == pytest.approx(1 / 3)
 
 
 def test_without_other_tenants_to_compare_the_part_is_one_in_n() -> None:
-    driver = Driver(settings(quotas=(10.0,), over_share_worth=0.05, proxies=4), *fleet(9))
+    driver = Driver(settings(tenant_quotas=(10.0,), over_quota_weight=0.05, proxy_count=4), *fleet(9))
     for _ in range(200):
         driver.arrive()
         driver.beat()
@@ -367,14 +387,17 @@
 
 
 def test_level_four_comes_back_by_degrees_after_the_flag() -> None:
-    classes = (RequestClass(300.0, 900.0, worth=12.0), RequestClass(300.0, 900.0, worth=1.0))
+    classes = (
+        RequestClass(300.0, 900.0, priority_weight=12.0),
+        RequestClass(300.0, 900.0, priority_weight=1.0),
+    )
     refused = []
     for since in (1.0, 600.0, 1201.0):
         driver = Driver(settings(*classes), *fleet(40))
         driver.balancer.endpoints[0].flagged_at = driver.now
         driver.balancer.endpoints[0].release = 4.0
         driver.now += since
-        refused.append(sum(bool(of(Refuse, driver.last)) for _ in range(40) if driver.arrive(1)))
+        refused.append(sum(bool(of(Reject, driver.last)) for _ in range(40) if driver.arrive(1)))
     assert refused[0] >= 38 and 8 < refused[1] < 32 and refused[2] == 0
 
 
@@ -396,13 +419,13 @@
 
 def test_a_repeat_past_the_aim_of_its_first_try_is_not_sent() -> None:
     for late_worth, sent in ((0.0, False), (0.3, True)):
-        driver = Driver(settings(RequestClass(300.0, 1000.0, late_worth=late_worth)), *fleet(2))
+        driver = Driver(settings(RequestClass(300.0, 1000.0, late_weight=late_worth)), *fleet(2))
         driver.end(driver.arrive(wait=1000))
         driver.arrive(wait=690)  # its client has waited 310 ms already
-        assert bool(of(Send, driver.last)) is sent
+        assert bool(of(Forward, driver.last)) is sent
         assert bool(of(Fail, driver.last)) is not sent
         driver.arrive(wait=900)
-        assert of(Send, driver.last)
+        assert of(Forward, driver.last)
 
 
 def test_clients_that_come_with_less_time_are_no_repeats_unless_some_were_turned_away() -> None:
@@ -425,7 +448,7 @@
     slow = 0
     for _ in range(n):
         request = f"h{next(driver.ids)}"
-        driver.step(Arrival(request, 0, 0, None, driver.now + 900, False, work))
+        driver.step(RequestArrived(request, 0, 0, None, driver.now + 900, False, work))
         kind = kinds[driver.sends[request][0]]
         slow += kind
         driver.end(request, after=30.0, delay=(min(work, 30.0) or 30.0) * (1 + kind))
@@ -435,15 +458,15 @@
 def learn_paces(driver: Driver, kinds: dict[str, int]) -> None:
     for _ in range(200):
         request = f"l{next(driver.ids)}"
-        driver.step(Arrival(request, 0, 0, None, driver.now + 900, False, 20.0))
+        driver.step(RequestArrived(request, 0, 0, None, driver.now + 900, False, 20.0))
         driver.end(request, after=30.0, delay=20.0 + 20.0 * kinds[driver.sends[request][0]])
 
 
 @pytest.mark.parametrize("proxies", [3, 40])
 def test_work_too_large_for_a_slow_kind_goes_to_a_fast_one(proxies: int) -> None:
-    servers = [ServerInfo(f"10.0.0.{i}:80", kind=i % 2) for i in range(12)]
-    kinds = {s.server: s.kind for s in servers}
-    driver = Driver(settings(RequestClass(300.0, 900.0), proxies=proxies), *servers)
+    servers = [BackendInfo(f"10.0.0.{i}:80", kind=i % 2) for i in range(12)]
+    kinds = {s.backend_id: s.kind for s in servers}
+    driver = Driver(settings(RequestClass(300.0, 900.0), proxy_count=proxies), *servers)
     learn_paces(driver, kinds)
     assert heavy_sends(driver, kinds, 20.0) > 0.2  # short work is done in time by either kind
     assert heavy_sends(driver, kinds, 90.0) == 0.0
@@ -452,15 +475,15 @@
 
 
 def test_a_few_fast_servers_do_not_get_all_the_large_work() -> None:
-    servers = [ServerInfo(f"10.0.0.{i}:80", kind=min(i, 1)) for i in range(12)]
-    kinds = {s.server: s.kind for s in servers}
+    servers = [BackendInfo(f"10.0.0.{i}:80", kind=min(i, 1)) for i in range(12)]
+    kinds = {s.backend_id: s.kind for s in servers}
     driver = Driver(settings(RequestClass(300.0, 900.0)), *servers)
     learn_paces(driver, kinds)
     assert heavy_sends(driver, kinds, 90.0) > 0.5
 
 
 def test_work_that_is_late_even_on_the_fastest_kind_is_of_a_lower_level() -> None:
-    classes = tuple(RequestClass(300.0, 900.0, worth=w) for w in (10.0, 5.0))
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (10.0, 5.0))
     balancer = Balancer(settings(*classes), 1)
 
     def levels(work: float) -> list[int]:
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -6,14 +6,17 @@
 
 import pytest
 
-from dunecove.policy.api import Arrival, ListKind, Refuse, RequestClass, Result, ServerInfo, ServerList
+from dunecove.policy.actions import Reject
+from dunecove.policy.events import BackendListUpdate, ListUpdateKind, RequestArrived
+from dunecove.policy.models import AttemptResult, BackendInfo
+from dunecove.policy.settings import RequestClass
 from tests.support import Driver, fleet, of, settings
 
-MANY = {"proxies": 300, "zones": 2}
+MANY = {"proxy_count": 300, "zone_count": 2}
 
 
-def zones(n: int) -> list[ServerInfo]:
-    return [ServerInfo(f"10.0.{i % 2}.{i}:80", zone=i % 2) for i in range(n)]
+def zones(n: int) -> list[BackendInfo]:
+    return [BackendInfo(f"10.0.{i % 2}.{i}:80", zone=i % 2) for i in range(n)]
 
 
 def used(driver: Driver) -> set[str]:
@@ -31,13 +34,18 @@
 
 
 def test_a_zone_that_returns_cold_gets_its_part_from_proxies_of_other_zones_too() -> None:
-    cold = {"start_capacity": 0.16, "cold_ms": 24_000.0, "fall_multiple": 3.0, "fall_ms": 1000.0}
-    driver = Driver(settings(proxies=40, zones=2, zone=0, **cold), *zones(16))
+    cold = {
+        "slow_start_capacity": 0.16,
+        "slow_start_ms": 24_000.0,
+        "slow_start_overload_factor": 3.0,
+        "slow_start_window_ms": 1000.0,
+    }
+    driver = Driver(settings(proxy_count=40, zone_count=2, zone=0, **cold), *zones(16))
     for _ in range(200):
         driver.end(driver.arrive(), after=10.0, delay=50.0)
         driver.beat(after=40.0)
-    back = [s._replace(started=driver.now) for s in zones(16) if s.zone == 1]
-    driver.step(ServerList(ListKind.CHANGES, tuple(back)))
+    back = [s._replace(started_at=driver.now) for s in zones(16) if s.zone == 1]
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(back)))
     driver.sends.clear()
     for _ in range(200):
         driver.end(driver.arrive(), after=10.0, delay=50.0)
@@ -49,7 +57,7 @@
 def test_the_few_are_spread_evenly_over_the_proxies() -> None:
     counts: Counter[str] = Counter()
     for me in range(100):
-        driver = Driver(settings(me=me, **MANY), *fleet(20))
+        driver = Driver(settings(proxy_index=me, **MANY), *fleet(20))
         counts.update(s.id for s in driver.balancer.near)
     assert len(counts) == 20 and max(counts.values()) < 1.5 * 40 and min(counts.values()) > 40 / 1.5
 
@@ -57,13 +65,13 @@
 def test_the_few_stay_as_they_are_when_another_server_leaves() -> None:
     driver = Driver(settings(**MANY), *fleet(20))
     before = [s.id for s in driver.balancer.near]
-    left = [s for s in fleet(20) if s.server != before[0]]
-    driver.step(ServerList(ListKind.FULL, tuple(left)))
+    left = [s for s in fleet(20) if s.backend_id != before[0]]
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(left)))
     assert len({s.id for s in driver.balancer.near} & set(before)) == len(before) - 1
 
 
 def test_another_zone_serves_when_the_own_one_fails() -> None:
-    driver = Driver(settings(proxies=8, zones=2), *zones(8))
+    driver = Driver(settings(proxy_count=8, zone_count=2), *zones(8))
     first: list[str] = []
     for _ in range(100):
         request = driver.arrive()
@@ -71,15 +79,15 @@
         for attempt in range(4):
             if len(driver.sends[request]) > attempt:
                 near = driver.sends[request][attempt].split(".")[2] == "0"
-                driver.end(request, Result.CONNECT_FAILED if near else Result.OK, after=1.0)
+                driver.end(request, AttemptResult.CONNECT_FAILED if near else AttemptResult.OK, after=1.0)
         driver.beats(100)
     assert sum(s.split(".")[2] == "1" for s in first[60:]) > 15
 
 
 def test_one_failure_of_a_server_seldom_used_is_remembered() -> None:
-    driver = Driver(settings(proxies=8), *fleet(2))
+    driver = Driver(settings(proxy_count=8), *fleet(2))
     bad = driver.sends[driver.arrive()][0]
-    driver.end("r0", Result.ERROR, done=True)
+    driver.end("r0", AttemptResult.ERROR, done=True)
     for _ in range(10):
         driver.end(driver.arrive())
         driver.beats(200)
@@ -95,13 +103,15 @@
         there = driver.sends[request][0] == bad
         sends += there
         fails = there and sends % 3 != 0
-        driver.end(request, Result.ERROR if fails else Result.OK, after=10.0, done=True, delay=40.0)
+        driver.end(
+            request, AttemptResult.ERROR if fails else AttemptResult.OK, after=10.0, done=True, delay=40.0
+        )
         driver.beat(after=30.0)
     return sends
 
 
 def test_a_server_that_fails_often_but_seldom_in_a_row_rests_while_others_take_its_place() -> None:
-    driver = Driver(settings(proxies=40), *fleet(30))
+    driver = Driver(settings(proxy_count=40), *fleet(30))
     bad = driver.balancer.near[0]
     assert sends_to_one_that_fails(driver, bad.id, 250) <= 12  # an even share would be 20
     assert bad.rest_ms > 1000.0  # and a success between two failures does not start its rests anew
@@ -119,7 +129,7 @@
 
 
 def test_the_limit_on_all_in_flight_falls_when_answers_come_late_and_rises_again() -> None:
-    driver = Driver(settings(RequestClass(300.0, 5000.0, late_worth=0.5), **MANY), *fleet(40))
+    driver = Driver(settings(RequestClass(300.0, 5000.0, late_weight=0.5), **MANY), *fleet(40))
     crowd(driver, 20, 50.0)
     calm = driver.balancer.allow
     crowd(driver, 20, 290.0)
@@ -130,7 +140,7 @@
 
 def test_work_of_uneven_size_is_not_taken_for_crowding() -> None:
     """A first answer of 5 ms made the usual ones, ten times as long, look late: the limit fell to nothing."""
-    driver = Driver(settings(RequestClass(1000.0, 5000.0), proxies=40, zones=2), *fleet(20))
+    driver = Driver(settings(RequestClass(1000.0, 5000.0), proxy_count=40, zone_count=2), *fleet(20))
     crowd(driver, 1, 5.0)
     calm = driver.balancer.allow
     for _ in range(40):
@@ -155,8 +165,8 @@
 
 
 def test_larger_servers_are_drawn_more_often() -> None:
-    servers = [ServerInfo(f"10.0.0.{i}:80", weight=3.0 if i % 2 else 1.0) for i in range(6)]
-    driver = Driver(settings(proxies=8), *servers)
+    servers = [BackendInfo(f"10.0.0.{i}:80", weight=3.0 if i % 2 else 1.0) for i in range(6)]
+    driver = Driver(settings(proxy_count=8), *servers)
     for _ in range(400):
         driver.end(driver.arrive(), after=30.0)
         driver.beat()
@@ -167,10 +177,19 @@
 @pytest.mark.parametrize("proxies", [50, 400])
 def test_cold_budgets_of_many_proxies_do_not_come_due_together(proxies: int) -> None:
     """All hear of a new server at once; a first request of each at the same time would push it over."""
-    cold = {"start_capacity": 0.12, "cold_ms": 20_000.0, "fall_multiple": 2.5, "fall_ms": 2000.0}
+    cold = {
+        "slow_start_capacity": 0.12,
+        "slow_start_ms": 20_000.0,
+        "slow_start_overload_factor": 2.5,
+        "slow_start_window_ms": 2000.0,
+    }
     times = []
     for me in range(proxies):
-        driver = Driver(settings(proxies=proxies, me=me, **cold), ServerInfo("new:1", started=990.0), seed=me)
+        driver = Driver(
+            settings(proxy_count=proxies, proxy_index=me, **cold),
+            BackendInfo("new:1", started_at=990.0),
+            seed=me,
+        )
         for _ in range(80):
             if driver.sends:
                 times.append(driver.now)
@@ -181,7 +200,7 @@
 
 
 def test_chance_is_no_excess_of_a_tenant_that_a_proxy_sees_little_of() -> None:
-    driver = Driver(settings(quotas=(300.0,), over_share_worth=0.1, proxies=300), *fleet(9))
+    driver = Driver(settings(tenant_quotas=(300.0,), over_quota_weight=0.1, proxy_count=300), *fleet(9))
     balancer = driver.balancer
     driver.now += 10_000
     levels = [balancer.level_of(driver.now, balancer.settings.classes[0], 0) for _ in range(8)]
@@ -189,16 +208,18 @@
 
 
 def test_an_empty_list_at_the_start_is_survived() -> None:
-    driver = Driver(settings(RequestClass(300.0, 900.0), RequestClass(300.0, 900.0, worth=0.1), **MANY))
+    driver = Driver(
+        settings(RequestClass(300.0, 900.0), RequestClass(300.0, 900.0, priority_weight=0.1), **MANY)
+    )
     driver.arrive(1)
-    driver.step(ServerList(ListKind.FULL, tuple(fleet(40))))
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(40))))
     driver.beats(100)
     assert driver.sends[driver.arrive()]
 
 
 def ask(driver: Driver, work: float, cls: int = 0) -> str:
     name = f"w{next(driver.ids)}"
-    driver.last = driver.step(Arrival(name, cls, 0, None, driver.now + 2000.0, False, work))
+    driver.last = driver.step(RequestArrived(name, cls, 0, None, driver.now + 2000.0, False, work))
     return name
 
 
@@ -213,7 +234,7 @@
     for _ in range(n):
         request = ask(driver, work)
         if request in driver.sends:
-            driver.end(request, Result.TIMEOUT, after=300.0, done=True)
+            driver.end(request, AttemptResult.TIMEOUT, after=300.0, done=True)
         driver.beats(2000)
 
 
@@ -221,14 +242,17 @@
 def test_of_many_time_outs_work_that_will_be_late_is_refused_first(worth: float, level: int) -> None:
     """A sparse proxy's buffer is empty while servers all proxies share are full: work that none of them
     could finish in time went on being sent, and kept others from finishing."""
-    classes = (RequestClass(300.0, 2000.0, worth=worth), RequestClass(300.0, 2000.0, worth=10.0))
+    classes = (
+        RequestClass(300.0, 2000.0, priority_weight=worth),
+        RequestClass(300.0, 2000.0, priority_weight=10.0),
+    )
     driver = Driver(settings(*classes, **MANY), *fleet(40))
     answers(driver, 20, 10.0, 2.0)
     assert driver.balancer.level_of(driver.now, classes[0], 0, 400.0) == level
     assert ask(driver, 400.0) in driver.sends  # no overload: why not try
     time_outs(driver, 8, 10.0)
     late = ask(driver, 400.0)
-    assert late not in driver.sends and of(Refuse, driver.last)
+    assert late not in driver.sends and of(Reject, driver.last)
     assert ask(driver, 10.0) in driver.sends
 
 
@@ -260,17 +284,18 @@
 def test_what_takes_most_of_its_aim_on_the_fastest_kind_is_taken_for_late_by_one_of_many_only() -> None:
     spec = RequestClass(300.0, 2000.0)
     for proxies, level in ((300, 4), (3, 1)):
-        driver = Driver(settings(spec, proxies=proxies), *fleet(40))
+        driver = Driver(settings(spec, proxy_count=proxies), *fleet(40))
         answers(driver, 60, 40.0, 1.0)
         assert driver.balancer.level_of(driver.now, spec, 0, 220.0) == level
         assert driver.balancer.level_of(driver.now, spec, 0, 120.0) == 1
 
 
 @pytest.mark.parametrize(
-    ("result", "delay", "times"), [(Result.TIMEOUT, 650.0, 1), (Result.CONNECT_FAILED, 150.0, 2)]
+    ("result", "delay", "times"),
+    [(AttemptResult.TIMEOUT, 650.0, 1), (AttemptResult.CONNECT_FAILED, 150.0, 2)],
 )
 def test_a_server_that_hangs_does_not_use_up_the_limit_on_all_in_flight(
-    result: Result, delay: float, times: int
+    result: AttemptResult, delay: float, times: int
 ) -> None:
     """Time spent on a silent one was counted as load: the next half second waited beside idle servers."""
     driver = Driver(settings(RequestClass(900.0, 5000.0), **MANY), *fleet(40))
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -12,13 +12,15 @@
 
 from dunecove.__main__ import Config, start
 from dunecove.adapter import Host
-from dunecove.policy.api import ListKind, PeerSaid, Result, ServerList, Tell
+from dunecove.policy.actions import SendGossip
+from dunecove.policy.events import BackendListUpdate, GossipReceived, ListUpdateKind
+from dunecove.policy.models import AttemptResult
 from dunecove.proxy.gossip import Peers, Tier
 from dunecove.settings import Malformed
 from tests.loopback import configuration, run
 from tests.support import Driver, fleet, of, settings
 
-TOLD: dict[str, Any] = {"proxies": 40, "may_tell": True}
+TOLD: dict[str, Any] = {"proxy_count": 40, "may_gossip": True}
 
 
 def bound() -> tuple[socket.socket, str]:
@@ -80,10 +82,10 @@
             return []
 
         monkeypatch.setattr(engine.balancer, "step", step)
-        engine._carry_out(Tell(b"\x01abcd"))
+        engine._carry_out(SendGossip(b"\x01abcd"))
         assert other.recv(512) == b"\x01abcd"
         other.sendto(b"\x01efgh", address_of(engine.peers))
-        while PeerSaid(0, b"\x01efgh") not in seen:
+        while GossipReceived(0, b"\x01efgh") not in seen:
             await asyncio.sleep(0.001)
         await frontend.finish(0.0)
         engine.close()
@@ -97,7 +99,7 @@
         where = "203.0.113.1:1"
         engine, frontend = start(with_peers(tmp_path, peer_listen=where, peers=[where], peers_all=where))
         assert engine.peers is None and frontend.address
-        engine._carry_out(Tell(b"\x01"))
+        engine._carry_out(SendGossip(b"\x01"))
         await frontend.finish(0.0)
         engine.close()
 
@@ -111,20 +113,20 @@
         with_peers(tmp_path, **(good | bad))
 
 
-def fail_at(driver: Driver, result: Result) -> tuple[str, list[Tell]]:
+def fail_at(driver: Driver, result: AttemptResult) -> tuple[str, list[SendGossip]]:
     request = driver.arrive()
-    return driver.sends[request][0], of(Tell, driver.end(request, result, done=True))
+    return driver.sends[request][0], of(SendGossip, driver.end(request, result, done=True))
 
 
 def test_a_failure_is_told_and_one_that_may_be_load_is_not() -> None:
     driver = Driver(settings(**TOLD), *fleet(30))
-    name, (tell,) = fail_at(driver, Result.ERROR)
-    assert tell.data == b"\x01" + driver.balancer.servers[name].hash.to_bytes(4, "big")
-    for result in (Result.OK, Result.TIMEOUT, Result.FULL):
+    name, (tell,) = fail_at(driver, AttemptResult.ERROR)
+    assert tell.payload == b"\x01" + driver.balancer.servers[name].hash.to_bytes(4, "big")
+    for result in (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.REJECTED):
         assert fail_at(driver, result)[1] == []
-    alone = Driver(settings(proxies=3, may_tell=True), *fleet(30))
-    forbidden = Driver(settings(proxies=40), *fleet(30))
-    assert fail_at(alone, Result.ERROR)[1] == fail_at(forbidden, Result.ERROR)[1] == []
+    alone = Driver(settings(proxy_count=3, may_gossip=True), *fleet(30))
+    forbidden = Driver(settings(proxy_count=40), *fleet(30))
+    assert fail_at(alone, AttemptResult.ERROR)[1] == fail_at(forbidden, AttemptResult.ERROR)[1] == []
 
 
 @pytest.mark.parametrize(
@@ -137,7 +139,7 @@
     driver = Driver(settings(**TOLD), *fleet(30))
     server = driver.balancer.near[0]
     for teller in tellers:
-        driver.step(PeerSaid(teller, b"\x01" + server.hash.to_bytes(4, "big")), after=apart)
+        driver.step(GossipReceived(teller, b"\x01" + server.hash.to_bytes(4, "big")), after=apart)
     assert (not server.room(driver.now)) == ejected
     driver.beats(2000)  # longer than its first rest may last
     assert server.room(driver.now)
@@ -147,26 +149,31 @@
     driver = Driver(settings(**TOLD), *fleet(10))
     data = b"\x01" + b"".join(s.hash.to_bytes(4, "big") for s in driver.balancer.active)
     for teller in (1, 2, 3):
-        driver.step(PeerSaid(teller, data))
+        driver.step(GossipReceived(teller, data))
     assert sum(s.room(driver.now) for s in driver.balancer.active) == 5
 
 
 def test_messages_that_say_nothing_to_this_proxy_are_passed_over() -> None:
-    driver = Driver(settings(me=4, **TOLD), *fleet(30))
+    driver = Driver(settings(proxy_index=4, **TOLD), *fleet(30))
     gone = driver.balancer.near[0].hash.to_bytes(4, "big")
-    own = PeerSaid(4, b"\x01" + driver.balancer.near[1].hash.to_bytes(4, "big"))
+    own = GossipReceived(4, b"\x01" + driver.balancer.near[1].hash.to_bytes(4, "big"))
     driver.step(
-        ServerList(ListKind.FULL, tuple(s for s in fleet(30) if s.server != driver.balancer.near[0].id))
+        BackendListUpdate(
+            ListUpdateKind.SNAPSHOT, tuple(s for s in fleet(30) if s.backend_id != driver.balancer.near[0].id)
+        )
     )
     for data in (b"", b"\x01", b"\x01abc", b"\x01abcd", b"\x02" + gone, b"\x01" + gone):
         for teller in (1, 2, 3):
-            driver.step(PeerSaid(teller, data), own)
+            driver.step(GossipReceived(teller, data), own)
     assert all(s.room(driver.now) for s in driver.balancer.active)
 
 
 def test_the_wire_of_the_simulator_carries_messages_both_ways() -> None:
-    info = {"Lanes": [{"AimMs": 300, "HardLimitMs": 900, "Effect": "read_like"}], "Balancers": 40,
-            "Limits": {"Peers": True}}  # fmt: skip
+    info = {
+        "Lanes": [{"AimMs": 300, "HardLimitMs": 900, "Effect": "read_like"}],
+        "Balancers": 40,
+        "Limits": {"Peers": True},
+    }
     host = Host()
 
     def batch(now: float, *news: dict[str, Any]) -> list[dict[str, Any]]:
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -9,50 +9,77 @@
 from hypothesis import strategies as st
 
 from dunecove.policy import balancer as balancer_module
-from dunecove.policy.api import (
-    NEVER_RAN,
-    Action,
-    Arrival,
-    Cancel,
-    ClientGone,
-    Effect,
+from dunecove.policy.actions import Action, CancelAttempt, Fail, Forward, Reject, SendHealthCheck, SetTimer
+from dunecove.policy.balancer import Balancer
+from dunecove.policy.events import (
+    AttemptEnded,
+    BackendListUpdate,
+    ClientDisconnected,
     Event,
-    Fail,
-    ListKind,
-    Outcome,
-    Probe,
-    Refuse,
-    RequestClass,
-    Result,
-    Scope,
-    Send,
-    ServerInfo,
-    ServerList,
-    ServerState,
-    SetTimer,
-    Settings,
+    ListUpdateKind,
+    RequestArrived,
     TimerFired,
 )
-from dunecove.policy.balancer import Balancer
+from dunecove.policy.models import (
+    NEVER_EXECUTED,
+    AttemptResult,
+    BackendInfo,
+    BackendState,
+    DeduplicationScope,
+    Idempotency,
+)
+from dunecove.policy.settings import RequestClass, Settings
 
 CLASSES = (
-    RequestClass(300.0, 900.0, worth=3.0),
-    RequestClass(300.0, 900.0, Effect.UNSAFE, worth=1.0),
-    RequestClass(200.0, 900.0, Effect.KEYED, Scope.ALL, 250.0, late_worth=0.5),
-    RequestClass(200.0, 900.0, Effect.KEYED, Scope.CELL, 150.0, worth=0.5),
-    RequestClass(500.0, 900.0, Effect.KEYED, Scope.ZONE, 400.0, worth=2.0),
+    RequestClass(300.0, 900.0, priority_weight=3.0),
+    RequestClass(300.0, 900.0, Idempotency.NON_IDEMPOTENT, priority_weight=1.0),
+    RequestClass(200.0, 900.0, Idempotency.KEYED, DeduplicationScope.ALL, 250.0, late_weight=0.5),
+    RequestClass(200.0, 900.0, Idempotency.KEYED, DeduplicationScope.CELL, 150.0, priority_weight=0.5),
+    RequestClass(500.0, 900.0, Idempotency.KEYED, DeduplicationScope.ZONE, 400.0, priority_weight=2.0),
 )
 CONFIGS = (
-    Settings(CLASSES, proxies=3, may_cancel=True, most_attempts=4, tick_ms=5.0),
-    Settings(CLASSES, quotas=(5.0, 2.0), over_share_worth=0.1, most_attempts=2, ask_for_list=True),
-    Settings(CLASSES, proxies=2, may_cancel=True, may_duplicate=True, may_probe=True, most_attempts=6,
-             retry_after=True, max_retry_after_ms=500.0, warm_keys=True, start_capacity=0.1,
-             cold_ms=5000.0, tick_ms=5.0),
-    Settings(CLASSES, proxies=300, me=17, zones=2, quotas=(5.0, 0.0), over_share_worth=0.1, may_cancel=True,
-             most_attempts=3, ask_for_list=True, start_capacity=0.1, cold_ms=5000.0, tick_ms=5.0),
-    Settings(CLASSES, proxies=8, me=3, zone=1, zones=2, most_attempts=5, retry_after=True,
-             max_retry_after_ms=500.0, tick_ms=2.0),
-)  # fmt: skip
+    Settings(CLASSES, proxy_count=3, may_cancel=True, max_attempts=4, step_interval_ms=5.0),
+    Settings(CLASSES, tenant_quotas=(5.0, 2.0), over_quota_weight=0.1, max_attempts=2, polls_discovery=True),
+    Settings(
+        CLASSES,
+        proxy_count=2,
+        may_cancel=True,
+        may_hedge=True,
+        may_health_check=True,
+        max_attempts=6,
+        sends_retry_after=True,
+        max_retry_after_ms=500.0,
+        key_affinity=True,
+        slow_start_capacity=0.1,
+        slow_start_ms=5000.0,
+        step_interval_ms=5.0,
+    ),
+    Settings(
+        CLASSES,
+        proxy_count=300,
+        proxy_index=17,
+        zone_count=2,
+        tenant_quotas=(5.0, 0.0),
+        over_quota_weight=0.1,
+        may_cancel=True,
+        max_attempts=3,
+        polls_discovery=True,
+        slow_start_capacity=0.1,
+        slow_start_ms=5000.0,
+        step_interval_ms=5.0,
+    ),
+    Settings(
+        CLASSES,
+        proxy_count=8,
+        proxy_index=3,
+        zone=1,
+        zone_count=2,
+        max_attempts=5,
+        sends_retry_after=True,
+        max_retry_after_ms=500.0,
+        step_interval_ms=2.0,
+    ),
+)
 NAMES = [f"s{i}" for i in range(6)]
 
 
@@ -61,8 +88,8 @@
     server: str
     at: float
     limit: float
-    home: ServerInfo  # where it was listed when this was sent: that group has seen the key
-    result: Result | None = None
+    home: BackendInfo  # where it was listed when this was sent: that group has seen the key
+    result: AttemptResult | None = None
     cancelled: bool = False
 
 
@@ -80,7 +107,7 @@
     def __init__(self, config: Settings, seed: int) -> None:
         self.config, self.balancer, self.now = config, Balancer(config, seed), 0.0
         self.asked: dict[str, Asked] = {}
-        self.listed: dict[str, ServerInfo] = {}
+        self.listed: dict[str, BackendInfo] = {}
         self.timers: list[float] = []
 
     def step(self, events: list[Event]) -> None:
@@ -93,54 +120,57 @@
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.timers.append(self.now + action.delay_ms)
-        elif isinstance(action, Send):
+        elif isinstance(action, Forward):
             self.check_send(action)
-        elif isinstance(action, (Fail, Refuse)):
-            request = self.asked[action.request]
+        elif isinstance(action, (Fail, Reject)):
+            request = self.asked[action.request_id]
             assert not request.over, "answered twice"
             request.over = True
-            if isinstance(action, Refuse):
-                assert not self.may_have_run(request) or CLASSES[request.cls].effect is Effect.SAFE
+            if isinstance(action, Reject):
+                assert (
+                    not self.may_have_run(request)
+                    or CLASSES[request.cls].idempotency is Idempotency.IDEMPOTENT
+                )
                 assert action.retry_after_ms <= self.config.max_retry_after_ms
-        elif isinstance(action, Cancel):
+        elif isinstance(action, CancelAttempt):
             assert self.config.may_cancel
-            attempt = self.asked[action.request].attempts[action.attempt]
+            attempt = self.asked[action.request_id].attempts[action.attempt_index]
             attempt.cancelled = True
-        elif isinstance(action, Probe):
-            assert self.config.may_probe
+        elif isinstance(action, SendHealthCheck):
+            assert self.config.may_health_check
 
     def may_have_run(self, request: Asked) -> list[Sent]:
-        return [a for a in request.attempts if a.result not in NEVER_RAN]
+        return [a for a in request.attempts if a.result not in NEVER_EXECUTED]
 
-    def check_send(self, action: Send) -> None:
-        request = self.asked[action.request]
+    def check_send(self, action: Forward) -> None:
+        request = self.asked[action.request_id]
         spec = CLASSES[request.cls]
         assert not request.over, "sent after its end"
-        entry = self.listed[action.server]
-        assert entry.state is ServerState.ACTIVE, "sent to a server that drains or is gone"
-        assert len(request.attempts) < self.config.most_attempts
+        entry = self.listed[action.backend_id]
+        assert entry.state is BackendState.ACTIVE, "sent to a server that drains or is gone"
+        assert len(request.attempts) < self.config.max_attempts
         ran = self.may_have_run(request)
-        if not self.config.may_duplicate:
+        if not self.config.may_hedge:
             assert all(a.result is not None for a in request.attempts), "two attempts at once"
-        if ran and spec.effect is Effect.UNSAFE:
+        if ran and spec.idempotency is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("unsafe sent again")
-        if ran and spec.effect is Effect.KEYED:
-            assert self.now <= ran[0].at + spec.window_ms, "repeat outside the window"
+        if ran and spec.idempotency is Idempotency.KEYED:
+            assert self.now <= ran[0].at + spec.dedup_window_ms, "repeat outside the window"
             home = ran[0].home
-            assert spec.scope is not Scope.CELL or entry.cell == home.cell
-            assert spec.scope is not Scope.ZONE or entry.zone == home.zone
-        assert action.limit_ms > 0
-        request.attempts.append(Sent(action.server, self.now, action.limit_ms, entry))
-
-    def relist(self, kind: ListKind, entries: list[ServerInfo]) -> None:
-        if kind is ListKind.FAILED:
-            self.step([ServerList(kind)])
+            assert spec.dedup_scope is not DeduplicationScope.CELL or entry.cell == home.cell
+            assert spec.dedup_scope is not DeduplicationScope.ZONE or entry.zone == home.zone
+        assert action.timeout_ms > 0
+        request.attempts.append(Sent(action.backend_id, self.now, action.timeout_ms, entry))
+
+    def relist(self, kind: ListUpdateKind, entries: list[BackendInfo]) -> None:
+        if kind is ListUpdateKind.FAILED:
+            self.step([BackendListUpdate(kind)])
             return
-        if kind not in (ListKind.CHANGES, ListKind.MORE):
+        if kind not in (ListUpdateKind.DELTA, ListUpdateKind.CACHED_CONTINUED):
             self.listed = {}
         for entry in entries:
-            self.listed[entry.server] = entry
-        self.step([ServerList(kind, tuple(entries))])
+            self.listed[entry.backend_id] = entry
+        self.step([BackendListUpdate(kind, tuple(entries))])
 
     def due(self) -> list[Event]:
         """Timers that have run out and attempts that have reached their limit or their client's time."""
@@ -152,36 +182,36 @@
             for number, attempt in enumerate(request.attempts):
                 end = min(attempt.at + attempt.limit, request.give_up)
                 if attempt.result is None and attempt.cancelled:
-                    events.append(self.end(name, number, Result.CANCELLED))
+                    events.append(self.end(name, number, AttemptResult.CANCELLED))
                 elif attempt.result is None and self.now >= end:
-                    events.append(self.end(name, number, Result.TIMEOUT))
+                    events.append(self.end(name, number, AttemptResult.TIMEOUT))
         return events
 
-    def end(self, name: str, number: int, result: Result) -> Outcome:
+    def end(self, name: str, number: int, result: AttemptResult) -> AttemptEnded:
         request = self.asked[name]
         attempt = request.attempts[number]
         attempt.result = result
-        if result is Result.OK:
+        if result is AttemptResult.OK:
             request.over = True
-        return Outcome(name, number, result, self.now - attempt.at, request.over)
+        return AttemptEnded(name, number, result, self.now - attempt.at, request.over)
 
 
 ENTRY = st.builds(
-    ServerInfo,
-    server=st.sampled_from(NAMES),
-    state=st.sampled_from([ServerState.ACTIVE] * 4 + [ServerState.DRAINING, ServerState.GONE]),
+    BackendInfo,
+    backend_id=st.sampled_from(NAMES),
+    state=st.sampled_from([BackendState.ACTIVE] * 4 + [BackendState.DRAINING, BackendState.REMOVED]),
     zone=st.integers(0, 1),
     kind=st.integers(0, 1),
     cell=st.integers(0, 1),
-    started=st.sampled_from([None, None, 1.0, 400.0]),
+    started_at=st.sampled_from([None, None, 1.0, 400.0]),
 )
 MOVE = st.one_of(
     st.tuples(st.just("arrive"), st.integers(0, 4), st.sampled_from([0.0, 3.0, 150.0, 400.0, 900.0])),
     st.tuples(st.just("arrive"), st.integers(0, 4), st.just(900.0)),
     st.tuples(st.just("pass"), st.sampled_from([5.0, 20.0, 60.0, 200.0]), st.just(0)),
-    st.tuples(st.just("end"), st.integers(0, 30), st.sampled_from(list(Result))),
+    st.tuples(st.just("end"), st.integers(0, 30), st.sampled_from(list(AttemptResult))),
     st.tuples(st.just("leave"), st.integers(0, 30), st.booleans()),
-    st.tuples(st.just("list"), st.sampled_from(list(ListKind)), st.lists(ENTRY, max_size=5)),
+    st.tuples(st.just("list"), st.sampled_from(list(ListUpdateKind)), st.lists(ENTRY, max_size=5)),
 )
 
 
@@ -193,7 +223,7 @@
     st.lists(MOVE, min_size=10, max_size=70),
 )
 def test_rules_hold_for_arbitrary_events(
-    config: Settings, seed: int, first: list[ServerInfo], moves: list[tuple[str, object, object]]
+    config: Settings, seed: int, first: list[BackendInfo], moves: list[tuple[str, object, object]]
 ) -> None:
     play(config, seed, first, moves)
 
@@ -206,30 +236,30 @@
     st.lists(MOVE, min_size=10, max_size=70),
 )
 def test_rules_hold_when_most_servers_are_beyond_the_kept(
-    config: Settings, seed: int, first: list[ServerInfo], moves: list[tuple[str, object, object]]
+    config: Settings, seed: int, first: list[BackendInfo], moves: list[tuple[str, object, object]]
 ) -> None:
     with patch.multiple(balancer_module, RESERVE=1, RESERVE_SLACK=1, NEAR=1, LOAD_STEP=1, GROUP=1):
         play(config, seed, first, moves)
 
 
 def play(
-    config: Settings, seed: int, first: list[ServerInfo], moves: list[tuple[str, object, object]]
+    config: Settings, seed: int, first: list[BackendInfo], moves: list[tuple[str, object, object]]
 ) -> None:
     oracle = Oracle(config, seed)
-    oracle.relist(ListKind.SAVED, [e for e in first if e.state is not ServerState.GONE])
+    oracle.relist(ListUpdateKind.CACHED, [e for e in first if e.state is not BackendState.REMOVED])
     for count, (what, a, b) in enumerate(moves):
         if what == "arrive":
             assert isinstance(a, int) and isinstance(b, float)
             name = f"r{count}"
             oracle.asked[name] = Asked(a, oracle.now + b + (0.001 if b else 0))
-            oracle.step([Arrival(name, a, count % 3, count % 4, oracle.asked[name].give_up)])
+            oracle.step([RequestArrived(name, a, count % 3, count % 4, oracle.asked[name].give_up)])
         elif what == "pass":
             assert isinstance(a, float)
             for _ in range(int(a / 5)):
                 oracle.now += 5
                 oracle.step(oracle.due())
         elif what == "list":
-            assert isinstance(a, ListKind) and isinstance(b, list)
+            assert isinstance(a, ListUpdateKind) and isinstance(b, list)
             oracle.relist(a, b)
         else:
             assert isinstance(a, int)
@@ -241,11 +271,11 @@
             if what == "leave":
                 if not request.over:
                     request.over = True
-                    oracle.step([ClientGone(name)] * (2 if b else 1))
+                    oracle.step([ClientDisconnected(name)] * (2 if b else 1))
                 continue
-            assert isinstance(b, Result)
+            assert isinstance(b, AttemptResult)
             waiting = [n for n, x in enumerate(request.attempts) if x.result is None]
-            if waiting and (b is not Result.CANCELLED or request.attempts[waiting[0]].cancelled):
+            if waiting and (b is not AttemptResult.CANCELLED or request.attempts[waiting[0]].cancelled):
                 oracle.step([oracle.end(name, waiting[0], b)])
     for _ in range(500):  # all that is left comes to its end
         oracle.now += 5
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -7,18 +7,10 @@
 
 import pytest
 
-from dunecove.policy.api import (
-    Action,
-    ListKind,
-    Outcome,
-    RequestClass,
-    Result,
-    Send,
-    ServerList,
-    ServerState,
-    ServiceMoved,
-    Watch,
-)
+from dunecove.policy.actions import Action, Forward, PollDiscovery
+from dunecove.policy.events import AttemptEnded, BackendListUpdate, DiscoveryMoved, ListUpdateKind
+from dunecove.policy.models import AttemptResult, BackendState
+from dunecove.policy.settings import RequestClass
 from tests.support import Driver, fleet, of, settings
 
 RECOVERY_MS = 12_000  # stated in docs/on-call.md: the longest rest (8 s and a quarter), then its trial
@@ -30,13 +22,16 @@
     """Feeds one arrival each step and answers each send as told for its server; nothing is modelled."""
 
     def __init__(self, servers: int) -> None:
-        classes = RequestClass(300.0, 1000.0, worth=1.0), RequestClass(300.0, 1000.0, worth=0.1)
+        classes = (
+            RequestClass(300.0, 1000.0, priority_weight=1.0),
+            RequestClass(300.0, 1000.0, priority_weight=0.1),
+        )
         self.driver = Driver(settings(*classes), *fleet(servers))
-        self.due: list[tuple[float, str, int, Result, float]] = []
+        self.due: list[tuple[float, str, int, AttemptResult, float]] = []
         self.tries: Counter[str] = Counter()
         self.sent: Counter[str] = Counter()
 
-    def run(self, ms: int, answers: dict[str, tuple[Result, float]]) -> None:
+    def run(self, ms: int, answers: dict[str, tuple[AttemptResult, float]]) -> None:
         """`answers` by server, others as usual; counts sends by server of this run."""
         self.sent.clear()
         driver = self.driver
@@ -44,35 +39,38 @@
             self.take(driver.beat(STEP_MS) if n % 3 == 0 else driver.step(after=STEP_MS), answers)
             while self.due and self.due[0][0] <= driver.now:
                 _, request, attempt, result, delay = heappop(self.due)
-                self.take(driver.step(Outcome(request, attempt, result, delay, result is Result.OK)), answers)
+                self.take(
+                    driver.step(AttemptEnded(request, attempt, result, delay, result is AttemptResult.OK)),
+                    answers,
+                )
             driver.arrive(n % 2)
             self.take(driver.last, answers)
 
-    def take(self, actions: list[Action], answers: dict[str, tuple[Result, float]]) -> None:
+    def take(self, actions: list[Action], answers: dict[str, tuple[AttemptResult, float]]) -> None:
         now = self.driver.now
-        for send in of(Send, actions):
-            self.sent[send.server] += 1
-            result, delay = answers.get(send.server, (Result.OK, USUAL_MS))
-            if delay > send.limit_ms:
-                result, delay = Result.TIMEOUT, send.limit_ms
-            heappush(self.due, (now + delay, send.request, self.tries[send.request], result, delay))
-            self.tries[send.request] += 1
+        for send in of(Forward, actions):
+            self.sent[send.backend_id] += 1
+            result, delay = answers.get(send.backend_id, (AttemptResult.OK, USUAL_MS))
+            if delay > send.timeout_ms:
+                result, delay = AttemptResult.TIMEOUT, send.timeout_ms
+            heappush(self.due, (now + delay, send.request_id, self.tries[send.request_id], result, delay))
+            self.tries[send.request_id] += 1
 
 
-def all_of(servers: int, result: Result, delay: float) -> dict[str, tuple[Result, float]]:
-    return {s.server: (result, delay) for s in fleet(servers)}
+def all_of(servers: int, result: AttemptResult, delay: float) -> dict[str, tuple[AttemptResult, float]]:
+    return {s.backend_id: (result, delay) for s in fleet(servers)}
 
 
 TROUBLES = {
-    "all slow": all_of(4, Result.OK, 290.0),
-    "all beyond the aim": all_of(4, Result.OK, 600.0),
-    "all full": all_of(4, Result.FULL, 2.0),
-    "all fail": all_of(4, Result.ERROR, 5.0),
-    "none answers": all_of(4, Result.OK, 1e6),
-    "one refuses": {"10.0.0.0:80": (Result.CONNECT_FAILED, 1.0)},
-    "one hangs": {"10.0.0.0:80": (Result.OK, 1e6)},
-    "one slow": {"10.0.0.0:80": (Result.OK, 250.0)},
-    "one fails quickly": {"10.0.0.0:80": (Result.ERROR, 1.0)},
+    "all slow": all_of(4, AttemptResult.OK, 290.0),
+    "all beyond the aim": all_of(4, AttemptResult.OK, 600.0),
+    "all full": all_of(4, AttemptResult.REJECTED, 2.0),
+    "all fail": all_of(4, AttemptResult.ERROR, 5.0),
+    "none answers": all_of(4, AttemptResult.OK, 1e6),
+    "one refuses": {"10.0.0.0:80": (AttemptResult.CONNECT_FAILED, 1.0)},
+    "one hangs": {"10.0.0.0:80": (AttemptResult.OK, 1e6)},
+    "one slow": {"10.0.0.0:80": (AttemptResult.OK, 250.0)},
+    "one fails quickly": {"10.0.0.0:80": (AttemptResult.ERROR, 1.0)},
 }
 
 
@@ -97,11 +95,11 @@
 def test_servers_that_were_away_are_used_as_before() -> None:
     script = Script(4)
     script.run(5_000, {})
-    gone = fleet(4, state=ServerState.GONE)
-    script.driver.step(ServerList(ListKind.CHANGES, tuple(gone)))
+    gone = fleet(4, state=BackendState.REMOVED)
+    script.driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(gone)))
     script.run(3_000, {})
     assert not script.sent
-    script.take(script.driver.step(ServerList(ListKind.CHANGES, tuple(fleet(4)))), {})
+    script.take(script.driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(fleet(4)))), {})
     script.run(3_000, {})  # level 4 comes back over four aims
     script.run(3_000, {})
     assert len(script.sent) == 4 and sum(script.sent.values()) >= 290
@@ -109,14 +107,14 @@
 
 def test_a_failed_call_to_a_list_service_just_moved_to_is_made_again_at_once() -> None:
     # Its news counts as told 4 s after the move: the wait that failures of the old one had grown is too long.
-    driver = Driver(settings(ask_for_list=True), *fleet(2))
+    driver = Driver(settings(polls_discovery=True), *fleet(2))
     for _ in range(6):
-        driver.step(ServerList(ListKind.FAILED))
-    assert of(Watch, driver.step(ServiceMoved()))
+        driver.step(BackendListUpdate(ListUpdateKind.FAILED))
+    assert of(PollDiscovery, driver.step(DiscoveryMoved()))
     for _ in range(3):
-        driver.step(ServerList(ListKind.FAILED))
-        assert of(Watch, driver.beats(250))
-    driver.step(ServerList(ListKind.FULL, tuple(fleet(2))))
-    assert not of(Watch, driver.beats(20_000))  # the watch stands
-    driver.step(ServerList(ListKind.FAILED))
-    assert not of(Watch, driver.beats(200))
+        driver.step(BackendListUpdate(ListUpdateKind.FAILED))
+        assert of(PollDiscovery, driver.beats(250))
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(2))))
+    assert not of(PollDiscovery, driver.beats(20_000))  # the watch stands
+    driver.step(BackendListUpdate(ListUpdateKind.FAILED))
+    assert not of(PollDiscovery, driver.beats(200))
