--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -10,19 +10,11 @@
 
 import pytest
 
-from dunecove.policy.api import (
-    Arrival,
-    ListKind,
-    Outcome,
-    RequestClass,
-    Result,
-    Send,
-    ServerInfo,
-    ServerList,
-    SetTimer,
-    TimerFired,
-)
+from dunecove.policy.actions import Forward, SetTimer
 from dunecove.policy.balancer import BEAT_MS, Balancer
+from dunecove.policy.events import AttemptEnded, BackendListUpdate, ListUpdateKind, RequestArrived, TimerFired
+from dunecove.policy.models import AttemptResult, BackendInfo
+from dunecove.policy.settings import RequestClass
 from dunecove.policy.slow_start import SlowStart
 from tests.support import settings
 
@@ -37,7 +29,7 @@
     def __init__(self, proxies: int, warm: int, each: float, shares: list[float], seed: int = 1) -> None:
         self.proxies, self.each, self.shares = proxies, each, shares  # each: requests/s a warm server can do
         self.random, self.ids, self.now = Random(seed), count(), 100_000.0
-        self.servers = [ServerInfo(f"10.0.0.{n}:80") for n in range(warm)]
+        self.servers = [BackendInfo(f"10.0.0.{n}:80") for n in range(warm)]
         self.modules: dict[int, Balancer] = {}
         self.due: list[tuple[float, int, int, object]] = []
         self.sent: dict[str, list[float]] = {}  # when something was sent to each cold one
@@ -48,20 +40,28 @@
         """Start it, or start it anew: nothing of the process before it remains."""
         self.due = [due for due in self.due if due[2] != me]
         heapify(self.due)
-        config = settings(CLASS, proxies=self.proxies, me=me, start_capacity=START, cold_ms=COLD_MS,
-                          fall_multiple=MULTIPLE, fall_ms=WINDOW_MS, may_tell=True)  # fmt: skip
+        config = settings(
+            CLASS,
+            proxy_count=self.proxies,
+            proxy_index=me,
+            slow_start_capacity=START,
+            slow_start_ms=COLD_MS,
+            slow_start_overload_factor=MULTIPLE,
+            slow_start_window_ms=WINDOW_MS,
+            may_gossip=True,
+        )
         self.modules[me] = Balancer(config, self.random.getrandbits(32))
-        self.tell(me, ListKind.SAVED, self.servers)
+        self.tell(me, ListUpdateKind.CACHED, self.servers)
 
-    def tell(self, me: int, kind: ListKind, entries: list[ServerInfo]) -> None:
-        self.step(me, ServerList(kind, tuple(entries)))
+    def tell(self, me: int, kind: ListUpdateKind, entries: list[BackendInfo]) -> None:
+        self.step(me, BackendListUpdate(kind, tuple(entries)))
 
     def step(self, me: int, event: object) -> None:
         for action in self.modules[me].step(self.now, [event]):  # type: ignore[list-item]
-            if isinstance(action, Send):
-                if action.server in self.sent:
-                    self.sent[action.server].append(self.now)
-                ended = Outcome(action.request, 0, Result.OK, LATENCY_MS, True)
+            if isinstance(action, Forward):
+                if action.backend_id in self.sent:
+                    self.sent[action.backend_id].append(self.now)
+                ended = AttemptEnded(action.request_id, 0, AttemptResult.OK, LATENCY_MS, True)
                 heappush(self.due, (self.now + LATENCY_MS, next(self.ids), me, ended))
             elif isinstance(action, SetTimer):
                 heappush(self.due, (self.now + BEAT_MS, next(self.ids), me, TimerFired(0)))
@@ -77,16 +77,16 @@
                 self.step(me, event)
             if following <= self.now < end:
                 me = self.random.choices(range(self.proxies), self.shares)[0]
-                self.step(me, Arrival(f"r{next(self.ids)}", 0, 0, None, self.now + 2500.0))
+                self.step(me, RequestArrived(f"r{next(self.ids)}", 0, 0, None, self.now + 2500.0))
                 following = self.now + self.random.expovariate(total)
 
     def join(self, cold: int, clock_off_ms: float = 0.0) -> None:
         """Cold servers that all learn of at once, by a clock that may be off from that of the proxies."""
         started = self.now + clock_off_ms
-        new = [ServerInfo(f"10.9.9.{n}:80", started=started) for n in range(cold)]
-        self.sent, self.born, self.servers = {s.server: [] for s in new}, self.now, [*self.servers, *new]
+        new = [BackendInfo(f"10.9.9.{n}:80", started_at=started) for n in range(cold)]
+        self.sent, self.born, self.servers = {s.backend_id: [] for s in new}, self.now, [*self.servers, *new]
         for me in self.modules:
-            self.tell(me, ListKind.CHANGES, new)
+            self.tell(me, ListUpdateKind.DELTA, new)
 
     def worst(self) -> float:
         """The greatest part of its bound that any cold server got in any window; above 1 it falls over."""
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -13,29 +13,20 @@
 from hypothesis import strategies as st
 
 from dunecove.policy import balancer as balancer_module
-from dunecove.policy.api import (
-    Arrival,
-    Effect,
-    ListKind,
-    RequestClass,
-    Result,
-    Scope,
-    ServerInfo,
-    ServerList,
-    ServerState,
-    TimerFired,
-)
 from dunecove.policy.balancer import Balancer, Server, mix
+from dunecove.policy.events import BackendListUpdate, ListUpdateKind, RequestArrived, TimerFired
+from dunecove.policy.models import AttemptResult, BackendInfo, BackendState, DeduplicationScope, Idempotency
+from dunecove.policy.settings import RequestClass
 from tests.support import Driver, settings
 
-MANY = {"proxies": 3400, "me": 17, "zones": 2}
+MANY = {"proxy_count": 3400, "proxy_index": 17, "zone_count": 2}
 # Each of the first four names has the CRC-32 of one of the last four.
 NAMES = [f"{name}{i}" for name in ("plumless", "buckeroo") for i in range(4)] + [f"s{i}" for i in range(40)]
 
 
-def servers(n: int, first: int = 0, **more: float) -> tuple[ServerInfo, ...]:
+def servers(n: int, first: int = 0, **more: float) -> tuple[BackendInfo, ...]:
     return tuple(
-        ServerInfo(f"s-{i:08x}", zone=i % 3, cell=i // 4, **more)  # type: ignore[arg-type]
+        BackendInfo(f"s-{i:08x}", zone=i % 3, cell=i // 4, **more)  # type: ignore[arg-type]
         for i in range(first, first + n)
     )
 
@@ -58,29 +49,33 @@
 
 
 ENTRY = st.builds(
-    ServerInfo,
-    server=st.sampled_from(NAMES),
-    state=st.sampled_from([ServerState.ACTIVE] * 6 + [ServerState.DRAINING, ServerState.GONE]),
-    started=st.sampled_from([None, 900.0]),
+    BackendInfo,
+    backend_id=st.sampled_from(NAMES),
+    state=st.sampled_from([BackendState.ACTIVE] * 6 + [BackendState.DRAINING, BackendState.REMOVED]),
+    started_at=st.sampled_from([None, 900.0]),
 )
-KINDS = [ListKind.CHANGES] * 4 + [ListKind.MORE, ListKind.FULL, ListKind.SAVED]
-LISTS = st.tuples(st.sampled_from(KINDS), st.lists(ENTRY, max_size=60, unique_by=lambda e: e.server))
+KINDS = [ListUpdateKind.DELTA] * 4 + [
+    ListUpdateKind.CACHED_CONTINUED,
+    ListUpdateKind.SNAPSHOT,
+    ListUpdateKind.CACHED,
+]
+LISTS = st.tuples(st.sampled_from(KINDS), st.lists(ENTRY, max_size=60, unique_by=lambda e: e.backend_id))
 
 
 @limits(max_examples=150, derandomize=True, deadline=None)
 @given(st.integers(0, 9), st.lists(LISTS, min_size=1, max_size=12))
 def test_it_keeps_to_the_same_servers_as_if_it_kept_all(
-    me: int, lists: list[tuple[ListKind, list[ServerInfo]]]
+    me: int, lists: list[tuple[ListUpdateKind, list[BackendInfo]]]
 ) -> None:
-    listed: dict[str, ServerState] = {}
+    listed: dict[str, BackendState] = {}
     with patch.multiple(balancer_module, RESERVE=16, RESERVE_SLACK=2):
-        balancer = Balancer(settings(**MANY | {"me": me, "cold_ms": 5000.0}), 1)
+        balancer = Balancer(settings(**MANY | {"proxy_index": me, "slow_start_ms": 5000.0}), 1)
         for number, (kind, entries) in enumerate(lists):
-            if kind in (ListKind.FULL, ListKind.SAVED):
+            if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
                 listed.clear()
-            listed.update({e.server: e.state for e in entries})
-            balancer.step(25.0 * number, [ServerList(kind, tuple(entries)), TimerFired(0)])
-            active = [name for name, state in listed.items() if state is ServerState.ACTIVE]
+            listed.update({e.backend_id: e.state for e in entries})
+            balancer.step(25.0 * number, [BackendListUpdate(kind, tuple(entries)), TimerFired(0)])
+            active = [name for name, state in listed.items() if state is BackendState.ACTIVE]
             assert balancer.listed == len(active)  # also of two that rank alike
             held = [*(s.id for s in balancer.active), *(n for b in balancer.far.buckets.values() for n in b)]
             assert sorted(held) == sorted(active)
@@ -95,9 +90,17 @@
     hashed[0] = 0
     for n in range(50):
         gone = servers(2, 400 * n)
-        driver.step(ServerList(ListKind.CHANGES, tuple(s._replace(state=ServerState.DRAINING) for s in gone)))
-        driver.step(ServerList(ListKind.CHANGES, tuple(s._replace(state=ServerState.GONE) for s in gone)))
-        driver.step(ServerList(ListKind.CHANGES, servers(2, 30_000 + 2 * n)))
+        driver.step(
+            BackendListUpdate(
+                ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.DRAINING) for s in gone)
+            )
+        )
+        driver.step(
+            BackendListUpdate(
+                ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.REMOVED) for s in gone)
+            )
+        )
+        driver.step(BackendListUpdate(ListUpdateKind.DELTA, servers(2, 30_000 + 2 * n)))
     assert hashed[0] / 150 < 30
     hashed[0] = 0
     driver.beats(3000)
@@ -108,7 +111,7 @@
 def test_new_weights_of_all_touch_only_what_the_list_told_of_them() -> None:
     driver = Driver(settings(**MANY), *servers(5_000))
     kept = list(driver.balancer.servers.values())
-    driver.step(ServerList(ListKind.CHANGES, servers(5_000, weight=0.5)))
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, servers(5_000, weight=0.5)))
     assert list(driver.balancer.servers.values()) == kept and {s.weight for s in kept} == {0.5}
     weights = {loads(told)[4] for bucket in driver.balancer.far.buckets.values() for told in bucket.values()}
     assert weights == {0.5}
@@ -118,15 +121,15 @@
     driver = Driver(settings(**MANY), *servers(5_000))
     bad = driver.balancer.near[0]
     bad.payoff = 0.1
-    driver.step(ServerList(ListKind.FULL, servers(6_000)))
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, servers(6_000)))
     driver.beats(3000)
     assert driver.balancer.servers[bad.id] is bad and bad.payoff < 1.0
 
 
 def test_few_proxies_keep_to_few_of_a_long_list_and_to_more_under_load() -> None:
-    driver = Driver(settings(RequestClass(300.0, 5000.0), proxies=3), *servers(5_000))
+    driver = Driver(settings(RequestClass(300.0, 5000.0), proxy_count=3), *servers(5_000))
     assert len(driver.balancer.near) <= 320
-    arrivals = [Arrival(f"q{n}", 0, 0, None, driver.now + 5000.0) for n in range(2_000)]
+    arrivals = [RequestArrived(f"q{n}", 0, 0, None, driver.now + 5000.0) for n in range(2_000)]
     for n in range(0, 2_000, 50):  # none is answered: all are sent, since there are servers for all
         driver.step(*arrivals[n : n + 50])
     assert len(driver.sends) == 2_000 and 1_000 < len(driver.balancer.near) < 4_500
@@ -137,52 +140,56 @@
 
 
 def test_few_proxies_find_ready_servers_beyond_those_that_are_all_cold() -> None:
-    cold = {"start_capacity": 0.1, "cold_ms": 60_000.0, "fall_ms": 10_000.0}
-    driver = Driver(settings(proxies=3, **cold), *servers(2_000))
-    restarted = tuple(ServerInfo(s.id, started=driver.now) for s in driver.balancer.active)
-    driver.step(ServerList(ListKind.CHANGES, restarted))
+    cold = {"slow_start_capacity": 0.1, "slow_start_ms": 60_000.0, "slow_start_window_ms": 10_000.0}
+    driver = Driver(settings(proxy_count=3, **cold), *servers(2_000))
+    restarted = tuple(BackendInfo(s.id, started_at=driver.now) for s in driver.balancer.active)
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, restarted))
     assert driver.arrive() in driver.sends
 
 
-@pytest.mark.parametrize("scope", [Scope.CELL, Scope.ZONE])
-def test_the_group_of_a_keyed_request_is_found_beyond_the_kept(scope: Scope) -> None:
+@pytest.mark.parametrize("scope", [DeduplicationScope.CELL, DeduplicationScope.ZONE])
+def test_the_group_of_a_keyed_request_is_found_beyond_the_kept(scope: DeduplicationScope) -> None:
     """Its repeats may go to the three others of its cell only, and of 1,250 cells few are kept whole."""
-    spec = RequestClass(900.0, 5000.0, Effect.KEYED, scope, 4000.0)
+    spec = RequestClass(900.0, 5000.0, Idempotency.KEYED, scope, 4000.0)
     driver = Driver(settings(spec, **MANY), *servers(5_000))
     request = driver.arrive(wait=5000)
     first = driver.sends[request][0]
-    gone = ServerInfo(first, ServerState.DRAINING)
-    driver.step(ServerList(ListKind.CHANGES, (gone,)))
-    driver.end(request, Result.ERROR, done=False)
+    gone = BackendInfo(first, BackendState.DRAINING)
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, (gone,)))
+    driver.end(request, AttemptResult.ERROR, done=False)
     assert len(driver.sends[request]) == 2
     one, other = (int(name[2:], 16) for name in driver.sends[request])
-    assert one != other and (one // 4 == other // 4 if scope is Scope.CELL else one % 3 == other % 3)
+    assert one != other and (
+        one // 4 == other // 4 if scope is DeduplicationScope.CELL else one % 3 == other % 3
+    )
 
 
 def test_a_drain_beyond_the_kept_is_known_at_once() -> None:
-    spec = RequestClass(900.0, 5000.0, Effect.KEYED, Scope.CELL, 4000.0)
+    spec = RequestClass(900.0, 5000.0, Idempotency.KEYED, DeduplicationScope.CELL, 4000.0)
     driver = Driver(settings(spec, **MANY), *servers(5_000))
     request = driver.arrive(wait=5000)
     number = int(driver.sends[request][0][2:], 16)
     cell = servers(4, number - number % 4)
-    drained = tuple(s._replace(state=ServerState.DRAINING) for s in cell)
-    driver.step(ServerList(ListKind.CHANGES, drained))
-    driver.end(request, Result.ERROR, done=False)
+    drained = tuple(s._replace(state=BackendState.DRAINING) for s in cell)
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, drained))
+    driver.end(request, AttemptResult.ERROR, done=False)
     assert len(driver.sends[request]) == 1  # nobody is left who may see it again
-    driver.step(ServerList(ListKind.CHANGES, cell[:1] if number % 4 else cell[1:2]))
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, cell[:1] if number % 4 else cell[1:2]))
     assert len(driver.sends[request]) == 2
 
 
 def test_up_to_the_reserve_all_are_kept_in_the_order_of_the_list() -> None:
-    names = [s.server for s in servers(256)]
+    names = [s.backend_id for s in servers(256)]
     for proxies in (3, 3400):
-        driver = Driver(settings(proxies=proxies), *servers(256))
+        driver = Driver(settings(proxy_count=proxies), *servers(256))
         driver.beats(2000)
         assert [s.id for s in driver.balancer.active] == names and not driver.balancer.far.count
 
 
 def test_a_beat_looks_at_cold_servers_only() -> None:
-    driver = Driver(settings(cold_ms=60_000.0, **MANY), *servers(300), *servers(1, 300, started=900.0))
+    driver = Driver(
+        settings(slow_start_ms=60_000.0, **MANY), *servers(300), *servers(1, 300, started_at=900.0)
+    )
     looked = [0]
 
     class Near(list[Server]):
@@ -197,11 +204,11 @@
 
 
 def test_one_that_arrives_ahead_of_those_moved_up_is_kept() -> None:
-    ranked = sorted(servers(60), key=lambda s: mix(MANY["me"] + 1, crc32(s.server.encode())))
+    ranked = sorted(servers(60), key=lambda s: mix(MANY["proxy_index"] + 1, crc32(s.backend_id.encode())))
     with patch.multiple(balancer_module, RESERVE=16, RESERVE_SLACK=2):
         driver = Driver(settings(**MANY), *ranked[:20], *ranked[30:])
-        gone = tuple(s._replace(state=ServerState.GONE) for s in ranked[:10])
-        driver.step(ServerList(ListKind.CHANGES, gone))
-        driver.step(ServerList(ListKind.CHANGES, tuple(ranked[20:22])))
+        gone = tuple(s._replace(state=BackendState.REMOVED) for s in ranked[:10])
+        driver.step(BackendListUpdate(ListUpdateKind.DELTA, gone))
+        driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(ranked[20:22])))
         kept = {s.id for s in driver.balancer.active}
-    assert kept == {s.server for s in [*ranked[10:22], *ranked[30 : 30 + len(kept) - 12]]}
+    assert kept == {s.backend_id for s in [*ranked[10:22], *ranked[30 : 30 + len(kept) - 12]]}
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from dunecove.policy.api import Result, ServerInfo, ServerState
+from dunecove.policy.models import AttemptResult, BackendInfo, BackendState
 from dunecove.proxy import connection_pool as connection_pool_module
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.connection_pool import Attempt, Backends
@@ -28,7 +28,7 @@
 
     def __init__(self, peer: Peer, connect_ms: float, idle_ms: float, most: int) -> None:
         self.pool = Backends(connect_ms, idle_ms, most)
-        self.outcomes: asyncio.Queue[tuple[Result, Response | None]] = asyncio.Queue()
+        self.outcomes: asyncio.Queue[tuple[AttemptResult, Response | None]] = asyncio.Queue()
         self.list(target("s", peer.address))
 
     def list(self, *targets: Target) -> None:
@@ -44,7 +44,7 @@
         self.pool.start(attempt)
         return attempt
 
-    async def result(self) -> Result:
+    async def result(self) -> AttemptResult:
         return (await self.outcomes.get())[0]
 
     async def served(self, peer: Peer, uid: str = "s") -> int:
@@ -53,15 +53,15 @@
         self.start(uid)
         call = await peer.calls.get()
         call.reply()
-        assert await self.result() is Result.OK
+        assert await self.result() is AttemptResult.OK
         return call.connection
 
 
 def target(
-    uid: str, address: str, state: ServerState = ServerState.ACTIVE, started: float | None = None
+    uid: str, address: str, state: BackendState = BackendState.ACTIVE, started: float | None = None
 ) -> Target:
     host, port = address.split(":")
-    return Target(uid, host, int(port), ServerInfo(uid, state, started=started))
+    return Target(uid, host, int(port), BackendInfo(uid, state, started_at=started))
 
 
 @asynccontextmanager
@@ -81,17 +81,17 @@
 @pytest.mark.parametrize(
     ("status", "headers", "result"),
     [
-        (200, {}, Result.OK),
-        (500, {}, Result.ERROR),
-        (503, {}, Result.ERROR),
-        (503, {"x-rejected": "1"}, Result.FULL),
-        (504, {"x-rejected": "1"}, Result.FULL),
-        (500, {"x-rejected": "1"}, Result.ERROR),
-        (404, {}, Result.INVALID),
+        (200, {}, AttemptResult.OK),
+        (500, {}, AttemptResult.ERROR),
+        (503, {}, AttemptResult.ERROR),
+        (503, {"x-rejected": "1"}, AttemptResult.REJECTED),
+        (504, {"x-rejected": "1"}, AttemptResult.REJECTED),
+        (500, {"x-rejected": "1"}, AttemptResult.ERROR),
+        (404, {}, AttemptResult.BAD_REQUEST),
     ],
 )
 def test_answers_are_outcomes_and_their_connection_is_used_again(
-    status: int, headers: dict[str, str], result: Result
+    status: int, headers: dict[str, str], result: AttemptResult
 ) -> None:
     async def test() -> None:
         async with tries() as (attempts, peer):
@@ -109,7 +109,7 @@
             peer.close()
             await peer.server.wait_closed()
             attempts.start()
-            assert await attempts.result() is Result.CONNECT_FAILED
+            assert await attempts.result() is AttemptResult.CONNECT_FAILED
 
     run(test())
 
@@ -127,7 +127,7 @@
                     other.connect_ex(silent.getsockname())
                 attempts.list(target("s", "{}:{}".format(*silent.getsockname())))
                 attempts.start(limit_ms=limit_ms)
-                assert await attempts.result() is Result.CONNECT_FAILED
+                assert await attempts.result() is AttemptResult.CONNECT_FAILED
             assert not attempts.pool.connections
 
     run(test())
@@ -154,7 +154,7 @@
     async def test() -> None:
         async with tries() as (attempts, _), half_written(attempts) as peer:
             peer.close()
-            assert await attempts.result() is Result.CONNECT_FAILED
+            assert await attempts.result() is AttemptResult.CONNECT_FAILED
 
     run(test())
 
@@ -164,7 +164,7 @@
         async with tries() as (attempts, _), half_written(attempts) as peer:
             answer = b"HTTP/1.1 503 X\r\nx-rejected: 1\r\ncontent-length: 0\r\n\r\n"
             await asyncio.get_running_loop().sock_sendall(peer, answer)
-            assert await attempts.result() is Result.FULL
+            assert await attempts.result() is AttemptResult.REJECTED
             assert not attempts.pool.backends["s"].idle
 
     run(test())
@@ -180,7 +180,7 @@
             call = await peer.calls.get()
             call.writer.write(sent)
             call.writer.close()
-            assert await attempts.result() is Result.RESET
+            assert await attempts.result() is AttemptResult.RESET
 
     run(test())
 
@@ -193,7 +193,7 @@
             call.writer.write(b"HTTP/1.1 103 Hints\r\nlink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n")
             call.reply(b"the real one")
             result, response = await attempts.outcomes.get()
-            assert result is Result.OK and response is not None and response.body == b"the real one"
+            assert result is AttemptResult.OK and response is not None and response.body == b"the real one"
             assert await attempts.served(peer) == 1
 
     run(test())
@@ -230,7 +230,7 @@
             attempts.start()
             call = await peer.calls.get()
             call.writer.write(sent)
-            assert await attempts.result() is Result.RESET
+            assert await attempts.result() is AttemptResult.RESET
             await call.closed.wait()
 
     run(test())
@@ -251,11 +251,11 @@
                 call.writer.close()
             result, response = await attempts.outcomes.get()
             if how == "reset":
-                assert result is Result.RESET
+                assert result is AttemptResult.RESET
             elif how == "silence":
-                assert result is Result.TIMEOUT
+                assert result is AttemptResult.TIMEOUT
             else:
-                assert result is Result.OK and response is not None and response.body == b"to the end"
+                assert result is AttemptResult.OK and response is not None and response.body == b"to the end"
             assert await attempts.served(peer) == 2  # its connection is not used again
 
     run(test())
@@ -320,7 +320,7 @@
             await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)
             attempts.start(limit_ms=50.0)
             await peer.calls.get()
-            assert await attempts.result() is Result.TIMEOUT
+            assert await attempts.result() is AttemptResult.TIMEOUT
             assert not attempts.pool.backends["s"].idle
             assert await attempts.served(peer) == 3
 
@@ -339,7 +339,7 @@
         async with tries() as (attempts, _):
             attempts.pool.loop = cast(asyncio.AbstractEventLoop, Full(attempts.pool.loop))
             attempts.start()
-            assert await attempts.result() is Result.NO_ROOM
+            assert await attempts.result() is AttemptResult.NO_LOCAL_RESOURCE
 
     run(test())
 
@@ -349,7 +349,7 @@
         async with tries() as (attempts, peer):
             attempts.start(limit_ms=100.0)
             call = await peer.calls.get()
-            assert await attempts.result() is Result.TIMEOUT
+            assert await attempts.result() is AttemptResult.TIMEOUT
             await call.closed.wait()
 
     run(test())
@@ -362,7 +362,7 @@
             call = await peer.calls.get()
             attempts.pool.cancel(attempt)
             attempts.pool.cancel(attempt)
-            assert await attempts.result() is Result.CANCELLED
+            assert await attempts.result() is AttemptResult.CANCELLED
             await call.closed.wait()
 
     run(test())
@@ -404,8 +404,8 @@
                         connection.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: -1\r\n\r\n")
                     assert attempts.outcomes.qsize() == 1
                     assert sees_its_end(accepted)
-            expected = {"cancelled": Result.CANCELLED, "timed out": Result.TIMEOUT}
-            assert await attempts.result() is expected.get(how, Result.RESET)
+            expected = {"cancelled": AttemptResult.CANCELLED, "timed out": AttemptResult.TIMEOUT}
+            assert await attempts.result() is expected.get(how, AttemptResult.RESET)
 
     run(test())
 
@@ -418,14 +418,14 @@
             gate = Gate.of(attempts.pool)
             attempts.start(within_ms=30.0)
             comes_up = await gate.knocks.get()
-            assert await attempts.result() is Result.CONNECT_FAILED
+            assert await attempts.result() is AttemptResult.CONNECT_FAILED
             comes_up.set()
             attempts.start(within_ms=30_000.0)
             (await gate.knocks.get()).set()
             call = await peer.calls.get()
             assert peer.calls.empty()
             call.reply()
-            assert await attempts.result() is Result.OK
+            assert await attempts.result() is AttemptResult.OK
 
     run(test())
 
@@ -441,11 +441,11 @@
             comes_up = await gate.knocks.get()
             setattr(attempt, until, now_ms() - 1.0)
             comes_up.set()
-            assert await attempts.result() is Result.CONNECT_FAILED
+            assert await attempts.result() is AttemptResult.CONNECT_FAILED
             attempts.start()
             (await gate.knocks.get()).set()
             (await peer.calls.get()).reply()
-            assert await attempts.result() is Result.OK
+            assert await attempts.result() is AttemptResult.OK
             assert peer.calls.empty() and len(attempts.pool.connections) == 1
 
     run(test())
@@ -459,14 +459,14 @@
             attempts.pool._limit(attempt)  # as its timer does
             assert not attempt.ended
             call.reply()
-            assert await attempts.result() is Result.OK
+            assert await attempts.result() is AttemptResult.OK
 
     run(test())
 
 
 @pytest.mark.parametrize("pooled", [True, False])
-@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
-def test_a_drain_told_between_the_pick_and_the_first_byte_stops_it(state: ServerState, pooled: bool) -> None:
+@pytest.mark.parametrize("state", [BackendState.DRAINING, BackendState.REMOVED])
+def test_a_drain_told_between_the_pick_and_the_first_byte_stops_it(state: BackendState, pooled: bool) -> None:
     async def test() -> None:
         async with tries() as (attempts, peer):
             if pooled:
@@ -474,7 +474,7 @@
                 await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)
             attempts.list(target("s", peer.address, state))
             attempts.start()  # the pick was made before the list came
-            assert await attempts.result() is Result.CONNECT_FAILED
+            assert await attempts.result() is AttemptResult.CONNECT_FAILED
             assert peer.calls.empty() and peer.connections == pooled
 
     run(test())
@@ -489,13 +489,13 @@
             assert connection is not None
             attempts.pool._limit(attempt)
             connection.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
-            assert await attempts.result() is Result.TIMEOUT
+            assert await attempts.result() is AttemptResult.TIMEOUT
             await call.closed.wait()
             attempts.start()
             again = await peer.calls.get()
             assert again.connection == 2
             again.reply()
-            assert await attempts.result() is Result.OK
+            assert await attempts.result() is AttemptResult.OK
 
     run(test())
 
@@ -509,7 +509,7 @@
             connection = attempt.connection
             assert connection is not None and connection.waiting
             connection.connection_lost(ConnectionResetError())
-            assert await attempts.result() is Result.RESET
+            assert await attempts.result() is AttemptResult.RESET
 
     run(test())
 
@@ -536,7 +536,7 @@
             attempts.start()
             call = await peer.calls.get()
             call.reply()
-            assert await attempts.result() is Result.OK
+            assert await attempts.result() is AttemptResult.OK
             await call.closed.wait()
             assert not attempts.pool.backends["s"].idle
 
@@ -552,7 +552,7 @@
             attempts.start()
             call = await peer.calls.get()
             call.reply()
-            assert await attempts.result() is Result.OK
+            assert await attempts.result() is AttemptResult.OK
             call.writer.write(unasked)
             while attempts.pool.connections:
                 await asyncio.sleep(0.001)
@@ -593,8 +593,8 @@
         async with tries() as (attempts, peer):
             other = await Peer().open()
             news = {
-                "drains": [target("s", peer.address, ServerState.DRAINING)],
-                "leaves": [target("s", peer.address, ServerState.GONE)],
+                "drains": [target("s", peer.address, BackendState.DRAINING)],
+                "leaves": [target("s", peer.address, BackendState.REMOVED)],
                 "is gone": [],
                 "restarts": [target("s", peer.address, started=5.0)],
                 "moves": [target("s", other.address)],
@@ -603,11 +603,11 @@
             attempts.start()
             busy, idle = await peer.calls.get(), await peer.calls.get()
             idle.reply()
-            assert await attempts.result() is Result.OK
+            assert await attempts.result() is AttemptResult.OK
             attempts.list(*news[change])
             await idle.closed.wait()
             busy.reply()  # what runs may finish, but its connection is not kept
-            assert await attempts.result() is Result.OK
+            assert await attempts.result() is AttemptResult.OK
             await busy.closed.wait()
             if change == "restarts":
                 assert await attempts.served(peer) == 3
@@ -615,19 +615,19 @@
                 assert await attempts.served(other) == 1
             else:
                 attempts.start()
-                assert await attempts.result() is Result.CONNECT_FAILED
+                assert await attempts.result() is AttemptResult.CONNECT_FAILED
             other.close()
 
     run(test())
 
 
-@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
-def test_a_drain_ends_attempts_that_wait_for_their_connection(state: ServerState) -> None:
+@pytest.mark.parametrize("state", [BackendState.DRAINING, BackendState.REMOVED])
+def test_a_drain_ends_attempts_that_wait_for_their_connection(state: BackendState) -> None:
     async def test() -> None:
         async with tries() as (attempts, peer):
             attempts.start()
             attempts.list(target("s", peer.address, state))
-            assert await attempts.result() is Result.CONNECT_FAILED
+            assert await attempts.result() is AttemptResult.CONNECT_FAILED
             assert not attempts.pool.connections  # nothing of it counts towards the cap
             assert peer.calls.empty()
 
@@ -652,7 +652,7 @@
             attempts.start()
             call = await peer.calls.get()
             call.reply()
-            assert await attempts.result() is Result.OK
+            assert await attempts.result() is AttemptResult.OK
 
     run(test())
 
@@ -669,10 +669,10 @@
             second = await other.calls.get()
             assert not attempts.pool.backends["s"].idle
             attempts.start("s")
-            assert await attempts.result() is Result.NO_ROOM  # nothing is idle now
+            assert await attempts.result() is AttemptResult.NO_LOCAL_RESOURCE  # nothing is idle now
             for call in (busy, second):
                 call.reply()
-                assert await attempts.result() is Result.OK
+                assert await attempts.result() is AttemptResult.OK
             other.close()
 
     run(test())
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -14,7 +14,9 @@
 
 import pytest
 
-from dunecove.policy.api import ListKind, ServerList, ServerState, Watch
+from dunecove.policy.actions import PollDiscovery
+from dunecove.policy.events import BackendListUpdate, ListUpdateKind
+from dunecove.policy.models import BackendState
 from dunecove.proxy import discovery_client as discovery_client_module
 from dunecove.proxy.discovery_client import MIB, Discovery, Listing
 from dunecove.settings import Wire
@@ -62,7 +64,12 @@
             news = await heard.lists.get()
             assert (news.rev, news.whole) == (43, False)
             (info,) = (t.info for t in news.targets)
-            assert (info.server, info.state, info.started, info.cell) == ("s", ServerState.DRAINING, 7.0, 1)
+            assert (info.backend_id, info.state, info.started_at, info.cell) == (
+                "s",
+                BackendState.DRAINING,
+                7.0,
+                1,
+            )
             third = await peer.calls.get()
             assert third.line.startswith("GET /registry/instances?since=43&")
             assert third.connection == 1 and heard.failures.empty()
@@ -179,7 +186,7 @@
 
 def until_called(driver: Driver) -> float:
     start = driver.now
-    while not of(Watch, driver.beat()):
+    while not of(PollDiscovery, driver.beat()):
         pass
     return driver.now - start
 
@@ -192,7 +199,7 @@
 def until_asked(driver: Driver) -> float:
     """ms at most from a failed call to the next one: the latest that chance may choose."""
     driver.balancer.rng = Latest(1)
-    driver.step(ServerList(ListKind.FAILED))
+    driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     return until_called(driver)
 
 
@@ -210,11 +217,11 @@
     pushed: bool, proxies: int, must_ask_ms: float
 ) -> None:
     # 6 s after it fell silent, at the start of a call maybe, what it missed counts as told.
-    config = settings(ask_for_list=not pushed, proxies=proxies, must_ask_ms=must_ask_ms)
+    config = settings(polls_discovery=not pushed, proxy_count=proxies, max_poll_interval_ms=must_ask_ms)
     driver = Driver(config, *fleet(2))
     if not pushed:
-        assert of(Watch, driver.beats(2_525))  # as is a new process that has not asked yet
-    driver.step(ServerList(ListKind.FULL, tuple(fleet(2))))
+        assert of(PollDiscovery, driver.beats(2_525))  # as is a new process that has not asked yet
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(2))))
     discovery = times(pushed, 300.0)
     silent = discovery.wait_ms + discovery.silent_ms
     assert silent + until_asked(driver) + discovery.call_ms + until_asked(driver) < 6_000
@@ -224,10 +231,12 @@
 @pytest.mark.parametrize("proxies", [1, 40, 200, 1_000, 3_400])
 def test_the_list_is_read_within_6_s_of_the_services_return(proxies: int, failures: int) -> None:
     # It returns just after a call has begun that hangs, and takes as long to answer the next as a call may.
-    driver = Driver(settings(ask_for_list=True, proxies=proxies, must_ask_ms=10_000.0), *fleet(2))
+    driver = Driver(
+        settings(polls_discovery=True, proxy_count=proxies, max_poll_interval_ms=10_000.0), *fleet(2)
+    )
     for _ in range(failures - 1):  # refused at once
         until_called(driver)
-        driver.step(ServerList(ListKind.FAILED))
+        driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     until_called(driver)
     call = times(False, 300.0).call_ms
     driver.beats(call)
@@ -236,14 +245,18 @@
 
 @pytest.mark.parametrize("proxies", [200, 3_400])
 def test_a_new_process_whose_first_call_hangs_has_the_list_within_6_s(proxies: int) -> None:
-    driver = Driver(settings(ask_for_list=True, proxies=proxies, me=proxies - 1), *fleet(2))
+    driver = Driver(settings(polls_discovery=True, proxy_count=proxies, proxy_index=proxies - 1), *fleet(2))
     assert until_called(driver) + times(False, 300.0).call_ms + until_asked(driver) < 6_000
 
 
 def test_all_get_the_list_from_a_service_that_answers_so_many_calls_in_turn() -> None:
     """Also those given up. If each asked anew at the end of the line, the first few alone would get it."""
-    config, each_ms, call_ms = settings(ask_for_list=True, proxies=32), 250.0, times(False, 300.0).call_ms
-    drivers = [Driver(replace(config, me=me), *fleet(2), seed=me) for me in range(32)]
+    config, each_ms, call_ms = (
+        settings(polls_discovery=True, proxy_count=32),
+        250.0,
+        times(False, 300.0).call_ms,
+    )
+    drivers = [Driver(replace(config, proxy_index=me), *fleet(2), seed=me) for me in range(32)]
     line: deque[tuple[int, int]] = deque()  # number of the proxy, of its call
     calls, due = (
         Counter[int](),
@@ -252,19 +265,19 @@
     served: set[int] = set()
     for tick in range(400):
         for me, driver in enumerate(drivers):
-            if of(Watch, driver.beat()) and me not in due and me not in served:
+            if of(PollDiscovery, driver.beat()) and me not in due and me not in served:
                 calls[me] += 1
                 line.append((me, calls[me]))
                 due[me] = driver.now + call_ms
             if due.get(me, inf) <= driver.now:
                 del due[me]
-                driver.step(ServerList(ListKind.FAILED))
+                driver.step(BackendListUpdate(ListUpdateKind.FAILED))
         if line and tick % int(each_ms / 25) == 0:
             me, number = line.popleft()
             if number > calls[me] - discovery_client_module.PLACES and me not in served:
                 served.add(me)
                 due.pop(me, None)
-                drivers[me].step(ServerList(ListKind.FULL, tuple(fleet(2))))
+                drivers[me].step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(2))))
     assert len(served) == 32  # within 10 s, 2 s more than the service needs for all
 
 
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -10,26 +10,28 @@
 
 import pytest
 
-from dunecove.policy.api import (
+from dunecove.policy.actions import (
     Action,
-    Arrival,
-    Cancel,
-    ClientGone,
+    BackendEjected,
+    CancelAttempt,
     Fail,
-    ListKind,
-    Log,
-    Outcome,
-    Probe,
-    ProbeResult,
-    Refuse,
-    Result,
-    Send,
-    ServerList,
+    Forward,
+    PollDiscovery,
+    Reject,
+    SendHealthCheck,
     SetTimer,
-    Settings,
+)
+from dunecove.policy.events import (
+    AttemptEnded,
+    BackendListUpdate,
+    ClientDisconnected,
+    HealthCheckResult,
+    ListUpdateKind,
+    RequestArrived,
     TimerFired,
-    Watch,
 )
+from dunecove.policy.models import AttemptResult
+from dunecove.policy.settings import Settings
 from dunecove.proxy import engine as engine_module
 from dunecove.proxy import listener as listener_module
 from dunecove.proxy import request_parser as request_parser_module
@@ -78,41 +80,52 @@
         async with proxy(backends=2):
             await until(lambda: script.batches)
             (saved,) = script.batches[0]
-            assert (saved.kind, [e.server for e in saved.entries]) == (ListKind.SAVED, ["s0", "s1"])
+            assert (saved.kind, [e.backend_id for e in saved.entries]) == (
+                ListUpdateKind.CACHED,
+                ["s0", "s1"],
+            )
 
     run(test())
 
 
 def test_what_a_client_asks_reaches_the_module(script: type[Script]) -> None:
-    script.act = each(Arrival, lambda e: [Fail(e.request)])
+    script.act = each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             await client.ask("/purchase/x", idempotency_key="k", x_route_hash="7f3a9c21e0b4d655", x_again="1")
-            (arrival,) = events(Arrival)
-            assert (arrival.request, arrival.cls, arrival.key) == ("c1", 0, 0x7F3A9C21E0B4D655)
-            assert arrival.repeat
+            (arrival,) = events(RequestArrived)
+            assert (arrival.request_id, arrival.class_index, arrival.affinity_key) == (
+                "c1",
+                0,
+                0x7F3A9C21E0B4D655,
+            )
+            assert arrival.is_retry
 
     run(test())
 
 
 def test_a_client_waits_no_longer_than_its_class_allows(script: type[Script]) -> None:
     # The module takes the longest wait of a class for that of a first try: one client must not stretch it.
-    script.act = each(Arrival, lambda e: [Fail(e.request)])
+    script.act = each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
         async with proxy() as p:
             await (await p.client()).ask(x_budget_ms="999999999")
-            assert events(Arrival)[0].give_up <= now_ms() + 30000
+            assert events(RequestArrived)[0].deadline <= now_ms() + 30000
 
     run(test())
 
 
 def test_refusals_and_failures_go_out_at_once(script: type[Script]) -> None:
     script.act = each(
-        Arrival,
-        lambda e: [Fail(e.request)] if e.request == "f" else [Refuse(e.request, 250.0 * (e.request == "r"))],
+        RequestArrived,
+        lambda e: (
+            [Fail(e.request_id)]
+            if e.request_id == "f"
+            else [Reject(e.request_id, 250.0 * (e.request_id == "r"))]
+        ),
     )
 
     async def test() -> None:
@@ -123,7 +136,7 @@
             plain = await client.ask(x_call_id="p")
             assert plain.status == 503 and "retry-after" not in plain.headers
             assert (await client.ask(x_call_id="f")).status == 504
-            assert p.backends[0].connections == 0 and not events(ClientGone)
+            assert p.backends[0].connections == 0 and not events(ClientDisconnected)
 
     run(test())
 
@@ -133,7 +146,7 @@
         async with proxy() as p:
             client = await p.client()
             assert (await client.ask(x_budget_ms="30")).status == 504
-            await until(lambda: events(ClientGone))
+            await until(lambda: events(ClientDisconnected))
 
     run(test())
 
@@ -148,36 +161,45 @@
             p.engine.on_list_failure("test")
             p.engine._on_timer(8, p.engine.life)
             await until(lambda: script.batches)
-            assert script.batches == [[ServerList(ListKind.FAILED), TimerFired(7), TimerFired(8)]]
+            assert script.batches == [
+                [BackendListUpdate(ListUpdateKind.FAILED), TimerFired(7), TimerFired(8)]
+            ]
 
     run(test())
 
 
 def test_events_raised_by_actions_come_in_a_later_step(script: type[Script]) -> None:
-    script.act = each(Arrival, lambda e: [Send(e.request, "unknown", 1000.0), Log("after")])
+    script.act = each(
+        RequestArrived, lambda e: [Forward(e.request_id, "unknown", 1000.0), BackendEjected("s0", 3)]
+    )
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await until(lambda: events(Outcome))
+            await until(lambda: events(AttemptEnded))
             assert not any(
-                isinstance(e, Outcome) for b in script.batches for e in b if Arrival in map(type, b)
+                isinstance(e, AttemptEnded)
+                for b in script.batches
+                for e in b
+                if RequestArrived in map(type, b)
             )
-            assert events(Outcome)[0][:3] == ("c1", 0, Result.CONNECT_FAILED)
+            assert events(AttemptEnded)[0][:3] == ("c1", 0, AttemptResult.CONNECT_FAILED)
 
     run(test())
 
 
 def test_an_attempt_after_the_end_is_not_sent_and_gets_its_outcome(script: type[Script]) -> None:
-    script.act = each(Arrival, lambda e: [Fail(e.request), Send(e.request, "s0", 1000.0)])
+    script.act = each(RequestArrived, lambda e: [Fail(e.request_id), Forward(e.request_id, "s0", 1000.0)])
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             assert (await client.ask()).status == 504
-            await until(lambda: events(Outcome))
-            assert [(e.result, e.finished) for e in events(Outcome)] == [(Result.NOT_SENT, True)]
+            await until(lambda: events(AttemptEnded))
+            assert [(e.result, e.request_finished) for e in events(AttemptEnded)] == [
+                (AttemptResult.WITHDRAWN, True)
+            ]
             assert p.backends[0].connections == 0
             await until(lambda: not p.engine.requests)
 
@@ -187,10 +209,12 @@
 def test_a_client_that_leaves_as_its_request_is_sent_again_gets_nothing_sent(script: type[Script]) -> None:
     # The module hears of the outcome and of the client's leaving in one step, and has sent again between.
     def act(batch: list[Any]) -> list[Action]:
-        actions: list[Action] = [Send(e.request, "s0", 9000.0) for e in batch if isinstance(e, Arrival)]
+        actions: list[Action] = [
+            Forward(e.request_id, "s0", 9000.0) for e in batch if isinstance(e, RequestArrived)
+        ]
         for event in batch:
-            if isinstance(event, Outcome) and event.attempt == 0:
-                actions += [Send(event.request, "s0", 9000.0), Cancel(event.request, 1)]
+            if isinstance(event, AttemptEnded) and event.attempt_index == 0:
+                actions += [Forward(event.request_id, "s0", 9000.0), CancelAttempt(event.request_id, 1)]
         return actions
 
     script.act = staticmethod(act)
@@ -201,12 +225,12 @@
             client.send()
             await p.backends[0].calls.get()
             held = p.engine.requests["c1"]
-            held.attempts[0].end(Result.FULL)
+            held.attempts[0].end(AttemptResult.REJECTED)
             p.engine.client_gone("c1")
-            await until(lambda: len(events(Outcome)) == 2)
-            assert [(e.attempt, e.result) for e in events(Outcome)] == [
-                (0, Result.FULL),
-                (1, Result.NOT_SENT),
+            await until(lambda: len(events(AttemptEnded)) == 2)
+            assert [(e.attempt_index, e.result) for e in events(AttemptEnded)] == [
+                (0, AttemptResult.REJECTED),
+                (1, AttemptResult.WITHDRAWN),
             ]
             assert p.backends[0].calls.empty()
             await until(lambda: not p.engine.requests)
@@ -230,10 +254,10 @@
             sent_ahead(client, "c1", "c2", "c3")
             await until(lambda: p.frontend.paused)
             client.close()
-            await until(lambda: events(ClientGone))
-            assert events(ClientGone) == [ClientGone("c1")]
+            await until(lambda: events(ClientDisconnected))
+            assert events(ClientDisconnected) == [ClientDisconnected("c1")]
             await until(lambda: not p.frontend.clients)
-            assert [e.request for e in events(Arrival)] == ["c1"]
+            assert [e.request_id for e in events(RequestArrived)] == ["c1"]
 
     run(test())
 
@@ -264,7 +288,7 @@
             assert len(polls) == 1
             await until(lambda: len(p.frontend.clients) == 200)
             await until(lambda: not p.engine.events)  # the module hears of them a turn later
-            assert {e.request for e in events(ClientGone)} == {f"{n}-1" for n in range(0, 300, 3)}
+            assert {e.request_id for e in events(ClientDisconnected)} == {f"{n}-1" for n in range(0, 300, 3)}
             assert len(p.frontend.paused) == 200 and p.frontend.looker is not None
             p.frontend.looker.cancel()
 
@@ -275,7 +299,7 @@
     script: type[Script], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listener_module, "PAUSED_LOOK_S", 1000.0)  # this test is about the moment of taking
-    script.act = each(Arrival, lambda e: [Send(e.request, "s0", 9000.0)])
+    script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
         async with proxy() as p:
@@ -288,7 +312,7 @@
             await until(lambda: hung_up(inside.transport))
             call.reply()
             await until(lambda: not p.frontend.clients)
-            assert [e.request for e in events(Arrival)] == ["c1"]
+            assert [e.request_id for e in events(RequestArrived)] == ["c1"]
             assert p.backends[0].calls.empty()
 
     run(test())
@@ -300,21 +324,21 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await until(lambda: events(Arrival))
+            await until(lambda: events(RequestArrived))
             (inside,) = p.frontend.clients
             size = 0
             while inside.transport.get_write_buffer_size() == 0 or size < 8_000_000:
                 inside.transport.write(b"x" * 1_000_000)
                 size += 1_000_000
             client.writer.write_eof()
-            await until(lambda: events(ClientGone))
+            await until(lambda: events(ClientDisconnected))
             assert p.frontend.clients
 
     run(test())
 
 
 def test_a_client_that_leaves_in_the_turn_of_its_arrival_gets_nothing_sent(script: type[Script]) -> None:
-    script.act = each(Arrival, lambda e: [Send(e.request, "s0", 9000.0)])
+    script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
         async with proxy() as p:
@@ -342,9 +366,11 @@
     """Whether attempts may be called off or not: one that has not gone out is none yet."""
 
     def act(batch: list[Any]) -> list[Action]:
-        actions: list[Action] = [Send(e.request, "s0", 9000.0) for e in batch if isinstance(e, Arrival)]
-        gone = [e for e in batch if isinstance(e, ClientGone) and may_cancel]
-        return actions + [Cancel(e.request, 0) for e in gone]
+        actions: list[Action] = [
+            Forward(e.request_id, "s0", 9000.0) for e in batch if isinstance(e, RequestArrived)
+        ]
+        gone = [e for e in batch if isinstance(e, ClientDisconnected) and may_cancel]
+        return actions + [CancelAttempt(e.request_id, 0) for e in gone]
 
     script.act = staticmethod(act)
 
@@ -358,8 +384,8 @@
                 client.close()
             else:
                 assert (await client.reply()).status == 504
-            await until(lambda: events(Outcome))
-            assert events(Outcome)[0].result in (Result.NOT_SENT, Result.CANCELLED)
+            await until(lambda: events(AttemptEnded))
+            assert events(AttemptEnded)[0].result in (AttemptResult.WITHDRAWN, AttemptResult.CANCELLED)
             comes_up.set()
             other.send(x_call_id="other")
             (await gate.knocks.get()).set()
@@ -382,7 +408,7 @@
     else:
         client.writer.transport.abort()
     await until(lambda: hung_up(inside.transport))
-    assert not events(ClientGone)
+    assert not events(ClientDisconnected)
 
 
 @pytest.mark.parametrize("how", ["close", "half-close", "reset"])
@@ -393,8 +419,8 @@
     """Nor sent again: an attempt that begins 0.1 s after the close is a break, however late the loop is."""
 
     def act(batch: list[Any]) -> list[Action]:
-        kinds = (TimerFired, Arrival) if further else TimerFired
-        return [Send("c1", "s0", 9000.0) for e in batch if isinstance(e, kinds)]
+        kinds = (TimerFired, RequestArrived) if further else TimerFired
+        return [Forward("c1", "s0", 9000.0) for e in batch if isinstance(e, kinds)]
 
     script.act = staticmethod(act)
 
@@ -402,16 +428,18 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await until(lambda: events(Arrival))
+            await until(lambda: events(RequestArrived))
             if further:
                 (await p.backends[0].calls.get()).reply(status=500)
-                await until(lambda: events(Outcome))
+                await until(lambda: events(AttemptEnded))
             await leave_unseen(p, client, how)
             p.engine._on_timer(7, p.engine.life)
-            await until(lambda: len(events(Outcome)) == 1 + further)
-            assert events(Outcome)[-1][:3] == ("c1", int(further), Result.NOT_SENT)
-            await until(lambda: events(ClientGone) and not p.engine.requests and not p.frontend.clients)
-            assert events(ClientGone) == [ClientGone("c1")] and p.backends[0].calls.empty()
+            await until(lambda: len(events(AttemptEnded)) == 1 + further)
+            assert events(AttemptEnded)[-1][:3] == ("c1", int(further), AttemptResult.WITHDRAWN)
+            await until(
+                lambda: events(ClientDisconnected) and not p.engine.requests and not p.frontend.clients
+            )
+            assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].calls.empty()
             assert p.backends[0].connections == int(further)
 
     run(test())
@@ -421,7 +449,7 @@
 def test_a_connection_that_comes_up_for_a_client_that_left_unseen_carries_nothing(
     script: type[Script], how: str
 ) -> None:
-    script.act = each(Arrival, lambda e: [Send(e.request, "s0", 9000.0)])
+    script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
         async with proxy() as p:
@@ -431,10 +459,10 @@
             comes_up = await gate.knocks.get()
             await leave_unseen(p, client, how)
             comes_up.set()
-            await until(lambda: events(Outcome))
-            assert [e[:3] for e in events(Outcome)] == [("c1", 0, Result.NOT_SENT)]
+            await until(lambda: events(AttemptEnded))
+            assert [e[:3] for e in events(AttemptEnded)] == [("c1", 0, AttemptResult.WITHDRAWN)]
             await until(lambda: not p.engine.requests and not p.engine.backends.connections)
-            assert events(ClientGone) == [ClientGone("c1")] and p.backends[0].calls.empty()
+            assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].calls.empty()
 
     run(test())
 
@@ -448,11 +476,11 @@
     limit, within = 500_000.0 if over == "limit" else 9e6, 500_000.0 if over == "within" else 8e6
 
     def act(batch: list[Any]) -> list[Action]:
-        arrivals = [e.request for e in batch if isinstance(e, Arrival)]
+        arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "late" in arrivals:  # as if this step had begun so long ago
             engines[0].stepped = now_ms() - 1_000_000.0
-            return [Send("late", "s0", limit, within)]
-        return [Send(request, "s0", 9000.0) for request in arrivals]
+            return [Forward("late", "s0", limit, within)]
+        return [Forward(request, "s0", 9000.0) for request in arrivals]
 
     engines: list[Any] = []
     script.act = staticmethod(act)
@@ -473,8 +501,12 @@
                 call.reply()
                 assert (await client.reply()).status == 200
                 return
-            await until(lambda: len(events(Outcome)) == 1 + pooled)
-            assert events(Outcome)[-1][:3] == ("late", 0, Result.NO_ROOM)  # no blame on the backend
+            await until(lambda: len(events(AttemptEnded)) == 1 + pooled)
+            assert events(AttemptEnded)[-1][:3] == (
+                "late",
+                0,
+                AttemptResult.NO_LOCAL_RESOURCE,
+            )  # no blame on the backend
             assert p.backends[0].calls.empty() and p.backends[0].connections == int(pooled)
 
     run(test())
@@ -493,7 +525,7 @@
             client.writer.write(b"".join(sent))
             for _ in sent:
                 assert (await client.reply()).status == 504
-            first, *others = [arrival.give_up for arrival in events(Arrival)]
+            first, *others = [arrival.deadline for arrival in events(RequestArrived)]
             assert len(others) == 5 and all(abs(give_up - first) < 100.0 for give_up in others)
 
     run(test())
@@ -501,7 +533,7 @@
 
 def test_a_request_behind_another_is_answered_in_its_time_too(script: type[Script]) -> None:
     """Answers on a connection come in order, so the one before it can't keep all of its own time."""
-    script.act = each(Arrival, lambda e: [Send(e.request, "s0", 20000.0)])
+    script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 20000.0)])
 
     async def test() -> None:
         async with proxy() as p:
@@ -517,7 +549,7 @@
 
 def test_a_request_that_waited_for_a_place_has_the_time_that_is_left(script: type[Script]) -> None:
     """Its bytes came while no connection was accepted."""
-    script.act = each(Arrival, lambda e: [Send(e.request, "s0", 9000.0)])
+    script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
         async with proxy() as p:
@@ -534,7 +566,7 @@
             first.close()
             (await p.backends[0].calls.get()).reply()
             assert (await second.reply()).status == 200
-            assert events(Arrival)[1].give_up < sent + 9000.0 + 100.0
+            assert events(RequestArrived)[1].deadline < sent + 9000.0 + 100.0
 
     run(test())
 
@@ -548,7 +580,9 @@
     monkeypatch.setattr(listener_module, "last_arrival_ms", lambda _: clock[0] if told else None)
     monkeypatch.setattr(listener_module, "now_ms", lambda: now_ms() + clock[0])
     monkeypatch.setattr(request_parser_module, "now_ms", lambda: now_ms() + clock[0])
-    script.act = each(Arrival, lambda e: [Send(e.request, "s0", 9000.0)] * (e.request == "c1"))
+    script.act = each(
+        RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)] * (e.request_id == "c1")
+    )
 
     async def test() -> None:
         async with proxy() as p:
@@ -561,11 +595,11 @@
             await until(lambda: unread(inside.transport))
             clock[0] = 5000.0
             call.reply()
-            await until(lambda: len(events(Arrival)) == 2)
+            await until(lambda: len(events(RequestArrived)) == 2)
             p.engine.give_up()
             for _ in range(6):
                 await client.reply()
-            assert [e.request for e in events(Arrival)] == ["c1", "c2"]
+            assert [e.request_id for e in events(RequestArrived)] == ["c1", "c2"]
             assert inside.paused_at == 0.0 and inside.arrived < now_ms() + 2500.0
 
     run(test())
@@ -573,7 +607,10 @@
 
 def test_timers_watches_and_probes_are_carried_out(script: type[Script]) -> None:
     script.act = each(
-        ServerList, lambda e: [SetTimer(1.0, 42), Probe("s0"), Watch()] * (e.kind is ListKind.SAVED)
+        BackendListUpdate,
+        lambda e: (
+            [SetTimer(1.0, 42), SendHealthCheck("s0"), PollDiscovery()] * (e.kind is ListUpdateKind.CACHED)
+        ),
     )
 
     async def test() -> None:
@@ -583,9 +620,9 @@
             probe.reply()
             watch = await p.registry.calls.get()
             assert watch.line.startswith("GET /registry/instances?since=1&")
-            await until(lambda: events(TimerFired) and events(ProbeResult))
+            await until(lambda: events(TimerFired) and events(HealthCheckResult))
             assert events(TimerFired) == [TimerFired(42)]
-            assert events(ProbeResult)[0][:2] == ("s0", Result.OK)
+            assert events(HealthCheckResult)[0][:2] == ("s0", AttemptResult.OK)
 
     run(test())
 
@@ -594,10 +631,10 @@
     script: type[Script], capfd: pytest.CaptureFixture[str]
 ) -> None:
     def act(batch: list[Any]) -> list[Action]:
-        arrivals = [e.request for e in batch if isinstance(e, Arrival)]
+        arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "break" in arrivals:
             raise ZeroDivisionError("in the module")
-        return [Send(request, "s0", 9000.0) for request in arrivals]
+        return [Forward(request, "s0", 9000.0) for request in arrivals]
 
     script.act = staticmethod(act)
 
@@ -612,7 +649,10 @@
             first.send(x_call_id="later")  # a new module serves on, with the list as it stands
             (await p.backends[0].calls.get()).reply()
             assert (await first.reply()).status == 200
-            assert [e.kind for e in events(ServerList)] == [ListKind.SAVED, ListKind.SAVED]
+            assert [e.kind for e in events(BackendListUpdate)] == [
+                ListUpdateKind.CACHED,
+                ListUpdateKind.CACHED,
+            ]
             assert script.lives == 2
 
     run(test())
@@ -622,10 +662,10 @@
 
 def test_a_request_sent_ahead_of_a_break_is_served_by_the_new_module(script: type[Script]) -> None:
     def act(batch: list[Any]) -> list[Action]:
-        arrivals = [e.request for e in batch if isinstance(e, Arrival)]
+        arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "break" in arrivals:
             raise ZeroDivisionError("in the module")
-        return [Send(request, "s0", 9000.0) for request in arrivals]
+        return [Forward(request, "s0", 9000.0) for request in arrivals]
 
     script.act = staticmethod(act)
 
@@ -645,11 +685,11 @@
     """In the buffer, at a server, with a connection that comes up, and with a client that left just then."""
 
     def act(batch: list[Any]) -> list[Action]:
-        arrivals = [e.request for e in batch if isinstance(e, Arrival)]
+        arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "break" in arrivals:
             raise ZeroDivisionError("in the module")
         sends = {"out": "s0", "left": "s0", "coming": "s1", "later": "s0"}
-        return [Send(request, sends[request], 9000.0) for request in arrivals if request in sends]
+        return [Forward(request, sends[request], 9000.0) for request in arrivals if request in sends]
 
     script.act = staticmethod(act)
 
@@ -684,7 +724,7 @@
 
 def test_a_watch_that_ended_as_the_module_broke_is_opened_anew(script: type[Script]) -> None:
     def act(batch: list[Any]) -> list[Action]:
-        if any(isinstance(e, ServerList) and e.kind is ListKind.FAILED for e in batch):
+        if any(isinstance(e, BackendListUpdate) and e.kind is ListUpdateKind.FAILED for e in batch):
             raise ZeroDivisionError("in the module")
         return []
 
@@ -702,7 +742,7 @@
 def test_one_action_that_cannot_be_carried_out_leaves_the_others(
     script: type[Script], monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    script.act = each(Arrival, lambda e: [Probe("s0"), Fail(e.request)])
+    script.act = each(RequestArrived, lambda e: [SendHealthCheck("s0"), Fail(e.request_id)])
 
     async def test() -> None:
         async with proxy() as p:
@@ -729,11 +769,11 @@
 def test_a_guess_at_the_work_reaches_the_module_if_it_can_be_one(
     script: type[Script], told: str | None, work: float
 ) -> None:
-    script.act = each(Arrival, lambda e: [Fail(e.request)])
+    script.act = each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
         async with proxy() as p:
             assert (await (await p.client()).ask(x_call_cost=told)).status == 504
-            assert events(Arrival)[0].work == work
+            assert events(RequestArrived)[0].work_hint_ms == work
 
     run(test())
--- a/tests/proxy/test_incremental_json.py
+++ b/tests/proxy/test_incremental_json.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from dunecove.__main__ import Config
-from dunecove.policy.api import ServerState
+from dunecove.policy.models import BackendState
 from dunecove.proxy import incremental_json
 from dunecove.proxy.discovery_client import LONG_BYTES, PIECE, Discovery, Listing, check_ip, pack, unpack
 from dunecove.proxy.incremental_json import consumed, in_pieces
@@ -79,8 +79,20 @@
     assert next(tries) < 50
 
 
-HOSTS = ["10.1.0.18", "::1", "fe80::1%eth0", "1.2.3", "01.2.3.4", "1.2.3.4 ", "1.2.3.256", "host.name", "",
-         "1.2.3.4\0", "\u0661.2.3.4", "::ffff:1.2.3.4"]  # fmt: skip
+HOSTS = [
+    "10.1.0.18",
+    "::1",
+    "fe80::1%eth0",
+    "1.2.3",
+    "01.2.3.4",
+    "1.2.3.4 ",
+    "1.2.3.256",
+    "host.name",
+    "",
+    "1.2.3.4\0",
+    "\u0661.2.3.4",
+    "::ffff:1.2.3.4",
+]
 
 
 @pytest.mark.parametrize("host", HOSTS)
@@ -116,7 +128,7 @@
         for t in news.targets:
             held = self.discovery.held.of(t.uid)
             held.pop(t.uid, None)
-            if t.info.state is ServerState.ACTIVE:
+            if t.info.state is BackendState.ACTIVE:
                 held[t.uid] = pack(t)
 
     async def count(self) -> None:
@@ -157,7 +169,7 @@
         watched.told.clear()
         await watched.take(listing(3, *entries(20, 30, weight=0.5), *entries(900, 50), *entries(5, 2000)))
         told = {t.uid: t.info.state for _, news in watched.told for t in news.targets}
-        gone = [uid for uid, state in told.items() if state is ServerState.GONE]
+        gone = [uid for uid, state in told.items() if state is BackendState.REMOVED]
         assert len(told) == 20 + 5 + 30 + 50 and len(gone) == 30 + 50
         assert watched.held() == {e["uid"] for e in (*entries(920, 30), *entries(5, 2000))}
         known = watched.discovery.held.get("s-00000020")
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -18,8 +18,15 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            client.send("/purchase/7?x=1", body=b"\x00body", idempotency_key="k1", x_other="no",
-                        x_caller="acme", connection="x-hop", x_hop="dropped")  # fmt: skip
+            client.send(
+                "/purchase/7?x=1",
+                body=b"\x00body",
+                idempotency_key="k1",
+                x_other="no",
+                x_caller="acme",
+                connection="x-hop",
+                x_hop="dropped",
+            )
             call = await p.backends[0].calls.get()
             assert call.line == "POST /purchase/7?x=1 HTTP/1.1"
             assert call.body == b"\x00body"
@@ -72,7 +79,7 @@
         (400, "/answer", "POST", {"host": None}),
         (400, "/answer", "POST", {"X-Budget-Ms": "7"}),
     ],
-)  # fmt: skip
+)
 def test_bad_requests_are_answered_and_the_connection_stays_sane(
     status: int, path: str, method: str, headers: dict[str, str | None]
 ) -> None:
@@ -93,28 +100,41 @@
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n"),
         # Both lengths: another server could see another request in the body.
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\ncontent-length: 1\r\n\r\n"),
-        (400, b"POST /answer HTTP/1.1\r\nhost: a\r\nTRANSFER-ENCODING:\t Chunked \r\n"
-              b"Content-Length:1\r\n\r\n"),
-        (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding : chunked\r\n"
-              b"content-length: 1\r\n\r\n"),
+        (
+            400,
+            b"POST /answer HTTP/1.1\r\nhost: a\r\nTRANSFER-ENCODING:\t Chunked \r\nContent-Length:1\r\n\r\n",
+        ),
+        (
+            400,
+            b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding : chunked\r\ncontent-length: 1\r\n\r\n",
+        ),
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ncontent-length: 1\r\n\r\nx"),
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: gzip, chunked\r\n\r\n"),
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: -1\r\n\r\n"),
         # Bytes after the head are counted too, whatever they are.
-        (413, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n0\r\n"
-              + b"x-trailer: y\r\n" * 40000),
+        (
+            413,
+            b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n0\r\n"
+            + b"x-trailer: y\r\n" * 40000,
+        ),
         (413, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n1;" + b"e" * 400000),
         # A length that is too small: what follows at once shows that it does not tell the end.
-        (400, b"POST /answer HTTP/1.1\r\nhost: a\r\nx-call-id: c\r\nx-budget-ms: 20000\r\n"
-              b"content-length: 2\r\n\r\nbody"),
+        (
+            400,
+            b"POST /answer HTTP/1.1\r\nhost: a\r\nx-call-id: c\r\nx-budget-ms: 20000\r\n"
+            b"content-length: 2\r\n\r\nbody",
+        ),
         (400, b"GET /lookup HTTP/1.1\r\nhost: a\r\nx-long: " + b"y" * 20000 + b"\r\n\r\n"),
         (400, b"GET /lookup HTTP/1.1\r\nx-endless: " + b"y" * 200000),
         (413, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 65537\r\n\r\n"),
         (413, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 99999999999\r\n\r\n"),
-        (413, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n"
-              b"10001\r\n" + b"z" * 65537 + b"\r\n0\r\n\r\n"),
+        (
+            413,
+            b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n"
+            b"10001\r\n" + b"z" * 65537 + b"\r\n0\r\n\r\n",
+        ),
     ],
-)  # fmt: skip
+)
 def test_what_cannot_be_read_is_answered_and_the_connection_ends(status: int, sent: bytes) -> None:
     async def test() -> None:
         async with proxy() as p:
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -4,15 +4,16 @@
 
 import asyncio
 
-from dunecove.policy.api import ListKind, ServerInfo, ServerState, TimerFired
+from dunecove.policy.events import ListUpdateKind, TimerFired
+from dunecove.policy.models import BackendInfo, BackendState
 from dunecove.proxy.discovery_client import PIECE, Listing, Target
 from tests.loopback import Proxy, proxy, run
 
 
-def targets(n: int, first: int = 0, state: ServerState = ServerState.ACTIVE) -> tuple[Target, ...]:
+def targets(n: int, first: int = 0, state: BackendState = BackendState.ACTIVE) -> tuple[Target, ...]:
     """Nothing answers at these."""
     return tuple(
-        Target(f"s-{i:08x}", f"127.1.{i // 250 % 250}.{i % 250}", 9, ServerInfo(f"s-{i:08x}", state))
+        Target(f"s-{i:08x}", f"127.1.{i // 250 % 250}.{i % 250}", 9, BackendInfo(f"s-{i:08x}", state))
         for i in range(first, first + n)
     )
 
@@ -34,7 +35,7 @@
 def test_a_long_list_makes_no_pools_and_is_told_the_module_in_pieces() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(Listing(2, True, targets(10 * PIECE)), ListKind.SAVED)
+            p.engine.on_list(Listing(2, True, targets(10 * PIECE)), ListUpdateKind.CACHED)
             assert not p.engine.backends.backends and p.engine.backends.active() == 10 * PIECE
             assert await told(p) >= 10
             assert p.engine.balancer.listed == 10 * PIECE and names(p) == set(p.engine.backends.targets)
@@ -45,8 +46,8 @@
 def test_what_changes_while_it_is_told_counts_at_once() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(Listing(2, True, targets(5 * PIECE)), ListKind.SAVED)
-            last = targets(1, 5 * PIECE - 1, ServerState.DRAINING)
+            p.engine.on_list(Listing(2, True, targets(5 * PIECE)), ListUpdateKind.CACHED)
+            last = targets(1, 5 * PIECE - 1, BackendState.DRAINING)
             p.engine.on_list(Listing(3, False, (*last, *targets(1, 9999))))
             assert p.engine.backends.active() == 5 * PIECE
             await told(p)
@@ -58,7 +59,7 @@
 def test_a_new_module_hears_of_the_whole_long_list() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(Listing(2, True, targets(5 * PIECE)), ListKind.SAVED)
+            p.engine.on_list(Listing(2, True, targets(5 * PIECE)), ListUpdateKind.CACHED)
             await asyncio.sleep(0)
             old = p.engine.balancer
             p.engine.balancer.step = lambda now, events: [] if 1 / 0 else []  # type: ignore[method-assign]
--- a/tests/proxy/test_telemetry.py
+++ b/tests/proxy/test_telemetry.py
@@ -7,40 +7,39 @@
 
 import pytest
 
-from dunecove.policy.api import (
-    Action,
-    Arrival,
-    Effect,
-    Outcome,
-    Refuse,
-    RequestClass,
-    Result,
-    Scope,
-    Send,
-    Settings,
+from dunecove.policy.actions import Action, Forward, Reject
+from dunecove.policy.events import AttemptEnded, RequestArrived
+from dunecove.policy.models import AttemptResult, DeduplicationScope, Idempotency
+from dunecove.policy.request_rules import (
+    Denial,
+    Violation,
+    attempt_denial,
+    may_close_connection,
+    may_reject,
+    retry_denial,
 )
-from dunecove.policy.request_rules import Denial, Violation, may_close, may_refuse, repeat_denial, send_denial
+from dunecove.policy.settings import RequestClass, Settings
 from dunecove.proxy import engine as engine_module
 from dunecove.proxy.telemetry import LibraryHandler, Telemetry
 from tests.loopback import proxy, run
 
-UNSAFE = RequestClass(300.0, 1000.0, Effect.UNSAFE)
+UNSAFE = RequestClass(300.0, 1000.0, Idempotency.NON_IDEMPOTENT)
 SAFE = RequestClass(300.0, 1000.0)
 
 
-def keyed(scope: Scope) -> RequestClass:
-    return RequestClass(300.0, 1000.0, Effect.KEYED, scope, 500.0)
+def keyed(scope: DeduplicationScope) -> RequestClass:
+    return RequestClass(300.0, 1000.0, Idempotency.KEYED, scope, 500.0)
 
 
 class Tried(NamedTuple):
     zone: int = 0
     cell: int = 0
-    sent: float = 1000.0
-    open: bool = False
-    maybe_ran: bool = True
+    sent_at: float = 1000.0
+    is_open: bool = False
+    may_have_executed: bool = True
 
 
-NEVER = Tried(maybe_ran=False)
+NEVER = Tried(may_have_executed=False)
 
 
 @pytest.mark.parametrize(
@@ -48,44 +47,44 @@
     [
         (UNSAFE, [], Tried(), 1000.0, None),
         (UNSAFE, [NEVER], Tried(), 1000.0, None),
-        (UNSAFE, [Tried()], Tried(), 1000.0, Denial.MAY_HAVE_RUN),
-        (UNSAFE, [Tried(open=True)], Tried(), 1000.0, Denial.SECOND_COPY),
-        (SAFE, [Tried(open=True)], Tried(), 1000.0, Denial.SECOND_COPY),
+        (UNSAFE, [Tried()], Tried(), 1000.0, Denial.MAY_HAVE_EXECUTED),
+        (UNSAFE, [Tried(is_open=True)], Tried(), 1000.0, Denial.CONCURRENT_ATTEMPT),
+        (SAFE, [Tried(is_open=True)], Tried(), 1000.0, Denial.CONCURRENT_ATTEMPT),
         (SAFE, [Tried()], Tried(1, 1), 9999.0, None),
         (SAFE, [NEVER] * 3, Tried(), 1000.0, Denial.TOO_MANY_ATTEMPTS),
-        (keyed(Scope.ALL), [Tried()], Tried(1, 1), 1499.0, None),
-        (keyed(Scope.ALL), [Tried()], Tried(), 1500.0, Denial.WINDOW_OVER),
-        (keyed(Scope.ZONE), [Tried()], Tried(0, 1), 1499.0, None),
-        (keyed(Scope.ZONE), [Tried()], Tried(1, 0), 1499.0, Denial.OUTSIDE_GROUP),
-        (keyed(Scope.CELL), [Tried()], Tried(0, 1), 1499.0, Denial.OUTSIDE_GROUP),
-        (keyed(Scope.CELL), [NEVER], Tried(1, 1), 9999.0, None),
-        (keyed(Scope.CELL), [NEVER, Tried(1, 1)], Tried(1, 1), 1499.0, None),
+        (keyed(DeduplicationScope.ALL), [Tried()], Tried(1, 1), 1499.0, None),
+        (keyed(DeduplicationScope.ALL), [Tried()], Tried(), 1500.0, Denial.DEDUP_WINDOW_OVER),
+        (keyed(DeduplicationScope.ZONE), [Tried()], Tried(0, 1), 1499.0, None),
+        (keyed(DeduplicationScope.ZONE), [Tried()], Tried(1, 0), 1499.0, Denial.OUTSIDE_DEDUP_SCOPE),
+        (keyed(DeduplicationScope.CELL), [Tried()], Tried(0, 1), 1499.0, Denial.OUTSIDE_DEDUP_SCOPE),
+        (keyed(DeduplicationScope.CELL), [NEVER], Tried(1, 1), 9999.0, None),
+        (keyed(DeduplicationScope.CELL), [NEVER, Tried(1, 1)], Tried(1, 1), 1499.0, None),
     ],
 )
 def test_what_may_be_sent(
     spec: RequestClass, earlier: list[Tried], place: Tried, now: float, denial: Denial | None
 ) -> None:
-    settings = Settings((spec,), most_attempts=3)
-    assert send_denial(settings, spec, earlier, place, now) is denial
-    if denial is not Denial.OUTSIDE_GROUP:
-        assert repeat_denial(settings, spec, earlier, now) is denial
+    settings = Settings((spec,), max_attempts=3)
+    assert attempt_denial(settings, spec, earlier, place, now) is denial
+    if denial is not Denial.OUTSIDE_DEDUP_SCOPE:
+        assert retry_denial(settings, spec, earlier, now) is denial
 
 
 def test_two_copies_where_the_settings_allow_them() -> None:
-    settings = Settings((SAFE,), most_attempts=3, may_duplicate=True)
-    assert send_denial(settings, SAFE, [Tried(open=True)], Tried(), 1000.0) is None
+    settings = Settings((SAFE,), max_attempts=3, may_hedge=True)
+    assert attempt_denial(settings, SAFE, [Tried(is_open=True)], Tried(), 1000.0) is None
 
 
 def test_what_may_be_refused_and_closed() -> None:
     for spec, refused in (
         (SAFE, True),
         (UNSAFE, False),
-        (keyed(Scope.CELL), False),
-        (keyed(Scope.ALL), True),
+        (keyed(DeduplicationScope.CELL), False),
+        (keyed(DeduplicationScope.ALL), True),
     ):
-        assert may_refuse(spec, [NEVER]) and may_refuse(spec, [NEVER, Tried()]) is refused
-    assert may_close(False, False)
-    assert not may_close(True, False) and not may_close(False, True)
+        assert may_reject(spec, [NEVER]) and may_reject(spec, [NEVER, Tried()]) is refused
+    assert may_close_connection(False, False)
+    assert not may_close_connection(True, False) and not may_close_connection(False, True)
 
 
 def scripted(monkeypatch: pytest.MonkeyPatch, after: Action) -> None:
@@ -96,8 +95,8 @@
             pass
 
         def step(self, now: float, events: list[Any]) -> list[Action]:
-            sends = [Send(e.request, "s0", 9000.0) for e in events if isinstance(e, Arrival)]
-            ended = [e for e in events if isinstance(e, Outcome) and e.result is Result.ERROR]
+            sends = [Forward(e.request_id, "s0", 9000.0) for e in events if isinstance(e, RequestArrived)]
+            ended = [e for e in events if isinstance(e, AttemptEnded) and e.result is AttemptResult.ERROR]
             return [*sends, *(after for _ in ended)]
 
     monkeypatch.setattr(engine_module, "Balancer", Module)
@@ -106,8 +105,8 @@
 @pytest.mark.parametrize(
     ("after", "kind"),
     [
-        (Send("c1", "s0", 9000.0), Violation.BAD_SEND),
-        (Refuse("c1", 0.0), Violation.BAD_REFUSAL),
+        (Forward("c1", "s0", 9000.0), Violation.FORBIDDEN_ATTEMPT),
+        (Reject("c1", 0.0), Violation.FORBIDDEN_REJECTION),
     ],
 )
 def test_a_decision_that_breaks_a_rule_is_not_carried_out_but_counted(
--- a/tests/support.py
+++ b/tests/support.py
@@ -5,58 +5,55 @@
 from itertools import count
 from typing import Any, TypeVar
 
-from dunecove.policy.api import (
-    Action,
-    Arrival,
-    ListKind,
-    Outcome,
-    RequestClass,
-    Result,
-    Send,
-    ServerInfo,
-    ServerList,
-    Settings,
-    TimerFired,
-)
+from dunecove.policy.actions import Action, Forward
 from dunecove.policy.balancer import Balancer
+from dunecove.policy.events import AttemptEnded, BackendListUpdate, ListUpdateKind, RequestArrived, TimerFired
+from dunecove.policy.models import AttemptResult, BackendInfo
+from dunecove.policy.settings import RequestClass, Settings
 
 A = TypeVar("A")
 
 
 def settings(*classes: RequestClass, **more: Any) -> Settings:
-    base: dict[str, Any] = {"most_attempts": 4, "may_cancel": True, "tick_ms": 1.0}
+    base: dict[str, Any] = {"max_attempts": 4, "may_cancel": True, "step_interval_ms": 1.0}
     return Settings(classes=classes or (RequestClass(300.0, 1000.0),), **(base | more))
 
 
 class Driver:
     """One Balancer, a clock that the test sets, and every send kept by attempt."""
 
-    def __init__(self, config: Settings, *servers: ServerInfo, seed: int = 1) -> None:
+    def __init__(self, config: Settings, *servers: BackendInfo, seed: int = 1) -> None:
         self.balancer = Balancer(config, seed)
         self.now = 1000.0
         self.ids = count()
         self.sends: dict[str, list[str]] = {}
-        self.step(ServerList(ListKind.SAVED, servers))
+        self.step(BackendListUpdate(ListUpdateKind.CACHED, servers))
 
     def step(self, *events: Any, after: float = 0.0) -> list[Action]:
         self.now += after
         actions = self.balancer.step(self.now, list(events))
         for action in actions:
-            if isinstance(action, Send):
-                self.sends.setdefault(action.request, []).append(action.server)
+            if isinstance(action, Forward):
+                self.sends.setdefault(action.request_id, []).append(action.backend_id)
         return actions
 
     def arrive(self, cls: int = 0, tenant: int = 0, key: int | None = None, wait: float = 1000.0) -> str:
         name = f"r{next(self.ids)}"
-        self.last = self.step(Arrival(name, cls, tenant, key, self.now + wait))
+        self.last = self.step(RequestArrived(name, cls, tenant, key, self.now + wait))
         return name
 
-    def end(self, request: str, result: Result = Result.OK, after: float = 20.0, done: bool | None = None,
-            delay: float | None = None) -> list[Action]:  # fmt: skip
+    def end(
+        self,
+        request: str,
+        result: AttemptResult = AttemptResult.OK,
+        after: float = 20.0,
+        done: bool | None = None,
+        delay: float | None = None,
+    ) -> list[Action]:
         attempt = len(self.sends[request]) - 1
-        finished = result is Result.OK if done is None else done
+        finished = result is AttemptResult.OK if done is None else done
         delay = after if delay is None else delay
-        return self.step(Outcome(request, attempt, result, delay, finished), after=after)
+        return self.step(AttemptEnded(request, attempt, result, delay, finished), after=after)
 
     def beat(self, after: float = 25.0) -> list[Action]:
         return self.step(TimerFired(0), after=after)
@@ -72,5 +69,5 @@
     return [a for a in actions if isinstance(a, kind)]
 
 
-def fleet(n: int, **more: Any) -> list[ServerInfo]:
-    return [ServerInfo(f"10.0.0.{i}:80", **more) for i in range(n)]
+def fleet(n: int, **more: Any) -> list[BackendInfo]:
+    return [BackendInfo(f"10.0.0.{i}:80", **more) for i in range(n)]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,8 +10,8 @@
 import pytest
 
 from dunecove.adapter import Host, read_arrival
-from dunecove.policy.api import Arrival
 from dunecove.policy.balancer import Balancer
+from dunecove.policy.events import RequestArrived
 
 INFO: dict[str, Any] = {
     "Balancers": 2,
@@ -23,10 +23,28 @@
     {"what": "Provision", "ProxyId": 3, "Entropy": 7, "Info": INFO},
     {"what": "PeersKnown", "ProxyId": 3, "Rev": 1, "Mode": "SAVED", "Records": [ENTRY]},
 ]
-CALL = {"what": "Incoming", "ProxyId": 3, "Call": "ab", "Lane": 0, "Tenant": 0, "Subject": None,
-        "GiveUpAtMs": 900.0, "EffortMs": None, "Bitmap": 0}  # fmt: skip
-REPLY = {"what": "Reply", "ProxyId": 3, "Call": "ab", "Leg": 0, "Backend": "10.0.0.1:80", "How": "ok",
-         "DelaySeenMs": 9.5, "Finished": True, "ServerStats": {"new": 1}}  # fmt: skip
+CALL = {
+    "what": "Incoming",
+    "ProxyId": 3,
+    "Call": "ab",
+    "Lane": 0,
+    "Tenant": 0,
+    "Subject": None,
+    "GiveUpAtMs": 900.0,
+    "EffortMs": None,
+    "Bitmap": 0,
+}
+REPLY = {
+    "what": "Reply",
+    "ProxyId": 3,
+    "Call": "ab",
+    "Leg": 0,
+    "Backend": "10.0.0.1:80",
+    "How": "ok",
+    "DelaySeenMs": 9.5,
+    "Finished": True,
+    "ServerStats": {"new": 1},
+}
 
 
 def run(*lines: str) -> tuple[int, list[dict[str, Any]], str]:
@@ -123,4 +141,4 @@
 def test_a_hint_of_the_work_counts_only_where_it_is_said_to_be_valid(bits: int, work: float) -> None:
     raw = {"Call": "a", "Lane": 0, "GiveUpAtMs": 9.0, "EffortMs": 12.5, "Bitmap": bits}
     arrival = read_arrival(raw, 1)
-    assert isinstance(arrival, Arrival) and arrival.work == work
+    assert isinstance(arrival, RequestArrived) and arrival.work_hint_ms == work
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -77,7 +77,7 @@
         (GOOD | {"limits": {"memory_mb": 0}}, "memory_mb"),
         (GOOD | {"settings": {"Lanes": []}}, "class"),
         (GOOD | {"settings": {}}, "Lanes"),
-        (GOOD | {"settings": GOOD["settings"] | {"TickMs": 0}}, "tick_ms"),
+        (GOOD | {"settings": GOOD["settings"] | {"TickMs": 0}}, "step_interval_ms"),
         (GOOD | {"settings": GOOD["settings"] | {"Limits": {"ConnIdleMs": -1}}}, "conn_idle_ms"),
     ],
 )
--- a/tests/tools/test_fleet.py
+++ b/tests/tools/test_fleet.py
@@ -11,7 +11,7 @@
 import pytest
 from click.testing import CliRunner
 
-from dunecove.policy.api import Result
+from dunecove.policy.models import AttemptResult
 from scale.fleet.cli import fleet
 from scale.fleet.clock import ORIGIN_S, VirtualLoop, virtual_loop
 from scale.fleet.proxy import HollowProxy
@@ -100,8 +100,15 @@
     answer = caller.answer()
     assert (answer["rev"], answer["all"], len(answer["targets"])) == (1, True, 2000)
     assert set(answer["targets"][0]) == {
-        "uid", "endpoint", "az", "model", "pod_group", "state", "capacity_hint", "boot_ms"
-    }  # fmt: skip
+        "uid",
+        "endpoint",
+        "az",
+        "model",
+        "pod_group",
+        "state",
+        "capacity_hint",
+        "boot_ms",
+    }
 
 
 def test_a_watch_waits_for_changes_and_gets_them_alone() -> None:
@@ -285,23 +292,32 @@
     world, rng = run.world, Random(1)
     other = [b for b in world.active() if b.region not in CUT_REGIONS]
     lost, drained, apart = other[0], other[1], world.active(lambda b: b.region in CUT_REGIONS)[0]
-    assert world.serve(lost.uid, 0, rng)[0] is Result.OK
+    assert world.serve(lost.uid, 0, rng)[0] is AttemptResult.OK
     world.lose([lost])
     world.drain([drained])
-    assert world.serve(lost.uid, 0, rng) == (Result.CONNECT_FAILED, world.rules.connect_ms)
-    assert world.serve(drained.uid, 0, rng)[0] is Result.OK  # inside its grace
+    assert world.serve(lost.uid, 0, rng) == (AttemptResult.CONNECT_FAILED, world.rules.connect_ms)
+    assert world.serve(drained.uid, 0, rng)[0] is AttemptResult.OK  # inside its grace
     until(run.loop, 2.0)
-    assert world.serve(drained.uid, 0, rng)[0] is Result.FULL
+    assert world.serve(drained.uid, 0, rng)[0] is AttemptResult.REJECTED
     world.part(5.0)
-    assert world.serve(apart.uid, 0, rng)[0] is Result.CONNECT_FAILED
-    assert world.serve(apart.uid, next(iter(CUT_REGIONS)), rng)[0] is Result.OK
+    assert world.serve(apart.uid, 0, rng)[0] is AttemptResult.CONNECT_FAILED
+    assert world.serve(apart.uid, next(iter(CUT_REGIONS)), rng)[0] is AttemptResult.OK
 
 
 @pytest.mark.parametrize(
     "bad",
-    [{"backends": 0}, {"proxies": 0}, {"seconds": 5}, {"event": "flood"}, {"rate": -1.0}, {"grace_ms": 0.0},
-     {"churn": float("nan")}, {"frozen": 12}, {"services": 0}],
-)  # fmt: skip
+    [
+        {"backends": 0},
+        {"proxies": 0},
+        {"seconds": 5},
+        {"event": "flood"},
+        {"rate": -1.0},
+        {"grace_ms": 0.0},
+        {"churn": float("nan")},
+        {"frozen": 12},
+        {"services": 0},
+    ],
+)
 def test_bad_plans(bad: dict[str, Any]) -> None:
     with pytest.raises(BadPlan, match=next(iter(bad))):
         Plan(**(SMALL | bad)).check()
@@ -317,9 +333,15 @@
 
 @pytest.mark.parametrize(
     "bad",
-    [["--event", "flood"], ["--backends", "0"], ["--memory-mb", "1"], ["--backends", "x"], ["--none"],
-     ["--json", "/nowhere/out.json"]],
-)  # fmt: skip
+    [
+        ["--event", "flood"],
+        ["--backends", "0"],
+        ["--memory-mb", "1"],
+        ["--backends", "x"],
+        ["--none"],
+        ["--json", "/nowhere/out.json"],
+    ],
+)
 def test_command_says_in_one_line_what_is_wrong(bad: list[str]) -> None:
     done = CliRunner().invoke(fleet, bad)
     assert done.exit_code == 2
--- a/tests/tools/test_soak.py
+++ b/tests/tools/test_soak.py
@@ -9,7 +9,7 @@
 import pytest
 import uvloop
 
-from dunecove.policy.api import Effect
+from dunecove.policy.models import Idempotency
 from soak.judge import Rule, cold_bound, judge
 from soak.records import Agent, Attempt, BadClient, Journal, Lane, Life, Ran, Request, Told
 from soak.run import Plan, play
@@ -18,9 +18,9 @@
 Step = Callable[[Journal], object]
 SAFE, UNSAFE, KEYED = 0, 1, 2
 LANES = (
-    Lane("safe", Effect.SAFE, 0.4, 1.0),
-    Lane("unsafe", Effect.UNSAFE, 0.4, 1.0),
-    Lane("keyed", Effect.KEYED, 0.4, 1.0, 0.5),
+    Lane("safe", Idempotency.IDEMPOTENT, 0.4, 1.0),
+    Lane("unsafe", Idempotency.NON_IDEMPOTENT, 0.4, 1.0),
+    Lane("keyed", Idempotency.KEYED, 0.4, 1.0, 0.5),
 )
 
 
@@ -92,7 +92,7 @@
             [Rule.CRASH],
         ),
         ([lambda j: j.lives.append(Life(1, 1, 0.0))], [Rule.READY]),
-        ([lambda j: j.lives[0].log.append("dunecove: violation: bad_send")], [Rule.SELF]),
+        ([lambda j: j.lives[0].log.append("dunecove: violation: forbidden_attempt")], [Rule.SELF]),
         ([lambda j: j.bad_clients.append(BadClient(0, 1, 5.0, "half"))], [Rule.BAD_CLIENT]),
         ([lambda j: j.bad_clients.append(BadClient(0, 1, 5.0, "half", 7.5))], []),
     ],
