--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -148,113 +148,119 @@
 GIVEN_UP = (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)  # we stopped waiting
 
 
-class Server:
+class Backend:
     """What this proxy knows of one server."""
 
     __slots__ = (
-        "proxies",
+        "proxy_count",
         "id",
-        "hash",
+        "name_hash",
         "started_at",
         "state",
         "zone",
         "kind",
         "cell",
-        "inflight",
+        "in_flight",
         "rank",
         "weight",
         "limit",
-        "peak",
-        "samples",
-        "latency",
-        "floor",
-        "heard_count",
-        "crowd",
+        "peak_in_flight",
+        "window_responses",
+        "latency_ms",
+        "base_latency_ms",
+        "response_count",
+        "saturation",
         "payoff",
-        "plays",
-        "strikes",
-        "rest_until",
-        "rest_ms",
-        "answered",
-        "rate",
-        "tokens",
-        "blames",
-        "told_at",
-        "silent_from",
+        "outcome_count",
+        "consecutive_failures",
+        "ejected_until",
+        "ejection_ms",
+        "responses_this_second",
+        "response_rate",
+        "slow_start_tokens",
+        "failure_reports",
+        "gossiped_at",
+        "responsive_at",
         "cold_until",
-        "draw_at",
+        "next_draw_at",
     )
 
     def __init__(self, info: BackendInfo, proxies: int) -> None:
-        self.proxies = proxies
-        self.id, self.hash = info.backend_id, crc32(info.backend_id.encode())
+        self.proxy_count = proxies
+        self.id, self.name_hash = info.backend_id, crc32(info.backend_id.encode())
         self.started_at: float | None
         self.state, self.zone, self.kind, self.cell = info.state, info.zone, info.kind, info.cell
-        self.inflight, self.rank, self.weight = 0, 0, 1.0
+        self.in_flight, self.rank, self.weight = 0, 0, 1.0
         self.forget()
 
     def forget(self) -> None:
         """A process that has just started shares nothing with the one before it."""
-        self.limit, self.peak, self.samples = START_LIMIT / self.proxies, 0, 0
-        self.latency, self.floor, self.heard_count = 0.0, 0.0, 0
-        self.crowd = 0.0  # smoothed latency as a part of the aim
-        self.payoff, self.plays = 1.0, 0.0
-        self.strikes, self.rest_until, self.rest_ms = 0, 0.0, REST_MS[0]
-        self.answered, self.rate, self.tokens = 0, 0.0, 0.0
-        self.draw_at = 0.0  # when it is next drawn whether a cold one may get a request of this proxy
-        self.blames: list[tuple[float, int]] = []  # when and by which proxy it was last seen to fail
-        self.told_at = -inf  # when this proxy last told the others of it
-        self.silent_from = 0.0  # its last answer, or the first send since it held nothing of ours
+        self.limit, self.peak_in_flight, self.window_responses = START_LIMIT / self.proxy_count, 0, 0
+        self.latency_ms, self.base_latency_ms, self.response_count = 0.0, 0.0, 0
+        self.saturation = 0.0  # smoothed latency as a part of the aim
+        self.payoff, self.outcome_count = 1.0, 0.0
+        self.consecutive_failures, self.ejected_until, self.ejection_ms = 0, 0.0, REST_MS[0]
+        self.responses_this_second, self.response_rate, self.slow_start_tokens = 0, 0.0, 0.0
+        self.next_draw_at = 0.0  # when it is next drawn whether a cold one may get a request of this proxy
+        self.failure_reports: list[tuple[float, int]] = []  # when and by which proxy it was last seen to fail
+        self.gossiped_at = -inf  # when this proxy last told the others of it
+        self.responsive_at = 0.0  # its last answer, or the first send since it held nothing of ours
         self.started_at, self.cold_until = None, 0.0
 
-    def room(self, now: float, each: float = 0.0) -> bool:
-        if self.rest_until > now:
+    def has_capacity(self, now: float, each: float = 0.0) -> bool:
+        if self.ejected_until > now:
             return False
-        if self.strikes >= STRIKES:  # back from a rest: one request on trial, not a full load
-            return self.inflight == 0
-        if self.cold_until > now and self.tokens < 1.0:
+        if self.consecutive_failures >= STRIKES:  # back from a rest: one request on trial, not a full load
+            return self.in_flight == 0
+        if self.cold_until > now and self.slow_start_tokens < 1.0:
             return False
-        return self.inflight < max(self.limit, each)
+        return self.in_flight < max(self.limit, each)
 
-    def learn_latency(self, latency: float, part_of_aim: float) -> None:
+    def record_latency(self, latency: float, part_of_aim: float) -> None:
         """The limit follows the requests of ours that wait inside the server: limit x (1 - floor/latency)."""
-        self.heard_count += 1
-        step = max(LATENCY_STEP, 1 / self.heard_count)
-        self.latency += (min(latency, 2 * (self.latency or latency)) - self.latency) * step
-        self.crowd += (part_of_aim - self.crowd) * step
-        if self.heard_count <= 1 / LATENCY_STEP:  # a floor from one lucky answer would last for long
-            self.floor = self.latency
-        self.floor = min(self.floor + (self.latency - self.floor) * FLOOR_DRIFT, self.latency)
-        self.samples += 1
-        if self.samples < max(8, self.limit):
+        self.response_count += 1
+        step = max(LATENCY_STEP, 1 / self.response_count)
+        self.latency_ms += (min(latency, 2 * (self.latency_ms or latency)) - self.latency_ms) * step
+        self.saturation += (part_of_aim - self.saturation) * step
+        if self.response_count <= 1 / LATENCY_STEP:  # a floor from one lucky answer would last for long
+            self.base_latency_ms = self.latency_ms
+        self.base_latency_ms = min(
+            self.base_latency_ms + (self.latency_ms - self.base_latency_ms) * FLOOR_DRIFT, self.latency_ms
+        )
+        self.window_responses += 1
+        if self.window_responses < max(8, self.limit):
             return
-        waiting = min(self.peak, self.limit) * (1 - self.floor / self.latency) * self.proxies
-        if waiting > QUEUE_HIGH or self.crowd > CROWD:
-            self.cut(LIMIT_CUT)
-        elif waiting < QUEUE_LOW and self.peak + 1 > self.limit:
-            self.limit += min(1.0, 2 / self.proxies)
-        self.samples, self.peak = 0, self.inflight
-
-    def cut(self, factor: float) -> None:
+        waiting = (
+            min(self.peak_in_flight, self.limit)
+            * (1 - self.base_latency_ms / self.latency_ms)
+            * self.proxy_count
+        )
+        if waiting > QUEUE_HIGH or self.saturation > CROWD:
+            self.reduce_limit(LIMIT_CUT)
+        elif waiting < QUEUE_LOW and self.peak_in_flight + 1 > self.limit:
+            self.limit += min(1.0, 2 / self.proxy_count)
+        self.window_responses, self.peak_in_flight = 0, self.in_flight
+
+    def reduce_limit(self, factor: float) -> None:
         """Each proxy is one of several. Together they never go below one request at work and one to follow,
         or the server would stand idle between two."""
-        self.limit = min(self.limit, max(FLOOR_LIMIT / self.proxies, self.limit * factor))
+        self.limit = min(self.limit, max(FLOOR_LIMIT / self.proxy_count, self.limit * factor))
 
 
-class Far:
+class UnsubscribedBackends:
     """The servers beyond those that a proxy keeps to: what the list tells of them, and nothing learned. By
     rank in buckets, so that none of this takes longer the more there are. Bytes, which the collector has no
     work with, and names as keys: those that rank alike are still two."""
 
     def __init__(self, me: int) -> None:
-        self.me, self.count = me, 0
+        self.proxy_index, self.count = me, 0
         self.buckets: dict[int, dict[str, bytes]] = {}
         # Which buckets may hold servers of a cell or zone, as bits: hints, put right as they are followed.
         self.cells: dict[int, int] = {}
         self.zones: dict[int, int] = {}
 
     def rank(self, name: str) -> tuple[int, str]:
-        return mix(self.me + 1, crc32(name.encode())), name
+        return mix(self.proxy_index + 1, crc32(name.encode())), name
 
     def put(self, name: str, traits: Traits) -> None:
         number = self.rank(name)[0] >> FAR_SHIFT
@@ -309,78 +315,99 @@
 
 
 class Attempt:
-    def __init__(self, server: Server, sent: float) -> None:
-        self.server, self.sent_at, self.is_open, self.may_have_executed = server, sent, True, True
+    def __init__(self, server: Backend, sent: float) -> None:
+        self.backend, self.sent_at, self.is_open, self.may_have_executed = server, sent, True, True
         self.zone, self.cell = server.zone, server.cell  # where it was sent, wherever the list puts it later
 
 
 class Request:
     def __init__(
-        self, event: RequestArrived, spec: RequestClass, place: Endpoint, now: float, first: float
+        self, event: RequestArrived, spec: RequestClass, place: RequestQueue, now: float, first: float
     ) -> None:
-        self.id, self.cls, self.key, self.give_up = (
+        self.id, self.class_index, self.affinity_key, self.deadline = (
             event.request_id,
             event.class_index,
             event.affinity_key,
             event.deadline,
         )
-        self.spec, self.endpoint, self.arrived, self.work = spec, place, now, event.work_hint_ms
+        self.request_class, self.queue, self.arrived_at, self.work_hint_ms = (
+            spec,
+            place,
+            now,
+            event.work_hint_ms,
+        )
         # Where late answers earn something a late repeat still does; failing it brings it back once more.
-        self.aim_end = (now if spec.late_weight > 0 else first) + spec.latency_objective_ms
+        self.objective_end = (now if spec.late_weight > 0 else first) + spec.latency_objective_ms
         # After this an answer is worth nothing, or the client has left.
-        self.useful = event.deadline if spec.late_weight > 0 else min(event.deadline, self.aim_end)
+        self.useful_until = (
+            event.deadline if spec.late_weight > 0 else min(event.deadline, self.objective_end)
+        )
         self.attempts: list[Attempt] = []
-        self.last_call = event.deadline  # the last moment to send it
-        self.open = 0  # attempts without an outcome
-        self.held = self.over = self.stream = False
-        self.lacks, self.lacks_until = 0, 0.0  # attempts for which this proxy lacked a connection; next one
+        self.latest_send = event.deadline  # the last moment to send it
+        self.open_attempts = 0  # attempts without an outcome
+        self.is_queued = self.is_finished = self.stream = False
+        self.local_failures, self.retry_at = (
+            0,
+            0.0,
+        )  # attempts for which this proxy lacked a connection; next one
 
 
-class Endpoint:
+class RequestQueue:
     """Classes with one aim: a first-come buffer and its overload detector."""
 
     def __init__(self, aim: float, tick: float) -> None:
-        self.aim, self.tick = aim, tick
-        self.queue: deque[Request] = deque()
-        self.latency = 0.0  # usual time from send to answer
-        self.slice_at, self.last_send, self.flagged_at = 0.0, 0.0, -1e9
-        self.flagged, self.release = False, RELEASE_AIMS[0]
-        self.low, self.low_before, self.count = 0.0, 0.0, 0  # least wait in this half window and the last
-
-    def note_send(self, now: float, wait: float) -> None:
-        if self.count >= WINDOW_SENDS / 2 and now - self.slice_at >= self.aim * WINDOW_OF_AIM / 2:
-            self.low_before, self.count, self.slice_at = self.low, 0, now
-        self.low = wait if self.count == 0 else min(self.low, wait)
-        self.count += 1
-        self.last_send = now
-
-    def flag(self, now: float, overloaded: bool) -> None:
+        self.objective_ms, self.step_interval_ms = aim, tick
+        self.requests: deque[Request] = deque()
+        self.usual_latency_ms = 0.0  # usual time from send to answer
+        self.half_window_at, self.last_send_at, self.flagged_at = 0.0, 0.0, -1e9
+        self.flagged, self.release_objectives = False, RELEASE_AIMS[0]
+        self.min_wait_ms, self.previous_min_wait_ms, self.send_count = (
+            0.0,
+            0.0,
+            0,
+        )  # least wait in this half window and the last
+
+    def record_send(self, now: float, wait: float) -> None:
+        if (
+            self.send_count >= WINDOW_SENDS / 2
+            and now - self.half_window_at >= self.objective_ms * WINDOW_OF_AIM / 2
+        ):
+            self.previous_min_wait_ms, self.send_count, self.half_window_at = self.min_wait_ms, 0, now
+        self.min_wait_ms = wait if self.send_count == 0 else min(self.min_wait_ms, wait)
+        self.send_count += 1
+        self.last_send_at = now
+
+    def set_overloaded(self, now: float, overloaded: bool) -> None:
         """One flag may be chance, and is soon over. Where it returns at once, clients ask for more than there
         is: let in as fast as before, they would bring it back again and again."""
         if overloaded and not self.flagged:
-            soon = now - self.flagged_at < 0.5 * (self.release + 1) * self.aim
-            self.release = min(2 * self.release, RELEASE_AIMS[1]) if soon else RELEASE_AIMS[0]
+            soon = now - self.flagged_at < 0.5 * (self.release_objectives + 1) * self.objective_ms
+            self.release_objectives = (
+                min(2 * self.release_objectives, RELEASE_AIMS[1]) if soon else RELEASE_AIMS[0]
+            )
         self.flagged = overloaded
         if overloaded:
             self.flagged_at = now
 
     def head(self) -> Request | None:
-        while self.queue and not self.queue[0].held:
-            self.queue.popleft()
-        return self.queue[0] if self.queue else None
+        while self.requests and not self.requests[0].is_queued:
+            self.requests.popleft()
+        return self.requests[0] if self.requests else None
 
-    def excess(self, now: float) -> float:
+    def overload_ratio(self, now: float) -> float:
         """The windowed minimum wait over its threshold; above 1 the endpoint is overloaded."""
         head = self.head()
         if head is None:
             return 0.0  # nothing waits: whatever an old window says, the next request leaves at once
-        low = min(self.low, self.low_before)
-        if now - self.last_send > self.aim * WINDOW_OF_AIM:
-            low = now - head.arrived  # nothing leaves: a stuck queue must not look like a calm one
-        return low / self.threshold()
+        low = min(self.min_wait_ms, self.previous_min_wait_ms)
+        if now - self.last_send_at > self.objective_ms * WINDOW_OF_AIM:
+            low = now - head.arrived_at  # nothing leaves: a stuck queue must not look like a calm one
+        return low / self.threshold_ms()
 
-    def threshold(self) -> float:
-        return max(WAIT_OF_SLACK * (self.aim - self.latency), 2 * self.tick)  # ms
+    def threshold_ms(self) -> float:
+        return max(
+            WAIT_OF_SLACK * (self.objective_ms - self.usual_latency_ms), 2 * self.step_interval_ms
+        )  # ms
 
 
 class Balancer:
@@ -391,10 +418,10 @@
         self.settings, self.rng = settings, Random(seed)
         self.sparse = settings.proxy_count > START_LIMIT  # one of many
         by_aim = {
-            a: Endpoint(a, settings.step_interval_ms)
+            a: RequestQueue(a, settings.step_interval_ms)
             for a in sorted({c.latency_objective_ms for c in settings.classes})
         }
-        self.endpoints = list(by_aim.values())
+        self.queues = list(by_aim.values())
         self.endpoint_of = [by_aim[c.latency_objective_ms] for c in settings.classes]
         self.patience = [0.0] * len(settings.classes)  # longest wait left to a client seen, by class
         self.best_worth = max(c.priority_weight for c in settings.classes)
@@ -406,17 +433,17 @@
         self.class_latency = [(0.0, 0.0)] * len(settings.classes)  # smoothed latency and deviation
         self.all_latency = 0.0
         self.crowd, self.crowd_samples = 0.0, 0  # smoothed latency as a part of the aim, all servers
-        self.servers: dict[str, Server] = {}  # those of which what was learned is kept
-        self.active: list[Server] = []  # of these
-        self.far, self.edge = (
-            Far(settings.proxy_index),
+        self.backends: dict[str, Backend] = {}  # those of which what was learned is kept
+        self.active: list[Backend] = []  # of these
+        self.unsubscribed, self.edge = (
+            UnsubscribedBackends(settings.proxy_index),
             (0, ""),
         )  # all others, and the last rank that is not of them
         self.slow_start = SlowStart(settings.slow_start_ms)
         self.heard_list = False  # since this process began
         self.reserve, self.listed = RESERVE, 0  # servers to keep; active ones of the whole list
-        self.cold: list[Server] = []  # those of `near` that were cold as it was chosen
-        self.near: list[Server] = []  # those it sends to: all active, or as one of many its own few
+        self.cold: list[Backend] = []  # those of `near` that were cold as it was chosen
+        self.subset: list[Backend] = []  # those it sends to: all active, or as one of many its own few
         self.near_size, self.each = 0, 0.0  # how many it keeps to; least limit of one
         self.spoilt = 0.0  # smoothed share of outcomes that were spoilt, as one of many
         self.allow = 1.0  # limit on all requests in flight, as one of many proxies
@@ -433,8 +460,8 @@
         self.beating, self.second_at, self.beat_at = False, 0.0, 0.0
         self.ask_at: float | None = None
         self.ask_failures, self.asked_at, self.moved_at = 0, -inf, -inf
-        self.by_hash: dict[int, list[Server]] = {}  # as peers name them: hardly ever two
-        self.to_tell: list[Server] = []  # those seen to fail in this step
+        self.by_hash: dict[int, list[Backend]] = {}  # as peers name them: hardly ever two
+        self.to_tell: list[Backend] = []  # those seen to fail in this step
         self.out: list[Action] = []
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
@@ -491,7 +518,7 @@
         left = event.deadline - now
         self.patience[event.class_index] = max(self.patience[event.class_index], left)
         waited = self.patience[event.class_index] - left
-        if waited > SHORT_OF_AIM * endpoint.aim and not event.is_retry:
+        if waited > SHORT_OF_AIM * endpoint.objective_ms and not event.is_retry:
             # Only as many are repeats as were turned away. Others just come with less time: taken for
             # repeats whose aim has passed they would fail unsent beside idle servers.
             if self.turned_away < 1:
@@ -500,21 +527,21 @@
         request = Request(event, spec, endpoint, now, now - waited)
         self.requests[event.request_id] = request
         if level >= 3:
-            excess = endpoint.excess(now)
+            excess = endpoint.overload_ratio(now)
             if self.sparse:  # its buffer is mostly empty, and few waits are seen: the wait to come counts
                 wait = -self.refill_credit(now) * self.all_latency / self.allow
                 # And what one of many has too much of waits in the servers, where only time-outs show it.
-                excess = max(excess, wait / endpoint.threshold(), self.spoilt / SPOILT_SHARE)
-            endpoint.flag(now, excess > 1)
+                excess = max(excess, wait / endpoint.threshold_ms(), self.spoilt / SPOILT_SHARE)
+            endpoint.set_overloaded(now, excess > 1)
             # Level 3 goes in proportion to the wait beyond the flag. Level 4 goes as soon as it is set and
             # comes back by degrees: let in at once, it would fill the servers up to the next flag.
-            cleared = (now - endpoint.flagged_at) / (endpoint.release * endpoint.aim)
+            cleared = (now - endpoint.flagged_at) / (endpoint.release_objectives * endpoint.objective_ms)
             # After a lone flag it is let in beside an empty buffer: refused there, it leaves servers idle.
-            kept_out = excess > 0 or endpoint.release > RELEASE_STRICT
+            kept_out = excess > 0 or endpoint.release_objectives > RELEASE_STRICT
             if self.rng.random() < (1 - cleared if level == 4 and kept_out else excess / 3 - 1):
                 self.refuse(request)
                 return
-        if min(event.deadline, request.useful) <= now + 2 * self.settings.step_interval_ms:
+        if min(event.deadline, request.useful_until) <= now + 2 * self.settings.step_interval_ms:
             self.end(request, EndReason.DEADLINE_TOO_CLOSE)  # as it comes: no later batch could answer it
         else:
             self.hold(request, False)
@@ -537,23 +564,23 @@
         return 1 + sum(worth < bound for bound in LEVELS)
 
     def hold(self, request: Request, front: bool) -> None:
-        request.held, queue = True, request.endpoint.queue
+        request.is_queued, queue = True, request.queue.requests
         (queue.appendleft if front else queue.append)(request)
         # Sent later than this it can't be useful. At most half its time is set aside: were the usual
         # latency above the aim, nothing would ever be sent again and the latency never be corrected.
         spare = self.fair_chance(request)
-        request.last_call = min(
-            request.useful - spare, request.give_up - BEAT_MS - 2 * self.settings.step_interval_ms
+        request.latest_send = min(
+            request.useful_until - spare, request.deadline - BEAT_MS - 2 * self.settings.step_interval_ms
         )
         if not request.attempts:
-            half = request.arrived + UNSENT_PART * (request.give_up - request.arrived)
-            request.last_call = min(request.last_call, half)
-        self.at(min(request.last_call, request.aim_end - spare), request)
+            half = request.arrived_at + UNSENT_PART * (request.deadline - request.arrived_at)
+            request.latest_send = min(request.latest_send, half)
+        self.at(min(request.latest_send, request.objective_end - spare), request)
 
     def fair_chance(self, request: Request) -> float:
         """How long an attempt may take and still be an ordinary one."""
-        mean, spread = self.class_latency[request.cls]
-        return min(mean + FAIR_SPREADS * spread, request.endpoint.aim / 2)
+        mean, spread = self.class_latency[request.class_index]
+        return min(mean + FAIR_SPREADS * spread, request.queue.objective_ms / 2)
 
     def on_outcome(self, now: float, event: AttemptEnded) -> None:
         request = self.requests.get(event.request_id)
@@ -563,25 +590,25 @@
         if not attempt.is_open:
             return
         attempt.is_open, attempt.may_have_executed = False, event.result not in NEVER_EXECUTED
-        request.open -= 1
-        attempt.server.inflight -= 1  # also of one given up: work stops when its connection closes
+        request.open_attempts -= 1
+        attempt.backend.in_flight -= 1  # also of one given up: work stops when its connection closes
         self.out_count -= 1
         if event.result not in FAULTS:  # no work was in flight there, or it has ended
             self.credit -= min(event.latency_ms, HANG * (self.all_latency or event.latency_ms))
-        self.learn(now, request, attempt.server, event)
-        if event.request_finished or request.over:
+        self.learn(now, request, attempt.backend, event)
+        if event.request_finished or request.is_finished:
             self.close(request)
             return
-        if request.open == 0:
+        if request.open_attempts == 0:
             self.again(now, request, event.result)
 
-    def learn(self, now: float, request: Request, server: Server, event: AttemptEnded) -> None:
+    def learn(self, now: float, request: Request, server: Backend, event: AttemptEnded) -> None:
         # A delay of nothing, below the clock's grain, must not become a latency to divide by.
         result, delay = event.result, max(event.latency_ms, 0.001)
         if result in GIVEN_UP:
             # Were only the answers counted, each attempt given up would make the next look later still.
             fair = self.fair_chance(request)
-            self.learn_class(request.cls, delay)
+            self.learn_class(request.class_index, delay)
             if delay < fair:
                 return  # sent too late to have a fair chance: says nothing of the server
         if result in (
@@ -591,47 +618,49 @@
             AttemptResult.BAD_REQUEST,
         ):
             return  # our own doing, likewise, or the client's
-        server.plays = min(server.plays + 1, 1 / PAYOFF_STEP)
+        server.outcome_count = min(server.outcome_count + 1, 1 / PAYOFF_STEP)
         self.outcomes += 1
         # The aim counts from the send here: a server isn't blamed for the wait in our buffer.
-        won = result is AttemptResult.OK and delay <= request.endpoint.aim
+        won = result is AttemptResult.OK and delay <= request.queue.objective_ms
         if self.sparse:
             self.learn_allow(request, server, result, delay)
         # Of few outcomes each counts for more, or one of many proxies would never tell servers apart.
-        step = max(PAYOFF_STEP, self.sparse / (1 + server.plays))
+        step = max(PAYOFF_STEP, self.sparse / (1 + server.outcome_count))
         server.payoff += ((1.0 if won else 0.0) - server.payoff) * step
         if result is AttemptResult.OK:
-            server.strikes, server.silent_from = 0, now
-            blamed = bool(server.blames) and now - server.blames[-1][0] < REST_MS[1]
+            server.consecutive_failures, server.responsive_at = 0, now
+            blamed = bool(server.failure_reports) and now - server.failure_reports[-1][0] < REST_MS[1]
             if not (self.sparse and (blamed or self.outlier(server))):
-                server.rest_ms = REST_MS[0]
-            server.answered += 1
-            endpoint = request.endpoint
-            endpoint.latency = smooth(endpoint.latency, delay)
-            mean = self.learn_class(request.cls, delay)
+                server.ejection_ms = REST_MS[0]
+            server.responses_this_second += 1
+            endpoint = request.queue
+            endpoint.usual_latency_ms = smooth(endpoint.usual_latency_ms, delay)
+            mean = self.learn_class(request.class_index, delay)
             self.all_latency = smooth(self.all_latency, delay)
-            if request.work > 0 and server.cold_until <= now:
-                self.learn_pace(server.kind, delay / request.work)
-            part_of_aim = min(delay / endpoint.aim, 1.0)
+            if request.work_hint_ms > 0 and server.cold_until <= now:
+                self.learn_pace(server.kind, delay / request.work_hint_ms)
+            part_of_aim = min(delay / endpoint.objective_ms, 1.0)
             if not self.sparse:
                 self.learn_crowd(part_of_aim)
             # Classes differ in work: scale to the mix, so a run of long ones doesn't look like a queue.
-            server.learn_latency(delay * self.all_latency / mean, part_of_aim)
+            server.record_latency(delay * self.all_latency / mean, part_of_aim)
             return
         if result in (AttemptResult.REJECTED, AttemptResult.TIMEOUT):
-            server.cut(FAIL_CUT)
-            if self.sparse and request.work > 0 and server.cold_until <= now:  # at least so slow
-                self.learn_pace(server.kind, max(delay / request.work, self.pace.get(server.kind, 0.0)))
-        server.strikes += 1
+            server.reduce_limit(FAIL_CUT)
+            if self.sparse and request.work_hint_ms > 0 and server.cold_until <= now:  # at least so slow
+                self.learn_pace(
+                    server.kind, max(delay / request.work_hint_ms, self.pace.get(server.kind, 0.0))
+                )
+        server.consecutive_failures += 1
         # Seldom met, a server that fails every other request seldom fails three in a row.
         if self.sparse and self.settings.may_gossip and result in FAULTS:
             self.blame(now, server, self.settings.proxy_index)
-            if now - server.told_at >= BLAME_AGAIN_MS:
-                server.told_at = now
+            if now - server.gossiped_at >= BLAME_AGAIN_MS:
+                server.gossiped_at = now
                 self.to_tell.append(server)
         # A time-out may tell of load alone, in which all share.
         bad = self.sparse and result is not AttemptResult.TIMEOUT and self.outlier(server)
-        if (bad or server.strikes >= STRIKES) and server.rest_until <= now:
+        if (bad or server.consecutive_failures >= STRIKES) and server.ejected_until <= now:
             self.rest(now, server)
 
     def learn_crowd(self, part_of_aim: float) -> None:
@@ -641,14 +670,15 @@
         if self.crowd_samples >= max(1 / LATENCY_STEP, sum(s.limit for s in self.active)):
             self.crowd_samples = 0
             for server in self.active if self.crowd > CROWD else ():
-                server.cut(LIMIT_CUT)
+                server.reduce_limit(LIMIT_CUT)
 
-    def learn_allow(self, request: Request, server: Server, result: AttemptResult, delay: float) -> None:
+    def learn_allow(self, request: Request, server: Backend, result: AttemptResult, delay: float) -> None:
         """One of many proxies has less than one request at each server: only a limit on all it has in flight
         can follow the load, and only outcomes of all servers together are enough to learn it from. Work
         differs tenfold within a class: only the aim, not a usual latency, tells a long answer from a late."""
         spoilt = (
-            result in (AttemptResult.REJECTED, AttemptResult.TIMEOUT) or delay > SPOILT * request.endpoint.aim
+            result in (AttemptResult.REJECTED, AttemptResult.TIMEOUT)
+            or delay > SPOILT * request.queue.objective_ms
         )
         self.spoilt += (spoilt - self.spoilt) * LATENCY_STEP
         if spoilt:
@@ -670,46 +700,48 @@
         known = self.pace.get(kind, pace)
         self.pace[kind] = known * (pace / known) ** (PACE_STEP_FEW if self.sparse else PACE_STEP)
 
-    def fit(self, now: float, request: Request, room: list[Server]) -> list[Server]:
+    def fit(self, now: float, request: Request, room: list[Backend]) -> list[Backend]:
         """Those of a kind on which work of this size is usually done well inside the aim; where there is no
         such kind, the fastest. A slow server would be late with it and be kept from shorter work for long."""
-        if request.work <= 0 or not self.pace:
+        if request.work_hint_ms <= 0 or not self.pace:
             return room
         usual = min(self.pace.values())
-        most = max(HEAVY * request.endpoint.aim / request.work, PACE_TIE * usual)
+        most = max(HEAVY * request.queue.objective_ms / request.work_hint_ms, PACE_TIE * usual)
         fit = []
         for server in room:
             pace = self.pace.get(server.kind, usual)
             if pace * (COLD_PACE if server.cold_until > now else 1.0) <= most:
                 fit.append(server)
-        return fit if len(fit) * FIT_LEAST >= len(self.near) else room
+        return fit if len(fit) * FIT_LEAST >= len(self.subset) else room
 
-    def rest(self, now: float, server: Server) -> None:
+    def rest(self, now: float, server: Backend) -> None:
         # When all are slow the trouble is not this server: more than half never rest, nor does a usual one.
-        resting = sum(1 for s in self.active if s.strikes >= STRIKES and s is not server)
+        resting = sum(1 for s in self.active if s.consecutive_failures >= STRIKES and s is not server)
         if 2 * (resting + 1) > len(self.active) or not self.outlier(server):
-            server.strikes = 0
+            server.consecutive_failures = 0
             return
-        self.out.append(BackendEjected(server.id, server.strikes))
+        self.out.append(BackendEjected(server.id, server.consecutive_failures))
         self.lay_off(now, server, 0.75, 1.25)
 
-    def lay_off(self, now: float, server: Server, low: float, high: float) -> None:
-        server.rest_until = now + server.rest_ms * self.rng.uniform(low, high)
-        server.rest_ms = min(2 * server.rest_ms, REST_MS[1])
+    def lay_off(self, now: float, server: Backend, low: float, high: float) -> None:
+        server.ejected_until = now + server.ejection_ms * self.rng.uniform(low, high)
+        server.ejection_ms = min(2 * server.ejection_ms, REST_MS[1])
 
-    def blame(self, now: float, server: Server, proxy: int) -> None:
+    def blame(self, now: float, server: Backend, proxy: int) -> None:
         """A server failed a request of this proxy or of another: once enough say so, it rests here too."""
-        recent = [b for b in server.blames if b[0] > now - BLAME_MS]
-        server.blames = [*recent[-BLAME_MOST:], (now, proxy)]
-        if len(server.blames) < BLAMES or len({by for _, by in server.blames}) < BLAMERS:
+        recent = [b for b in server.failure_reports if b[0] > now - BLAME_MS]
+        server.failure_reports = [*recent[-BLAME_MOST:], (now, proxy)]
+        if len(server.failure_reports) < BLAMES or len({by for _, by in server.failure_reports}) < BLAMERS:
             return
-        resting = sum(1 for s in self.active if s.rest_until > now)
-        if server.rest_until <= now and 2 * (resting + 1) <= len(self.active):
-            server.strikes = max(server.strikes, STRIKES)  # it comes back with one request on trial
+        resting = sum(1 for s in self.active if s.ejected_until > now)
+        if server.ejected_until <= now and 2 * (resting + 1) <= len(self.active):
+            server.consecutive_failures = max(
+                server.consecutive_failures, STRIKES
+            )  # it comes back with one request on trial
             self.lay_off(now, server, *BLAME_SPREAD)
 
     def tell(self) -> None:
-        data = b"".join(s.hash.to_bytes(4, "big") for s in self.to_tell[:BLAME_MOST])
+        data = b"".join(s.name_hash.to_bytes(4, "big") for s in self.to_tell[:BLAME_MOST])
         self.to_tell = []
         self.out.append(SendGossip(BLAME_MARK + data))
 
@@ -726,11 +758,11 @@
             if alike is not None:
                 self.blame(now, alike[-1], event.sender_index)
 
-    def outlier(self, server: Server) -> bool:
+    def outlier(self, server: Backend) -> bool:
         return server.payoff <= (OUTLIER if self.sparse else 0.5) * self.usual_payoff()
 
     def usual_payoff(self) -> float:
-        return sum(s.payoff for s in self.near) / max(len(self.near), 1)
+        return sum(s.payoff for s in self.subset) / max(len(self.subset), 1)
 
     def again(self, now: float, request: Request, result: AttemptResult) -> None:
         """An attempt failed and none is out: another one, a refusal or a failure."""
@@ -741,18 +773,18 @@
         elif not self.may_follow(now, request):
             self.end(request, EndReason.RETRY_NOT_ALLOWED)
         elif result is AttemptResult.NO_LOCAL_RESOURCE:
-            request.lacks += 1
-            if request.lacks == 1:
+            request.local_failures += 1
+            if request.local_failures == 1:
                 self.follow(request)
             else:
-                request.lacks_until = now + LACK_MS * 2 ** (request.lacks - 2)
-                self.at(request.lacks_until, request)
+                request.retry_at = now + LACK_MS * 2 ** (request.local_failures - 2)
+                self.at(request.retry_at, request)
         else:
             self.follow(request)
 
     def follow(self, request: Request) -> None:
         """Get it ready for another attempt."""
-        spec, ran = request.spec, first_executed_attempt(request.attempts)
+        spec, ran = request.request_class, first_executed_attempt(request.attempts)
         if ran is None:
             self.hold(request, True)
         elif self.retries < 1:
@@ -762,26 +794,28 @@
             self.hold(request, True)
         else:
             self.retries -= 1
-            request.held = True
+            request.is_queued = True
             self.bound.append(request)
-            usual = min(self.class_latency[request.cls][0], spec.latency_objective_ms / 2)
-            request.last_call = min(request.useful - usual, ran.sent_at + spec.dedup_window_ms - BEAT_MS)
-            self.at(request.last_call, request)
+            usual = min(self.class_latency[request.class_index][0], spec.latency_objective_ms / 2)
+            request.latest_send = min(
+                request.useful_until - usual, ran.sent_at + spec.dedup_window_ms - BEAT_MS
+            )
+            self.at(request.latest_send, request)
 
     def send_bound(self, now: float) -> None:
         """Only the group that drops a keyed request's repeats may see it again, as soon as it has room."""
         waiting, self.bound = self.bound, []
         for request in waiting:
             ran = first_executed_attempt(request.attempts)
-            if not request.held or ran is None:
+            if not request.is_queued or ran is None:
                 continue
-            group = [s for s in self.active if in_dedup_scope(request.spec.dedup_scope, s, ran)]
-            if self.far.count and len(group) < GROUP:
-                self.bring_near(now, self.far.members(request.spec.dedup_scope, ran))
-                group = [s for s in self.active if in_dedup_scope(request.spec.dedup_scope, s, ran)]
-            group = [s for s in group if s.room(now, self.each)]
-            if group and now < request.last_call:
-                request.held = False
+            group = [s for s in self.active if in_dedup_scope(request.request_class.dedup_scope, s, ran)]
+            if self.unsubscribed.count and len(group) < GROUP:
+                self.bring_near(now, self.unsubscribed.members(request.request_class.dedup_scope, ran))
+                group = [s for s in self.active if in_dedup_scope(request.request_class.dedup_scope, s, ran)]
+            group = [s for s in group if s.has_capacity(now, self.each)]
+            if group and now < request.latest_send:
+                request.is_queued = False
                 self.send(now, request, self.pick(now, request, group))
             else:
                 self.bound.append(request)
@@ -793,7 +827,9 @@
 
     def refuse(self, request: Request) -> None:
         """Low levels are let in again over the endpoint's release: that is when to come back."""
-        wait = min(request.endpoint.release * request.endpoint.aim, self.settings.max_retry_after_ms)
+        wait = min(
+            request.queue.release_objectives * request.queue.objective_ms, self.settings.max_retry_after_ms
+        )
         self.turned_away = min(self.turned_away + AWAY_EACH, AWAY_MOST)
         wait = wait if self.settings.sends_retry_after else 0.0
         self.out.append(Reject(request.id, wait, EndReason.LOAD_SHED))
@@ -801,8 +837,8 @@
 
     def close(self, request: Request) -> None:
         """It is over; it is kept only until the attempts still out have ended."""
-        request.over, request.held = True, False
-        if request.open == 0:
+        request.is_finished, request.is_queued = True, False
+        if request.open_attempts == 0:
             del self.requests[request.id]
 
     def on_client_gone(self, event: ClientDisconnected) -> None:
@@ -815,7 +851,7 @@
 
     def on_stream(self, event: ResponseStarted) -> None:
         if (request := self.requests.get(event.request_id)) is not None:
-            request.stream, request.held = True, False
+            request.stream, request.is_queued = True, False
 
     def on_list(self, now: float, event: BackendListUpdate) -> None:
         if event.kind is ListUpdateKind.FAILED:
@@ -831,26 +867,26 @@
             return
         if event.kind not in (ListUpdateKind.CACHED, ListUpdateKind.CACHED_CONTINUED):
             self.ask_failures, self.ask_at, self.moved_at = 0, None, -inf
-        before = self.far
+        before = self.unsubscribed
         if event.kind not in (ListUpdateKind.DELTA, ListUpdateKind.CACHED_CONTINUED):
             listed = {e.backend_id for e in event.entries}
-            for server in [s for name, s in self.servers.items() if name not in listed]:
+            for server in [s for name, s in self.backends.items() if name not in listed]:
                 self.drop(server, BackendState.REMOVED)
                 self.slow_start.forget(server.id)
-            self.far = Far(self.settings.proxy_index)
+            self.unsubscribed = UnsubscribedBackends(self.settings.proxy_index)
         saved = event.kind in (ListUpdateKind.CACHED, ListUpdateKind.CACHED_CONTINUED)
         clock_was_right = self.slow_start.clock_is_right
         for entry in event.entries:
             self.date_start(now, entry, before, saved)
             self.on_entry(now, entry)
-            if len(self.servers) > self.reserve + RESERVE_SLACK:
+            if len(self.backends) > self.reserve + RESERVE_SLACK:
                 self.trim()
         if saved or not self.heard_list or self.slow_start.clock_is_right != clock_was_right:
-            for dated in [s for s in self.servers.values() if s.started_at is not None]:
+            for dated in [s for s in self.backends.values() if s.started_at is not None]:
                 self.set_cold(now, dated)
         self.heard_list = self.heard_list or not saved
         self.find_active()
-        if not self.near or event.kind is ListUpdateKind.CACHED_CONTINUED:
+        if not self.subset or event.kind is ListUpdateKind.CACHED_CONTINUED:
             self.allow = max(ALLOW_LEAST, START_LIMIT * self.listed / self.settings.proxy_count)
         self.choose_near(now)
 
@@ -867,16 +903,16 @@
         if self.sparse:
             self.near_size = max(NEAR, int(2 * (self.allow + 1)))
         self.keep_reserve(now)
-        self.near = self.active
+        self.subset = self.active
         if self.sparse:
             ranked = sorted(self.active, key=lambda s: s.rank)
-            self.near = [s for s in ranked if s.rest_until <= now][: self.near_size] or ranked
-            self.each = max(1.0, self.allow / max(len(self.near), 1))
-        self.cold = [s for s in self.near if s.cold_until > now]
+            self.subset = [s for s in ranked if s.ejected_until <= now][: self.near_size] or ranked
+            self.each = max(1.0, self.allow / max(len(self.subset), 1))
+        self.cold = [s for s in self.subset if s.cold_until > now]
 
     def find_active(self) -> None:
-        self.active = [s for s in self.servers.values() if s.state is BackendState.ACTIVE]
-        self.listed = len(self.active) + self.far.count
+        self.active = [s for s in self.backends.values() if s.state is BackendState.ACTIVE]
+        self.listed = len(self.active) + self.unsubscribed.count
 
     def keep_reserve(self, now: float) -> None:
         """Those kept are the first by rank: as some of them leave the list, or load grows, the next follow.
@@ -884,52 +920,52 @@
         they keep, so they keep more the more requests they have: no request waits beside idle servers."""
         need = 2 * self.near_size
         if not self.sparse:
-            idle = sum(max(s.cold_until, s.rest_until) > now for s in self.active)
-            load = self.out_count + sum(len(e.queue) for e in self.endpoints)
+            idle = sum(max(s.cold_until, s.ejected_until) > now for s in self.active)
+            load = self.out_count + sum(len(e.requests) for e in self.queues)
             need = min(LOAD_SERVERS * load + min(idle, 2 * RESERVE), len(self.active) + LOAD_STEP)
         self.reserve = max(RESERVE, need, self.reserve)
-        if self.far.count and len(self.active) < self.reserve:
-            names = self.far.first(self.reserve - len(self.active))
+        if self.unsubscribed.count and len(self.active) < self.reserve:
+            names = self.unsubscribed.first(self.reserve - len(self.active))
             self.bring_near(now, names)
-            self.edge = max(self.edge, self.far.rank(names[-1]))
-        if len(self.servers) > self.reserve + RESERVE_SLACK:
+            self.edge = max(self.edge, self.unsubscribed.rank(names[-1]))
+        if len(self.backends) > self.reserve + RESERVE_SLACK:
             self.trim()
             self.find_active()
 
     def bring_near(self, now: float, names: list[str]) -> None:
         for name in names:
-            if (traits := self.far.pop(name)) is not None:
+            if (traits := self.unsubscribed.pop(name)) is not None:
                 self.take(now, BackendInfo(name, BackendState.ACTIVE, *traits))
         self.find_active()
 
     def trim(self) -> None:
         """What was learned of the last by rank is forgotten, but for those in use."""
-        for server in [s for s in self.servers.values() if s.state is not BackendState.ACTIVE]:
+        for server in [s for s in self.backends.values() if s.state is not BackendState.ACTIVE]:
             self.drop(server, BackendState.DRAINING)
-        if len(self.servers) <= self.reserve:
+        if len(self.backends) <= self.reserve:
             return
-        ranked = sorted(self.servers.values(), key=lambda s: (s.rank, s.id))
+        ranked = sorted(self.backends.values(), key=lambda s: (s.rank, s.id))
         last = (ranked[: self.reserve][-1].rank, ranked[: self.reserve][-1].id)
-        self.edge = min(self.edge, last) if self.far.count else last
+        self.edge = min(self.edge, last) if self.unsubscribed.count else last
         for s in ranked[self.reserve :]:
-            if s.inflight == 0:
+            if s.in_flight == 0:
                 self.drop(s, BackendState.ACTIVE)
-                self.far.put(s.id, (s.zone, s.kind, s.cell, s.started_at, s.weight))
+                self.unsubscribed.put(s.id, (s.zone, s.kind, s.cell, s.started_at, s.weight))
 
-    def drop(self, server: Server, state: BackendState) -> None:
-        del self.servers[server.id]
+    def drop(self, server: Backend, state: BackendState) -> None:
+        del self.backends[server.id]
         server.state = state
-        alike = self.by_hash[server.hash]
+        alike = self.by_hash[server.name_hash]
         alike.remove(server)
         if not alike:
-            del self.by_hash[server.hash]
+            del self.by_hash[server.name_hash]
 
-    def date_start(self, now: float, entry: BackendInfo, before: Far, saved: bool) -> None:
+    def date_start(self, now: float, entry: BackendInfo, before: UnsubscribedBackends, saved: bool) -> None:
         """Whether this entry tells of a start that this process had not heard of; `before`: what it held."""
         if entry.state is BackendState.REMOVED:
             self.slow_start.forget(entry.backend_id)
             return
-        server = self.servers.get(entry.backend_id)
+        server = self.backends.get(entry.backend_id)
         traits = before.get(entry.backend_id) if server is None else None
         known = server is not None or traits is not None
         started = server.started_at if server is not None else traits[3] if traits is not None else None
@@ -943,24 +979,24 @@
             self.slow_start.first_told(now, entry.backend_id, entry.started_at)
 
     def on_entry(self, now: float, entry: BackendInfo) -> None:
-        server, name = self.servers.get(entry.backend_id), entry.backend_id
+        server, name = self.backends.get(entry.backend_id), entry.backend_id
         if server is not None and entry.state is BackendState.REMOVED:
             self.drop(server, BackendState.REMOVED)
-        elif server is not None or (not self.far.count and entry.state is not BackendState.REMOVED):
+        elif server is not None or (not self.unsubscribed.count and entry.state is not BackendState.REMOVED):
             self.take(now, entry)
         elif entry.state is not BackendState.ACTIVE:
-            self.far.pop(name)
-        elif self.far.rank(name) > self.edge:
-            self.far.put(name, entry[2:])
+            self.unsubscribed.pop(name)
+        elif self.unsubscribed.rank(name) > self.edge:
+            self.unsubscribed.put(name, entry[2:])
         else:
             self.take(now, entry)
 
     def take(self, now: float, entry: BackendInfo) -> None:
-        server = self.servers.get(entry.backend_id)
+        server = self.backends.get(entry.backend_id)
         if server is None:
-            server = self.servers[entry.backend_id] = Server(entry, self.settings.proxy_count)
+            server = self.backends[entry.backend_id] = Backend(entry, self.settings.proxy_count)
             server.rank = affinity(self.settings.proxy_index + 1, server)
-            self.by_hash.setdefault(server.hash, []).append(server)
+            self.by_hash.setdefault(server.name_hash, []).append(server)
         server.state, server.zone, server.kind, server.cell = entry.state, entry.zone, entry.kind, entry.cell
         server.weight = max(entry.weight, 0.01)
         if entry.started_at != server.started_at:
@@ -968,13 +1004,13 @@
             server.started_at = entry.started_at
             self.set_cold(now, server)
 
-    def set_cold(self, now: float, server: Server) -> None:
+    def set_cold(self, now: float, server: Backend) -> None:
         was_cold, server.cold_until = server.cold_until > now, self.slow_start.end(server.id)
         if server.cold_until > now and not was_cold:
             server.limit = min(1.0, server.limit)
             # All proxies hear of it at once: their first requests must not come at once as well.
-            server.tokens = self.rng.random() if self.sparse else 0.0
-            server.draw_at = now + server.tokens * self.settings.slow_start_window_ms
+            server.slow_start_tokens = self.rng.random() if self.sparse else 0.0
+            server.next_draw_at = now + server.slow_start_tokens * self.settings.slow_start_window_ms
 
     def on_beat(self, now: float) -> None:
         self.out.append(SetTimer(BEAT_MS, 0))
@@ -993,10 +1029,10 @@
     def expire(self, now: float) -> None:
         while self.due and self.due[0][0] <= now:
             request = heappop(self.due)[2]
-            if request.held:
+            if request.is_queued:
                 self.time_up(now, request)
-            elif not request.over and 0 < request.lacks_until <= now:
-                request.lacks_until = 0.0
+            elif not request.is_finished and 0 < request.retry_at <= now:
+                request.retry_at = 0.0
                 if self.may_follow(now, request):
                     self.follow(request)
                 else:
@@ -1009,17 +1045,17 @@
     def time_up(self, now: float, request: Request) -> None:
         """A held request has reached the end of its use; a late answer, if worth something, is only for
         times when there are servers to spare: under overload it costs a request that is still in time."""
-        if request.endpoint.excess(now) > 1 or now >= request.last_call:
+        if request.queue.overload_ratio(now) > 1 or now >= request.latest_send:
             self.end(request, EndReason.QUEUE_TIMEOUT)
         else:
-            self.at(min(now + 2 * BEAT_MS, request.last_call), request)
+            self.at(min(now + 2 * BEAT_MS, request.latest_send), request)
 
     def may_follow(self, now: float, request: Request) -> bool:
         """Whether another attempt is allowed and of use if those so far may have run."""
-        spec = request.spec
-        usual = min(self.class_latency[request.cls][0], spec.latency_objective_ms / 2)
+        spec = request.request_class
+        usual = min(self.class_latency[request.class_index][0], spec.latency_objective_ms / 2)
         denial = retry_denial(self.settings, spec, request.attempts, now + 2 * self.settings.step_interval_ms)
-        return denial is None and now + usual <= request.useful
+        return denial is None and now + usual <= request.useful_until
 
     def every_second(self, now: float) -> None:
         seconds, self.second_at = (now - self.second_at) / 1000, now
@@ -1028,25 +1064,30 @@
         self.find_part(seconds)
         self.reserve = int(self.reserve * RESERVE_KEEP)
         self.slow_start.prune(now)
-        warm: dict[int, list[Server]] = {}
+        warm: dict[int, list[Backend]] = {}
         self.choose_near(now)
-        usual, near = self.usual_payoff(), set(self.near)
+        usual, near = self.usual_payoff(), set(self.subset)
         for server in self.active:
-            server.plays *= PLAYS_KEEP
-            if server.plays < 1:  # under light load a server once bad would otherwise never be drawn again
+            server.outcome_count *= PLAYS_KEEP
+            if (
+                server.outcome_count < 1
+            ):  # under light load a server once bad would otherwise never be drawn again
                 server.payoff += max(usual - server.payoff, 0.0) * (FORGET if self.sparse else 1)
-            server.rate, server.answered = (server.rate + server.answered / seconds) / 2, 0
+            server.response_rate, server.responses_this_second = (
+                (server.response_rate + server.responses_this_second / seconds) / 2,
+                0,
+            )
             mine = not self.sparse or server in near
-            if server.cold_until <= now and server.latency and mine:
+            if server.cold_until <= now and server.latency_ms and mine:
                 warm.setdefault(server.kind, []).append(server)
         # The better half tells what a server of this kind carries: slow and resting ones hide it. Held for
         # a while, for when a release leaves no warm server to look at.
         self.warm_rate = {kind: rate * WARM_KEEP for kind, rate in self.warm_rate.items()}
         for kind, servers in warm.items():
-            rates = sorted(s.rate for s in servers)
+            rates = sorted(s.response_rate for s in servers)
             half = rates if self.sparse else rates[len(rates) // 2 :]
             self.warm_rate[kind] = max(self.warm_rate.get(kind, 0.0), sum(half) / len(half))
-            self.warm_floor[kind] = sum(s.floor for s in servers) / len(servers)
+            self.warm_floor[kind] = sum(s.base_latency_ms for s in servers) / len(servers)
 
     def find_part(self, seconds: float) -> None:
         """Traffic is seldom split evenly: a proxy alone in its zone would judge all beyond their share. So
@@ -1060,15 +1101,15 @@
             middle = min(sorted(self.usage)[(len(self.usage) - 1) // 2], 1 / self.settings.zone_count)
             self.part = max(middle, 1 / self.settings.proxy_count)
 
-    def refill(self, now: float, server: Server) -> None:
+    def refill(self, now: float, server: Backend) -> None:
         """A cold server's budget: its part of what we send to a warm one. What all proxies carry is under
         a server's capacity, so the sum of their parts is under the rule, however traffic is split."""
         settings = self.settings
         age = max(0.0, 1 - (server.cold_until - now) / max(settings.slow_start_ms, 1.0))
         part = settings.slow_start_capacity + (1 - settings.slow_start_capacity) * age
-        if server.heard_count * LATENCY_STEP >= 1 and server.kind in self.warm_floor:
+        if server.response_count * LATENCY_STEP >= 1 and server.kind in self.warm_floor:
             # It has shown its speed: measured against the uncrowded latency of warm ones of its kind.
-            part = max(part, min(1.0, self.warm_floor[server.kind] / server.latency))
+            part = max(part, min(1.0, self.warm_floor[server.kind] / server.latency_ms))
         known = [self.warm_rate[server.kind]] if server.kind in self.warm_rate else self.warm_rate.values()
         rate = min(known, default=0.0) * part * min(COLD_HEAT, settings.slow_start_overload_factor / 2) / 1000
         # Nothing observed yet: one request a window, of all who keep to this server.
@@ -1077,66 +1118,66 @@
         if self.sparse and rate * settings.slow_start_window_ms < 1:
             # One request saved up by each while little came would be too many when all come at once: each
             # draws for each window whether it has one, and loses what it doesn't use.
-            if now >= server.draw_at:
-                server.tokens = float(self.rng.random() < rate * settings.slow_start_window_ms)
-                server.draw_at = now + settings.slow_start_window_ms
+            if now >= server.next_draw_at:
+                server.slow_start_tokens = float(self.rng.random() < rate * settings.slow_start_window_ms)
+                server.next_draw_at = now + settings.slow_start_window_ms
             return
         burst = max(1.0, rate * settings.slow_start_window_ms / 4)
-        server.tokens = min(burst, server.tokens + rate * (now - self.beat_at))
+        server.slow_start_tokens = min(burst, server.slow_start_tokens + rate * (now - self.beat_at))
 
     # 2. Dispatch
 
     def dispatch(self, now: float) -> None:
-        heads = [(e, h) for e in self.endpoints if (h := e.head()) is not None]
+        heads = [(e, h) for e in self.queues if (h := e.head()) is not None]
         if not heads:
             return
-        room = [s for s in self.near if s.room(now, self.each)]
+        room = [s for s in self.subset if s.has_capacity(now, self.each)]
         if not room and self.sparse:  # nothing waits beside a ready server
-            room = [s for s in self.active if s.cold_until <= now and s.room(now, self.each)]
+            room = [s for s in self.active if s.cold_until <= now and s.has_capacity(now, self.each)]
         spare = self.refill_credit(now)
         if not self.sparse:
             spare = self.spare(now)
-            if self.far.count and (not room or spare < sum(len(e.queue) for e in self.endpoints)):
+            if self.unsubscribed.count and (not room or spare < sum(len(e.requests) for e in self.queues)):
                 self.choose_near(now)
-                room, spare = [s for s in self.near if s.room(now, self.each)], self.spare(now)
+                room, spare = [s for s in self.subset if s.has_capacity(now, self.each)], self.spare(now)
         while heads and room and spare > 0:
             spare -= 1
             # The one clear rule: the head that has waited the largest part of its aim goes first. So all
             # endpoints feel a shortage of servers alike, and each one's flag sheds its own.
-            endpoint, request = max(heads, key=lambda eh: (now - eh[1].arrived) / eh[0].aim)
-            endpoint.queue.popleft()
-            request.held = False
+            endpoint, request = max(heads, key=lambda eh: (now - eh[1].arrived_at) / eh[0].objective_ms)
+            endpoint.requests.popleft()
+            request.is_queued = False
             if not request.attempts:
-                endpoint.note_send(now, now - request.arrived)
+                endpoint.record_send(now, now - request.arrived_at)
             server = self.pick(now, request, room)
             self.send(now, request, server)
-            if not server.room(now, self.each):
+            if not server.has_capacity(now, self.each):
                 room.remove(server)
-            heads = [(e, h) for e in self.endpoints if (h := e.head()) is not None]
+            heads = [(e, h) for e in self.queues if (h := e.head()) is not None]
 
     def spare(self, now: float) -> float:
         """Limits below one, the part of many proxies, add up: one each at every server would be too many. But
         a few servers that hang must not use up the sum: a silent one takes nothing from the others."""
-        silent = now - SILENT * (self.all_latency or self.endpoints[-1].aim)
-        return sum(max(s.limit - s.inflight, -1.0 if s.silent_from > silent else 0.0) for s in self.near)
+        silent = now - SILENT * (self.all_latency or self.queues[-1].objective_ms)
+        return sum(max(s.limit - s.in_flight, -1.0 if s.responsive_at > silent else 0.0) for s in self.subset)
 
     def refill_credit(self, now: float) -> float:
         """The limit on all in flight holds on average, not at each moment: with a limit near one, two
         requests that come together must not wait for one another. Returns the sends left."""
-        usual = self.all_latency or self.endpoints[0].aim / 4
+        usual = self.all_latency or self.queues[0].objective_ms / 4
         full = (ALLOW_BURST + self.allow) * usual
         self.credit = min(self.credit + self.allow * (now - self.credit_at), full)
         self.credit_at = now
         return self.credit / usual - self.out_count
 
-    def pick(self, now: float, request: Request, room: list[Server]) -> Server:
+    def pick(self, now: float, request: Request, room: list[Backend]) -> Backend:
         if request.attempts:
-            tried = [a.server for a in request.attempts]
+            tried = [a.backend for a in request.attempts]
             room = [s for s in room if s not in tried] or room
         room = self.fit(now, request, room)
         if len(room) == 1:
             return room[0]
-        if self.settings.key_affinity and (key := request.key) is not None:
+        if self.settings.key_affinity and (key := request.affinity_key) is not None:
             # Servers do less work for a key met lately: every proxy draws the same two for it.
             a, b = nlargest(2, room, key=lambda s: affinity(key, s))
         elif self.sparse:
@@ -1148,10 +1189,10 @@
             a, b = room[first], room[second + (second >= first)]
         gap = self.score(a) - self.score(b)
         if abs(gap) < TIE:
-            return b if b.inflight < a.inflight else a
+            return b if b.in_flight < a.in_flight else a
         return a if gap > 0 else b
 
-    def draw(self, servers: list[Server]) -> Server:
+    def draw(self, servers: list[Backend]) -> Backend:
         """In proportion to registered size: few in flight, ties alone would load small servers like large."""
         left = self.rng.random() * sum(s.weight for s in servers)
         for server in servers:
@@ -1160,21 +1201,21 @@
                 break
         return server
 
-    def score(self, server: Server) -> float:
-        return server.payoff + BONUS * sqrt(log(1 + self.outcomes) / (1 + server.plays))
+    def score(self, server: Backend) -> float:
+        return server.payoff + BONUS * sqrt(log(1 + self.outcomes) / (1 + server.outcome_count))
 
-    def send(self, now: float, request: Request, server: Server) -> None:
-        ran, spec = first_executed_attempt(request.attempts), request.spec
+    def send(self, now: float, request: Request, server: Backend) -> None:
+        ran, spec = first_executed_attempt(request.attempts), request.request_class
         request.attempts.append(Attempt(server, now))
-        request.open += 1
+        request.open_attempts += 1
         self.out_count += 1
-        if server.inflight == 0:
-            server.silent_from = now
-        server.inflight += 1
-        server.peak = max(server.peak, server.inflight)
+        if server.in_flight == 0:
+            server.responsive_at = now
+        server.in_flight += 1
+        server.peak_in_flight = max(server.peak_in_flight, server.in_flight)
         if server.cold_until > now:
-            server.tokens -= 1
-        left = max(min(request.useful - self.settings.step_interval_ms, request.give_up) - now, 1.0)
+            server.slow_start_tokens -= 1
+        left = max(min(request.useful_until - self.settings.step_interval_ms, request.deadline) - now, 1.0)
         # Its connection may come up late; by then the servers that drop repeats of it may have forgotten it.
         within = (
             ran.sent_at + spec.dedup_window_ms - now if ran and spec.idempotency is Idempotency.KEYED else inf
@@ -1187,9 +1228,9 @@
     return mean + (value - mean) * (LATENCY_STEP if mean else 1)
 
 
-def affinity(key: int, server: Server) -> int:
+def affinity(key: int, server: Backend) -> int:
     """Rendezvous hash: the order of servers for a key is the same at every proxy, also as some leave."""
-    return mix(key, server.hash)
+    return mix(key, server.name_hash)
 
 
 def mix(key: int, number: int) -> int:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dunecove.policy.actions import Fail, Forward, Reject
-from dunecove.policy.balancer import Balancer, Endpoint, Server
+from dunecove.policy.balancer import Backend, Balancer, RequestQueue
 from dunecove.policy.events import AttemptEnded, RequestArrived
 from dunecove.policy.models import AttemptResult, BackendInfo
 from dunecove.policy.settings import RequestClass, Settings
@@ -43,7 +43,7 @@
 def test_pick_takes_the_higher_payoff() -> None:
     driver = Driver(settings(), *fleet(2))
     bad, good = driver.balancer.active
-    bad.payoff, bad.plays, good.plays = 0.2, 50.0, 50.0
+    bad.payoff, bad.outcome_count, good.outcome_count = 0.2, 50.0, 50.0
     driver.arrive()
     assert list(driver.sends.values()) == [[good.id]]
 
@@ -52,7 +52,7 @@
     driver = Driver(settings(), *fleet(2))
     idle, busy = driver.balancer.active
     driver.balancer.outcomes = 200.0
-    idle.payoff, idle.plays, busy.plays = 0.8, 0.0, 100.0
+    idle.payoff, idle.outcome_count, busy.outcome_count = 0.8, 0.0, 100.0
     driver.arrive()
     assert list(driver.sends.values()) == [[idle.id]]
 
@@ -83,37 +83,37 @@
     return driver
 
 
-def endpoint_with_waits(*waits: float) -> tuple[Endpoint, float]:
+def endpoint_with_waits(*waits: float) -> tuple[RequestQueue, float]:
     driver = stuck()
-    endpoint, now = driver.balancer.endpoints[0], driver.now
-    endpoint.low, endpoint.low_before, endpoint.count = 0.0, 0.0, 0
+    endpoint, now = driver.balancer.queues[0], driver.now
+    endpoint.min_wait_ms, endpoint.previous_min_wait_ms, endpoint.send_count = 0.0, 0.0, 0
     for wait in waits:
         now += 20
-        endpoint.note_send(now, wait)
+        endpoint.record_send(now, wait)
     return endpoint, now
 
 
 def test_flag_follows_the_least_wait_of_the_window() -> None:
     endpoint, now = endpoint_with_waits(*[60.0] * 20)
-    assert endpoint.excess(now) > 1
-    endpoint.note_send(now + 1, 0.0)  # one immediate send is enough: no standing queue
-    assert endpoint.excess(now + 1) == 0
+    assert endpoint.overload_ratio(now) > 1
+    endpoint.record_send(now + 1, 0.0)  # one immediate send is enough: no standing queue
+    assert endpoint.overload_ratio(now + 1) == 0
 
 
 def test_a_thin_window_does_not_flip_the_flag() -> None:
     endpoint, now = endpoint_with_waits(0.0, 60.0, 60.0)
-    assert endpoint.excess(now) < 1
+    assert endpoint.overload_ratio(now) < 1
 
 
 def test_a_stuck_queue_counts_by_the_age_of_its_head() -> None:
     endpoint, now = endpoint_with_waits(*[0.0] * 20)
-    assert endpoint.excess(now + 200) > 1
+    assert endpoint.overload_ratio(now + 200) > 1
 
 
 def test_an_old_window_does_not_flag_an_empty_buffer() -> None:
     endpoint, now = endpoint_with_waits(*[60.0] * 20)
-    endpoint.queue[0].held = False
-    assert endpoint.excess(now + 5) == 0
+    endpoint.requests[0].is_queued = False
+    assert endpoint.overload_ratio(now + 5) == 0
 
 
 def test_levels_come_from_worth_and_share() -> None:
@@ -141,10 +141,10 @@
     counts = {}
     for cls in (1, 2):
         driver = stuck(*classes)
-        endpoint = driver.balancer.endpoints[0]
+        endpoint = driver.balancer.queues[0]
         for _ in range(9):
             driver.now += 20
-            endpoint.note_send(driver.now, 1.5 * 0.08 * 300)
+            endpoint.record_send(driver.now, 1.5 * 0.08 * 300)
         counts[cls] = sum(bool(of(Reject, driver.last)) for _ in range(20) if driver.arrive(cls))
     assert counts == {1: 0, 2: 20}
 
@@ -154,10 +154,10 @@
     counts = {}
     for cls in (0, 1):
         driver = stuck(*classes)
-        endpoint = driver.balancer.endpoints[0]
+        endpoint = driver.balancer.queues[0]
         for _ in range(9):
             driver.now += 20
-            endpoint.note_send(driver.now, 6.5 * 0.08 * 300)
+            endpoint.record_send(driver.now, 6.5 * 0.08 * 300)
         counts[cls] = sum(bool(of(Reject, driver.last)) for _ in range(20) if driver.arrive(cls))
     assert counts == {0: 0, 1: 20}
 
@@ -196,8 +196,8 @@
     )
     for release, refused in ((0.5, False), (4.0, True)):
         driver = Driver(settings(*classes), *fleet(40))
-        driver.balancer.endpoints[0].flagged_at = driver.now
-        driver.balancer.endpoints[0].release = release
+        driver.balancer.queues[0].flagged_at = driver.now
+        driver.balancer.queues[0].release_objectives = release
         driver.arrive(1)
         assert bool(of(Reject, driver.last)) is refused
 
@@ -206,19 +206,19 @@
     spec = RequestClass(300.0, 1000.0, late_weight=0.3)
     driver = Driver(settings(spec, proxy_count=4), *fleet(1))
     first, held = driver.arrive(), driver.arrive()
-    driver.balancer.endpoints[0].excess = lambda now: 0.0  # type: ignore[method-assign]
+    driver.balancer.queues[0].overload_ratio = lambda now: 0.0  # type: ignore[method-assign]
     assert not of(Fail, driver.beats(400))
-    driver.balancer.endpoints[0].excess = lambda now: 2.0  # type: ignore[method-assign]
+    driver.balancer.queues[0].overload_ratio = lambda now: 2.0  # type: ignore[method-assign]
     assert [f.request_id for f in of(Fail, driver.beats(75))] == [held]
     assert first in driver.sends
 
 
 def limit_after(latencies: list[float], proxies: int, aim: float = 1000.0, start: float = 4.0) -> float:
-    server = Server(fleet(1)[0], proxies)
+    server = Backend(fleet(1)[0], proxies)
     server.limit = start
     for latency in latencies:
-        server.peak = max(server.peak, int(max(1, server.limit)))
-        server.learn_latency(latency, latency / aim)
+        server.peak_in_flight = max(server.peak_in_flight, int(max(1, server.limit)))
+        server.record_latency(latency, latency / aim)
     return server.limit
 
 
@@ -347,7 +347,7 @@
     before = sum(s.limit for s in servers)
     for _ in range(80):
         driver.end(driver.arrive(), after=150)
-    assert all(s.samples < 8 for s in servers)
+    assert all(s.window_responses < 8 for s in servers)
     assert sum(s.limit for s in servers) == pytest.approx(before / 2)  # two requests of all proxies at each
 
 
@@ -394,8 +394,8 @@
     refused = []
     for since in (1.0, 600.0, 1201.0):
         driver = Driver(settings(*classes), *fleet(40))
-        driver.balancer.endpoints[0].flagged_at = driver.now
-        driver.balancer.endpoints[0].release = 4.0
+        driver.balancer.queues[0].flagged_at = driver.now
+        driver.balancer.queues[0].release_objectives = 4.0
         driver.now += since
         refused.append(sum(bool(of(Reject, driver.last)) for _ in range(40) if driver.arrive(1)))
     assert refused[0] >= 38 and 8 < refused[1] < 32 and refused[2] == 0
@@ -403,13 +403,13 @@
 
 def test_level_four_comes_back_more_slowly_only_where_the_flag_returns_soon() -> None:
     # After each short spike it was kept out for four aims, and servers stood idle meanwhile.
-    endpoint = Endpoint(300.0, 1.0)
+    endpoint = RequestQueue(300.0, 1.0)
 
     def flags(every: float, times: int) -> float:
         for number in range(times):
-            endpoint.flag(1e6 + number * every, True)
-            endpoint.flag(1e6 + number * every + 1, False)
-        return endpoint.release
+            endpoint.set_overloaded(1e6 + number * every, True)
+            endpoint.set_overloaded(1e6 + number * every + 1, False)
+        return endpoint.release_objectives
 
     assert flags(200.0, 1) == 0.5
     assert flags(200.0, 6) == 4.0
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -58,16 +58,16 @@
     counts: Counter[str] = Counter()
     for me in range(100):
         driver = Driver(settings(proxy_index=me, **MANY), *fleet(20))
-        counts.update(s.id for s in driver.balancer.near)
+        counts.update(s.id for s in driver.balancer.subset)
     assert len(counts) == 20 and max(counts.values()) < 1.5 * 40 and min(counts.values()) > 40 / 1.5
 
 
 def test_the_few_stay_as_they_are_when_another_server_leaves() -> None:
     driver = Driver(settings(**MANY), *fleet(20))
-    before = [s.id for s in driver.balancer.near]
+    before = [s.id for s in driver.balancer.subset]
     left = [s for s in fleet(20) if s.backend_id != before[0]]
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(left)))
-    assert len({s.id for s in driver.balancer.near} & set(before)) == len(before) - 1
+    assert len({s.id for s in driver.balancer.subset} & set(before)) == len(before) - 1
 
 
 def test_another_zone_serves_when_the_own_one_fails() -> None:
@@ -112,12 +112,12 @@
 
 def test_a_server_that_fails_often_but_seldom_in_a_row_rests_while_others_take_its_place() -> None:
     driver = Driver(settings(proxy_count=40), *fleet(30))
-    bad = driver.balancer.near[0]
+    bad = driver.balancer.subset[0]
     assert sends_to_one_that_fails(driver, bad.id, 250) <= 12  # an even share would be 20
-    assert bad.rest_ms > 1000.0  # and a success between two failures does not start its rests anew
-    bad.rest_until = driver.now + 3000.0
+    assert bad.ejection_ms > 1000.0  # and a success between two failures does not start its rests anew
+    bad.ejected_until = driver.now + 3000.0
     driver.beats(1100)
-    assert bad not in driver.balancer.near and len(driver.balancer.near) >= 8
+    assert bad not in driver.balancer.subset and len(driver.balancer.subset) >= 8
 
 
 def crowd(driver: Driver, n: int, delay: float) -> None:
@@ -323,7 +323,7 @@
 def test_with_little_traffic_one_of_many_keeps_to_few_servers_and_with_more_to_more() -> None:
     """Spread over a dozen, the few requests of one of hundreds teach it next to nothing of any."""
     driver = Driver(settings(**MANY), *fleet(60))
-    assert len(driver.balancer.near) <= 8
+    assert len(driver.balancer.subset) <= 8
     driver.balancer.allow = 9.0
     driver.beats(1100)
-    assert len(driver.balancer.near) == 20
+    assert len(driver.balancer.subset) == 20
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -282,4 +282,4 @@
         oracle.step(oracle.due())
     assert all(r.over for r in oracle.asked.values())
     assert oracle.balancer.requests == {}
-    assert all(s.inflight == 0 for s in oracle.balancer.servers.values())
+    assert all(s.in_flight == 0 for s in oracle.balancer.backends.values())
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -82,11 +82,11 @@
     script.run(RECOVERY_MS, {})
     script.run(2_000, {})
     balancer = script.driver.balancer
-    assert [e.excess(script.driver.now) for e in balancer.endpoints] == [0.0]
+    assert [e.overload_ratio(script.driver.now) for e in balancer.queues] == [0.0]
     assert sum(script.sent.values()) >= 0.98 * 2_000 / STEP_MS  # level 4 is let in again, nothing is held
     fair = sum(script.sent.values()) / 4
     for server in balancer.active:
-        assert server.strikes == 0 and server.rest_until <= script.driver.now
+        assert server.consecutive_failures == 0 and server.ejected_until <= script.driver.now
         assert server.payoff > 0.9, server.id
         # Room for all of the traffic at the usual latency, and its part of it.
         assert server.limit >= 2 and script.sent[server.id] > fair / 2, (server.id, server.limit, script.sent)
--- a/tests/policy/test_request_rules.py
+++ b/tests/policy/test_request_rules.py
@@ -150,7 +150,7 @@
     home = driver.sends[request][0].split(".")[2]
     for server in driver.balancer.active:
         if str(server.cell) == home:
-            server.rest_until = driver.now + 10_000
+            server.ejected_until = driver.now + 10_000
     driver.end(request, AttemptResult.ERROR)
     actions = driver.beats(250)
     assert of(Fail, actions) and not of(Forward, actions)
@@ -164,7 +164,7 @@
         home = driver.sends[request][0].split(".")[2]
         for server in driver.balancer.active:
             if str(server.cell) == home:
-                server.rest_until = driver.now + rest
+                server.ejected_until = driver.now + rest
         driver.end(request, AttemptResult.ERROR)
         assert len(driver.sends[request]) == 1
         actions = driver.beats(250)
@@ -183,7 +183,7 @@
     )
     driver = Driver(settings(spec, proxy_count=4), *fleet(1))
     request = driver.arrive()
-    driver.balancer.active[0].rest_until = driver.now + 150
+    driver.balancer.active[0].ejected_until = driver.now + 150
     driver.end(request, AttemptResult.ERROR)
     assert not of(Forward, driver.beats(250))
 
@@ -224,7 +224,7 @@
     # Its work stops as its connection closes: a slot held longer counts what no socket holds.
     driver = Driver(settings(UNSAFE), *fleet(1))
     driver.end(driver.arrive(), AttemptResult.TIMEOUT, after=200)
-    assert driver.balancer.active[0].inflight == 0
+    assert driver.balancer.active[0].in_flight == 0
 
 
 def test_a_time_out_cut_short_by_the_wait_blames_no_server() -> None:
@@ -232,9 +232,9 @@
     for _ in range(40):
         driver.end(driver.arrive(), after=50)
     server = driver.balancer.active[0]
-    before = server.limit, server.payoff, server.strikes
+    before = server.limit, server.payoff, server.consecutive_failures
     driver.end(driver.arrive(), AttemptResult.TIMEOUT, after=20)
-    assert (server.limit, server.payoff, server.strikes) == before
+    assert (server.limit, server.payoff, server.consecutive_failures) == before
 
 
 # Health
@@ -245,10 +245,10 @@
 ) -> list[Any]:
     actions: list[Any] = []
     for other in driver.balancer.active:
-        other.rest_until = 0.0 if other is driver.balancer.active[server] else driver.now + 1e9
+        other.ejected_until = 0.0 if other is driver.balancer.active[server] else driver.now + 1e9
     for _ in range(times):
         driver.balancer.retries = 0.0
-        if not driver.balancer.active[server].room(driver.now):
+        if not driver.balancer.active[server].has_capacity(driver.now):
             break
         actions += driver.end(driver.arrive(), result)
     return actions
@@ -258,21 +258,21 @@
     driver = Driver(settings(UNSAFE), *fleet(4))
     server = driver.balancer.active[0]
     assert [a for a in fail_at(driver, 0, 10) if isinstance(a, BackendEjected)]
-    assert not server.room(driver.now)
-    driver.now = server.rest_until + 1
-    assert server.room(driver.now)
-    server.inflight = 1
-    assert not server.room(driver.now)  # one on trial, not a full load
-    server.inflight = 0
+    assert not server.has_capacity(driver.now)
+    driver.now = server.ejected_until + 1
+    assert server.has_capacity(driver.now)
+    server.in_flight = 1
+    assert not server.has_capacity(driver.now)  # one on trial, not a full load
+    server.in_flight = 0
     driver.end(driver.arrive())
-    assert server.strikes == 0
+    assert server.consecutive_failures == 0
 
 
 def test_never_more_than_half_rest() -> None:
     driver = Driver(settings(UNSAFE), *fleet(4))
     for n in range(4):
         fail_at(driver, n, 12)
-    assert sum(s.strikes >= 3 for s in driver.balancer.active) <= 2
+    assert sum(s.consecutive_failures >= 3 for s in driver.balancer.active) <= 2
 
 
 def test_nobody_rests_when_all_serve_alike() -> None:
@@ -448,7 +448,7 @@
         BackendListUpdate(ListUpdateKind.DELTA, (BackendInfo("10.0.0.0:80", started_at=driver.now - 5),))
     )
     assert server.limit <= 1 and server.payoff == 1.0
-    assert not server.room(driver.now)
+    assert not server.has_capacity(driver.now)
 
 
 def test_nothing_more_is_sent_after_the_end() -> None:
@@ -472,10 +472,10 @@
 def test_what_is_not_a_servers_doing_blames_no_server(result: AttemptResult) -> None:
     # Our own lack of descriptors, or a request at fault itself, must not take a healthy server out.
     driver = Driver(settings(), *fleet(2))
-    before = [(s.payoff, s.strikes, s.limit) for s in driver.balancer.active]
+    before = [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.active]
     for _ in range(6):
         driver.end(driver.arrive(), result, done=True)
-    assert [(s.payoff, s.strikes, s.limit) for s in driver.balancer.active] == before
+    assert [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.active] == before
 
 
 def test_a_request_at_fault_itself_is_not_sent_again() -> None:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -190,4 +190,4 @@
         for me in range(3):
             world.start(me)
     world.run(COLD_MS + 500.0, 0.1)
-    assert all(s.cold_until <= world.now for m in world.modules.values() for s in m.servers.values())
+    assert all(s.cold_until <= world.now for m in world.modules.values() for s in m.backends.values())
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from dunecove.policy import balancer as balancer_module
-from dunecove.policy.balancer import Balancer, Server, mix
+from dunecove.policy.balancer import Backend, Balancer, mix
 from dunecove.policy.events import BackendListUpdate, ListUpdateKind, RequestArrived, TimerFired
 from dunecove.policy.models import AttemptResult, BackendInfo, BackendState, DeduplicationScope, Idempotency
 from dunecove.policy.settings import RequestClass
@@ -77,12 +77,15 @@
             balancer.step(25.0 * number, [BackendListUpdate(kind, tuple(entries)), TimerFired(0)])
             active = [name for name, state in listed.items() if state is BackendState.ACTIVE]
             assert balancer.listed == len(active)  # also of two that rank alike
-            held = [*(s.id for s in balancer.active), *(n for b in balancer.far.buckets.values() for n in b)]
+            held = [
+                *(s.id for s in balancer.active),
+                *(n for b in balancer.unsubscribed.buckets.values() for n in b),
+            ]
             assert sorted(held) == sorted(active)
-            assert [s.rank for s in balancer.near] == by_rank(active, me)[: balancer.near_size]
+            assert [s.rank for s in balancer.subset] == by_rank(active, me)[: balancer.near_size]
             assert sorted(s.rank for s in balancer.active) == by_rank(active, me)[: len(balancer.active)]
-            assert len(balancer.active) >= min(len(active), 16) and len(balancer.servers) <= 18
-            assert all(s in balancer.by_hash[s.hash] for s in balancer.active)
+            assert len(balancer.active) >= min(len(active), 16) and len(balancer.backends) <= 18
+            assert all(s in balancer.by_hash[s.name_hash] for s in balancer.active)
 
 
 def test_a_change_among_many_touches_few(hashed: list[int]) -> None:
@@ -104,39 +107,41 @@
     assert hashed[0] / 150 < 30
     hashed[0] = 0
     driver.beats(3000)
-    assert hashed[0] == 0 and len(driver.balancer.servers) <= 320
+    assert hashed[0] == 0 and len(driver.balancer.backends) <= 320
     assert driver.balancer.listed == 20_000
 
 
 def test_new_weights_of_all_touch_only_what_the_list_told_of_them() -> None:
     driver = Driver(settings(**MANY), *servers(5_000))
-    kept = list(driver.balancer.servers.values())
+    kept = list(driver.balancer.backends.values())
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, servers(5_000, weight=0.5)))
-    assert list(driver.balancer.servers.values()) == kept and {s.weight for s in kept} == {0.5}
-    weights = {loads(told)[4] for bucket in driver.balancer.far.buckets.values() for told in bucket.values()}
+    assert list(driver.balancer.backends.values()) == kept and {s.weight for s in kept} == {0.5}
+    weights = {
+        loads(told)[4] for bucket in driver.balancer.unsubscribed.buckets.values() for told in bucket.values()
+    }
     assert weights == {0.5}
 
 
 def test_what_was_learned_is_kept_of_those_it_keeps_to() -> None:
     driver = Driver(settings(**MANY), *servers(5_000))
-    bad = driver.balancer.near[0]
+    bad = driver.balancer.subset[0]
     bad.payoff = 0.1
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, servers(6_000)))
     driver.beats(3000)
-    assert driver.balancer.servers[bad.id] is bad and bad.payoff < 1.0
+    assert driver.balancer.backends[bad.id] is bad and bad.payoff < 1.0
 
 
 def test_few_proxies_keep_to_few_of_a_long_list_and_to_more_under_load() -> None:
     driver = Driver(settings(RequestClass(300.0, 5000.0), proxy_count=3), *servers(5_000))
-    assert len(driver.balancer.near) <= 320
+    assert len(driver.balancer.subset) <= 320
     arrivals = [RequestArrived(f"q{n}", 0, 0, None, driver.now + 5000.0) for n in range(2_000)]
     for n in range(0, 2_000, 50):  # none is answered: all are sent, since there are servers for all
         driver.step(*arrivals[n : n + 50])
-    assert len(driver.sends) == 2_000 and 1_000 < len(driver.balancer.near) < 4_500
+    assert len(driver.sends) == 2_000 and 1_000 < len(driver.balancer.subset) < 4_500
     for request in list(driver.sends):
         driver.end(request, after=0.0, delay=20.0)
     driver.beats(40_000)
-    assert len(driver.balancer.servers) <= 320 and driver.balancer.listed == 5_000
+    assert len(driver.balancer.backends) <= 320 and driver.balancer.listed == 5_000
 
 
 def test_few_proxies_find_ready_servers_beyond_those_that_are_all_cold() -> None:
@@ -183,7 +188,7 @@
     for proxies in (3, 3400):
         driver = Driver(settings(proxy_count=proxies), *servers(256))
         driver.beats(2000)
-        assert [s.id for s in driver.balancer.active] == names and not driver.balancer.far.count
+        assert [s.id for s in driver.balancer.active] == names and not driver.balancer.unsubscribed.count
 
 
 def test_a_beat_looks_at_cold_servers_only() -> None:
@@ -192,13 +197,13 @@
     )
     looked = [0]
 
-    class Near(list[Server]):
-        def __iter__(self) -> Iterator[Server]:
+    class Near(list[Backend]):
+        def __iter__(self) -> Iterator[Backend]:
             looked[0] += 1
             return super().__iter__()
 
     driver.beats(2_000)
-    driver.balancer.near = Near(driver.balancer.near)
+    driver.balancer.subset = Near(driver.balancer.subset)
     driver.beats(900)
     assert looked[0] == 0
 
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -19,7 +19,7 @@
 
 
 def names(p: Proxy) -> set[str]:
-    far = p.engine.balancer.far.buckets.values()
+    far = p.engine.balancer.unsubscribed.buckets.values()
     return {*(s.id for s in p.engine.balancer.active), *(name for bucket in far for name in bucket)}
 
 
