--- /dev/null
+++ b/dunecove/policy/concurrency_limit.py
@@ -0,0 +1,111 @@
+"""The limit on requests in flight at one backend, learned from the latency of its responses.
+
+As in TCP Vegas, the requests that wait inside the backend are estimated from how far its latency lies above
+its base latency. Limits are of this proxy alone: each of N proxies takes an Nth.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from dunecove.policy.settings import Settings
+from dunecove.policy.smoothing import LATENCY_WEIGHT, moved_toward
+
+# Requests of all proxies together, in flight at or waiting inside one backend.
+INITIAL_LIMIT = 4.0
+MIN_LIMIT = 2.0  # one being processed and one to follow, or the backend would idle between two
+RAISE_BELOW_WAITING = 2.0
+REDUCE_ABOVE_WAITING = 4.0
+
+BASE_LATENCY_DRIFT = 1 / 400  # weight of one response: a backend that stays slow is believed in the end
+MAX_SATURATION = 1 / 5  # mean latency as a part of the objective, above which limits are reduced
+SATURATION_FACTOR = 0.75  # on the limit when too many wait there
+FAILURE_FACTOR = 0.8  # on the limit after a rejection or timeout
+MIN_WINDOW_RESPONSES = 8  # between two adjustments
+
+
+def is_sparse(settings: Settings) -> bool:
+    """Whether this proxy's share of an unknown backend's limit is under one request.
+
+    Such a proxy, one of many, meets each backend too seldom to judge it alone.
+    """
+    return settings.proxy_count > INITIAL_LIMIT
+
+
+class LearnedLimit:
+    """The concurrency limit of one backend and what it is learned from."""
+
+    __slots__ = (
+        "base_latency_ms",
+        "in_flight",
+        "latency_ms",
+        "limit",
+        "peak_in_flight",
+        "proxy_count",
+        "response_count",
+        "saturation",
+        "window_responses",
+    )
+
+    def __init__(self, proxy_count: int) -> None:
+        self.proxy_count = proxy_count
+        self.in_flight = 0  # attempts of this proxy
+        self.reset_limit()
+
+    def reset_limit(self) -> None:
+        """Forget what was learned, but not what is in flight."""
+        self.limit = INITIAL_LIMIT / self.proxy_count
+        self.peak_in_flight = 0  # since the last adjustment
+        self.window_responses = 0  # since the last adjustment
+        self.latency_ms = 0.0  # smoothed
+        self.base_latency_ms = 0.0  # the latency without waiting
+        self.response_count = 0
+        self.saturation = 0.0  # smoothed latency as a part of the objective
+
+    def record_latency(self, latency_ms: float, saturation: float) -> None:
+        """Learn from a response; `saturation` is its latency as a part of the objective."""
+        self.response_count += 1
+        weight = max(LATENCY_WEIGHT, 1 / self.response_count)
+        capped_ms = min(latency_ms, 2 * (self.latency_ms or latency_ms))
+        self.latency_ms = moved_toward(self.latency_ms, capped_ms, weight)
+        self.saturation = moved_toward(self.saturation, saturation, weight)
+        if self.response_count <= 1 / LATENCY_WEIGHT:  # a base from one lucky response would last for long
+            self.base_latency_ms = self.latency_ms
+        drifted_ms = moved_toward(self.base_latency_ms, self.latency_ms, BASE_LATENCY_DRIFT)
+        self.base_latency_ms = min(drifted_ms, self.latency_ms)
+        self.window_responses += 1
+        if self.window_responses >= max(MIN_WINDOW_RESPONSES, self.limit):
+            self._adjust_limit()
+
+    def _adjust_limit(self) -> None:
+        used = min(self.peak_in_flight, self.limit)
+        waiting = used * (1 - self.base_latency_ms / self.latency_ms) * self.proxy_count
+        if waiting > REDUCE_ABOVE_WAITING or self.saturation > MAX_SATURATION:
+            self.reduce_limit(SATURATION_FACTOR)
+        elif waiting < RAISE_BELOW_WAITING and self.peak_in_flight + 1 > self.limit:
+            self.limit += min(1.0, 2 / self.proxy_count)
+        self.window_responses = 0
+        self.peak_in_flight = self.in_flight
+
+    def reduce_limit(self, factor: float) -> None:
+        """Multiply the limit by `factor`, down to this proxy's part of `MIN_LIMIT`."""
+        self.limit = min(self.limit, max(MIN_LIMIT / self.proxy_count, self.limit * factor))
+
+
+class SharedSaturation:
+    """The mean saturation of all backends: one proxy of several sees too few responses of each one."""
+
+    def __init__(self) -> None:
+        self._saturation = 0.0
+        self._window_responses = 0
+
+    def record(self, saturation: float, backends: Sequence[LearnedLimit]) -> None:
+        """Learn from one backend's response; reduce the limits of all backends if they are saturated."""
+        self._saturation = moved_toward(self._saturation, saturation, LATENCY_WEIGHT)
+        self._window_responses += 1
+        if self._window_responses < max(1 / LATENCY_WEIGHT, sum(backend.limit for backend in backends)):
+            return
+        self._window_responses = 0
+        if self._saturation > MAX_SATURATION:
+            for backend in backends:
+                backend.reduce_limit(SATURATION_FACTOR)
--- /dev/null
+++ b/dunecove/policy/dispatcher.py
@@ -0,0 +1,130 @@
+"""Dispatch: which queued request is sent next, and whether there is capacity for it."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from math import inf
+
+from dunecove.policy.actions import Forward
+from dunecove.policy.backend import Backend
+from dunecove.policy.bandit import Bandit
+from dunecove.policy.concurrency_limit import is_sparse
+from dunecove.policy.in_flight_limit import InFlightLimit
+from dunecove.policy.latency_tracker import LatencyTracker
+from dunecove.policy.models import Idempotency
+from dunecove.policy.request import Attempt, Request
+from dunecove.policy.request_queue import RequestQueue
+from dunecove.policy.request_rules import first_executed_attempt
+from dunecove.policy.settings import Settings
+from dunecove.policy.subsetting import BackendSet
+
+UNRESPONSIVE_LATENCIES = 2.0  # usual latencies without a response after which a backend may hang
+MIN_TIMEOUT_MS = 1.0
+
+
+class Dispatcher:
+    """Sends queued requests to backends while there is capacity."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        queues: Sequence[RequestQueue],
+        backends: BackendSet,
+        in_flight: InFlightLimit,
+        latencies: LatencyTracker,
+        bandit: Bandit,
+    ) -> None:
+        self._settings = settings
+        self._is_sparse = is_sparse(settings)
+        self._queues = queues
+        self._backends = backends
+        self._in_flight = in_flight
+        self._latencies = latencies
+        self._bandit = bandit
+
+    def dispatch(self, now: float) -> list[Forward]:
+        """Send queued requests, the one first that has waited the largest part of its objective.
+
+        So all queues feel a shortage of backends alike, and each one's detector sheds its own.
+        """
+        heads = self._heads()
+        if not heads:
+            return []
+        if self._is_sparse:
+            candidates, sends_left = self._sparse_capacity(now)
+        else:
+            candidates, sends_left = self._capacity(now)
+        min_limit = self._backends.min_limit
+        forwards = []
+        while heads and candidates and sends_left > 0:
+            sends_left -= 1
+            request = max(heads, key=lambda head: (now - head.arrived_at) / head.queue.objective_ms)
+            request.queue.pop_head(now)
+            forwards.append(self.forward(now, request, candidates))
+            backend = request.attempts[-1].backend
+            if not backend.has_capacity(now, min_limit):
+                candidates.remove(backend)
+            heads = self._heads()
+        return forwards
+
+    def forward(self, now: float, request: Request, candidates: list[Backend]) -> Forward:
+        """Begin an attempt of a request at one of these backends."""
+        executed = first_executed_attempt(request.attempts)
+        backend = self._bandit.pick(now, request, candidates, len(self._backends.subset))
+        request.attempts.append(Attempt(backend, now))
+        request.open_attempts += 1
+        self._in_flight.begin_attempt()
+        backend.begin_attempt(now)
+        end = min(request.useful_until - self._settings.step_interval_ms, request.deadline)
+        write_within_ms = inf
+        request_class = request.request_class
+        if executed and request_class.idempotency is Idempotency.KEYED:
+            # Its connection may come up late; by then the key may have been forgotten.
+            write_within_ms = executed.sent_at + request_class.dedup_window_ms - now
+        return Forward(request.id, backend.id, max(end - now, MIN_TIMEOUT_MS), write_within_ms)
+
+    def _heads(self) -> list[Request]:
+        return [head for queue in self._queues if (head := queue.head()) is not None]
+
+    def _sparse_capacity(self, now: float) -> tuple[list[Backend], float]:
+        """Return the backends with capacity, and how many requests may be sent."""
+        candidates = self._with_capacity(now)
+        if not candidates:  # nothing waits beside a ready backend
+            min_limit = self._backends.min_limit
+            candidates = [
+                backend
+                for backend in self._backends.active
+                if backend.cold_until <= now and backend.has_capacity(now, min_limit)
+            ]
+        return candidates, self._in_flight.sends_left(now)
+
+    def _capacity(self, now: float) -> tuple[list[Backend], float]:
+        """The same for few proxies, which keep state of more backends if those don't suffice."""
+        candidates = self._with_capacity(now)
+        sends_left = self._sum_of_limits_left(now)
+        if self._backends.unsubscribed.count and (
+            not candidates or sends_left < sum(len(queue) for queue in self._queues)
+        ):
+            self._backends.choose_subset(now)
+            candidates = self._with_capacity(now)
+            sends_left = self._sum_of_limits_left(now)
+        return candidates, sends_left
+
+    def _with_capacity(self, now: float) -> list[Backend]:
+        min_limit = self._backends.min_limit
+        return [backend for backend in self._backends.subset if backend.has_capacity(now, min_limit)]
+
+    def _sum_of_limits_left(self, now: float) -> float:
+        """Limits below one add up: one request each at every backend would be too many.
+
+        But a few backends that hang must not use up the sum: an unresponsive one takes nothing from the
+        others.
+        """
+        usual_ms = self._latencies.overall_ms or self._queues[-1].objective_ms
+        unresponsive_since = now - UNRESPONSIVE_LATENCIES * usual_ms
+        return sum(
+            max(
+                backend.limit - backend.in_flight, -1.0 if backend.responsive_at > unresponsive_since else 0.0
+            )
+            for backend in self._backends.subset
+        )
--- /dev/null
+++ b/dunecove/policy/feedback.py
@@ -0,0 +1,97 @@
+"""What the outcome of an attempt teaches, and to whom."""
+
+from __future__ import annotations
+
+from dunecove.policy.actions import BackendEjected
+from dunecove.policy.backend import Backend
+from dunecove.policy.bandit import Bandit
+from dunecove.policy.concurrency_limit import FAILURE_FACTOR, SharedSaturation, is_sparse
+from dunecove.policy.events import AttemptEnded
+from dunecove.policy.in_flight_limit import InFlightLimit
+from dunecove.policy.latency_tracker import MIN_LATENCY_MS, LatencyTracker
+from dunecove.policy.models import AttemptResult
+from dunecove.policy.outlier_detection import OutlierDetector
+from dunecove.policy.request import Request
+from dunecove.policy.settings import Settings
+from dunecove.policy.subsetting import BackendSet
+
+# This proxy stopped waiting.
+_GIVEN_UP = frozenset({AttemptResult.TIMEOUT, AttemptResult.CANCELLED})
+# The doing of this proxy or of the client: says nothing of the backend.
+_NOT_OF_BACKEND = frozenset(
+    {
+        AttemptResult.CANCELLED,
+        AttemptResult.WITHDRAWN,
+        AttemptResult.NO_LOCAL_RESOURCE,
+        AttemptResult.BAD_REQUEST,
+    }
+)
+_LOAD_FAILURES = frozenset({AttemptResult.REJECTED, AttemptResult.TIMEOUT})
+
+
+class Feedback:
+    """Passes outcomes on to all that learn from them."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        backends: BackendSet,
+        latencies: LatencyTracker,
+        in_flight: InFlightLimit,
+        bandit: Bandit,
+        outliers: OutlierDetector,
+    ) -> None:
+        self._is_sparse = is_sparse(settings)
+        self._backends = backends
+        self._latencies = latencies
+        self._in_flight = in_flight
+        self._bandit = bandit
+        self._outliers = outliers
+        self._saturation = SharedSaturation()
+
+    def record(
+        self, now: float, request: Request, backend: Backend, event: AttemptEnded
+    ) -> BackendEjected | None:
+        """Learn from an outcome; return what to log if the backend is ejected."""
+        result = event.result
+        latency_ms = max(event.latency_ms, MIN_LATENCY_MS)
+        if result in _GIVEN_UP and not self._had_fair_chance(request, latency_ms):
+            return None
+        if result in _NOT_OF_BACKEND:
+            return None
+        objective_ms = request.queue.objective_ms
+        if self._is_sparse:
+            subset = self._backends.subset
+            self._in_flight.record_outcome(result, latency_ms, objective_ms, backend, subset)
+        # The objective counts from the send here: the wait in the queue is not the backend's doing.
+        self._bandit.record_outcome(backend, result is AttemptResult.OK and latency_ms <= objective_ms)
+        if result is AttemptResult.OK:
+            self._record_response(now, request, backend, latency_ms)
+            return None
+        if result in _LOAD_FAILURES:
+            backend.reduce_limit(FAILURE_FACTOR)
+            if self._is_sparse and request.work_hint_ms > 0 and backend.cold_until <= now:
+                self._latencies.record_work_rate_bound(backend.kind, latency_ms / request.work_hint_ms)
+        return self._outliers.record_failure(now, backend, result)
+
+    def _had_fair_chance(self, request: Request, latency_ms: float) -> bool:
+        """Whether an attempt given up had the time that an ordinary one takes.
+
+        Its latency counts in any case: were only responses counted, each attempt given up would make the next
+        one look later still.
+        """
+        fair_ms = self._latencies.fair_ms(request)
+        self._latencies.record_class(request.class_index, latency_ms)
+        return latency_ms >= fair_ms
+
+    def _record_response(self, now: float, request: Request, backend: Backend, latency_ms: float) -> None:
+        self._outliers.record_success(now, backend)
+        backend.record_response(now)
+        class_latency_ms = self._latencies.record_response(request, latency_ms)
+        if request.work_hint_ms > 0 and backend.cold_until <= now:
+            self._latencies.record_work_rate(backend.kind, latency_ms / request.work_hint_ms)
+        saturation = min(latency_ms / request.queue.objective_ms, 1.0)
+        if not self._is_sparse:
+            self._saturation.record(saturation, self._backends.active)
+        # Classes differ in work: scaled to the mix, so that a run of long ones doesn't look like waiting.
+        backend.record_latency(latency_ms * self._latencies.overall_ms / class_latency_ms, saturation)
--- /dev/null
+++ b/dunecove/policy/latency_tracker.py
@@ -0,0 +1,82 @@
+"""The usual latency of responses, overall and by class, and the work rate of each kind of hardware."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from dunecove.policy.request import Request
+from dunecove.policy.smoothing import LATENCY_WEIGHT, moved_toward, smooth
+
+FAIR_DEVIATIONS = 3.0  # above the usual latency that an attempt is given before its timeout says anything
+MIN_LATENCY_MS = 0.001  # less is below the clock's resolution; nothing may be divided by zero
+# Weight of one response in a kind's work rate; a sparse proxy sees few.
+WORK_RATE_WEIGHT = 1 / 32
+SPARSE_WORK_RATE_WEIGHT = 1 / 10
+
+
+class ClassLatency(NamedTuple):
+    """The latency of one request class, smoothed, in ms."""
+
+    mean_ms: float = 0.0
+    deviation_ms: float = 0.0
+
+
+class LatencyTracker:
+    """Smoothed latencies of all backends together."""
+
+    def __init__(self, class_count: int, is_sparse: bool) -> None:
+        self.overall_ms = 0.0
+        self.work_rates: dict[int, float] = {}  # ms of latency per ms of hinted work, by kind of hardware
+        self._by_class = [ClassLatency()] * class_count
+        self._work_rate_weight = SPARSE_WORK_RATE_WEIGHT if is_sparse else WORK_RATE_WEIGHT
+
+    def class_latency_ms(self, class_index: int) -> float:
+        """Return the usual latency of a class; 0 before its first response."""
+        return self._by_class[class_index].mean_ms
+
+    def usual_ms(self, request: Request) -> float:
+        """Return the usual latency of a request's class, at most half its objective."""
+        return min(self.class_latency_ms(request.class_index), request.queue.objective_ms / 2)
+
+    def fair_ms(self, request: Request) -> float:
+        """Return how long an attempt may take and still be an ordinary one.
+
+        It is at most half the objective: were the usual latency above the objective, nothing would ever be
+        sent again and the latency never be corrected.
+        """
+        mean_ms, deviation_ms = self._by_class[request.class_index]
+        return min(mean_ms + FAIR_DEVIATIONS * deviation_ms, request.queue.objective_ms / 2)
+
+    def record_response(self, request: Request, latency_ms: float) -> float:
+        """Learn from a response; return its class's usual latency."""
+        request.queue.record_latency(latency_ms)
+        mean_ms = self.record_class(request.class_index, latency_ms)
+        self.overall_ms = smooth(self.overall_ms, latency_ms)
+        return mean_ms
+
+    def record_class(self, class_index: int, latency_ms: float) -> float:
+        """Learn the latency of a class alone, as from an attempt given up; return its usual latency."""
+        mean_ms, deviation_ms = self._by_class[class_index]
+        if mean_ms:
+            deviation_ms = moved_toward(deviation_ms, abs(latency_ms - mean_ms), LATENCY_WEIGHT)
+        else:
+            deviation_ms = latency_ms / 2
+        mean_ms = smooth(mean_ms, latency_ms)
+        self._by_class[class_index] = ClassLatency(mean_ms, deviation_ms)
+        return mean_ms
+
+    def record_work_rate(self, kind: int, work_rate: float) -> None:
+        """Learn the work rate of a kind of hardware; of one backend alone there are too few responses.
+
+        It is smoothed by its logarithm, since a hint may be tenfold off either way.
+        """
+        known = self.work_rates.get(kind, work_rate)
+        self.work_rates[kind] = known * (work_rate / known) ** self._work_rate_weight
+
+    def record_work_rate_bound(self, kind: int, work_rate: float) -> None:
+        """Learn that a kind's work rate is at least this, as from a timeout."""
+        self.record_work_rate(kind, max(work_rate, self.work_rates.get(kind, 0.0)))
+
+    def fastest_work_rate(self) -> float:
+        """Return the work rate of the fastest kind; 0 if none is known."""
+        return min(self.work_rates.values(), default=0.0)
--- /dev/null
+++ b/dunecove/policy/list_updates.py
@@ -0,0 +1,73 @@
+"""Updates of the endpoint list: whose start is new, and what each update replaces."""
+
+from __future__ import annotations
+
+from dunecove.policy.events import BackendListUpdate, ListUpdateKind
+from dunecove.policy.in_flight_limit import InFlightLimit
+from dunecove.policy.models import BackendInfo, BackendState
+from dunecove.policy.slow_start import SlowStart
+from dunecove.policy.slow_start_budget import SlowStartBudget
+from dunecove.policy.subsetting import BackendSet
+from dunecove.policy.unsubscribed_backends import UnsubscribedBackends
+
+CACHED_KINDS = frozenset({ListUpdateKind.CACHED, ListUpdateKind.CACHED_CONTINUED})
+_PARTIAL_KINDS = frozenset({ListUpdateKind.DELTA, ListUpdateKind.CACHED_CONTINUED})
+
+
+class ListUpdates:
+    """Carries updates over to the backends. Times are in ms."""
+
+    def __init__(
+        self,
+        backends: BackendSet,
+        starts: SlowStart,
+        slow_start: SlowStartBudget,
+        in_flight: InFlightLimit,
+    ) -> None:
+        self._backends = backends
+        self._starts = starts
+        self._slow_start = slow_start
+        self._in_flight = in_flight
+        self._has_heard_discovery = False  # since this process began
+
+    def apply(self, now: float, update: BackendListUpdate) -> None:
+        """Take over an update that has not failed."""
+        backends = self._backends
+        is_cached = update.kind in CACHED_KINDS
+        clock_was_right = self._starts.clock_is_right
+        previous = backends.unsubscribed
+        if update.kind not in _PARTIAL_KINDS:
+            for name in backends.clear_unlisted({entry.backend_id for entry in update.entries}):
+                self._starts.forget(name)
+        for entry in update.entries:
+            self._record_start(now, entry, previous, is_cached)
+            backends.apply_entry(now, entry)
+        if is_cached or not self._has_heard_discovery or self._starts.clock_is_right != clock_was_right:
+            self._update_cold(now)
+        self._has_heard_discovery = self._has_heard_discovery or not is_cached
+        backends.refresh_active()
+        if not backends.subset or update.kind is ListUpdateKind.CACHED_CONTINUED:
+            self._in_flight.reset(backends.listed_count)
+        backends.choose_subset(now)
+
+    def _update_cold(self, now: float) -> None:
+        """Dates of starts are judged by one another and by the clock: what is now known may change them."""
+        for backend in [b for b in self._backends.by_id.values() if b.started_at is not None]:
+            self._slow_start.update(now, backend)
+
+    def _record_start(
+        self, now: float, entry: BackendInfo, previous: UnsubscribedBackends, is_cached: bool
+    ) -> None:
+        """Record a start that this process had not heard of; `previous`: unsubscribed before the update."""
+        if entry.state is BackendState.REMOVED:
+            self._starts.forget(entry.backend_id)
+            return
+        known = self._backends.by_id.get(entry.backend_id) or previous.get(entry.backend_id)
+        if known is not None and known.started_at == entry.started_at:
+            return
+        if is_cached:
+            self._starts.found(now, entry.backend_id, entry.started_at)
+        elif self._has_heard_discovery:
+            self._starts.restarted(now, entry.backend_id, entry.started_at)
+        else:
+            self._starts.first_told(now, entry.backend_id, entry.started_at)
--- /dev/null
+++ b/dunecove/policy/outlier_detection.py
@@ -0,0 +1,133 @@
+"""Outlier detection: backends that fail far more than others are ejected for a while.
+
+A sparse proxy meets a backend too seldom to judge it soon, so all of them report failures to one another.
+Three within a second are no chance, and from two proxies: one that is itself cut off must not speak for all.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from dunecove.policy.actions import BackendEjected, SendGossip
+from dunecove.policy.backend import (
+    BACKEND_FAULTS,
+    MAX_CONSECUTIVE_FAILURES,
+    MAX_EJECTION_MS,
+    MIN_EJECTION_MS,
+    Backend,
+    FailureReport,
+)
+from dunecove.policy.bandit import mean_payoff
+from dunecove.policy.concurrency_limit import is_sparse
+from dunecove.policy.events import GossipReceived
+from dunecove.policy.models import AttemptResult
+from dunecove.policy.settings import Settings
+from dunecove.policy.subsetting import BackendSet
+
+EJECTION_JITTER = (0.75, 1.25)  # times the ejection
+OUTLIER_PAYOFF = 0.5  # part of the usual payoff up to which a backend is an outlier
+SPARSE_OUTLIER_PAYOFF = 0.6  # the same for a sparse proxy
+
+REPORT_WINDOW_MS = 1000.0
+MIN_REPORTS = 3  # within the window
+MIN_REPORTERS = 2  # proxies they come from
+MAX_KEPT_REPORTS = 60
+GOSSIP_INTERVAL_MS = 100.0  # between two reports of one backend: more often says nothing more
+# Times the ejection after reports: all eject it in the same moment, and must not all return so.
+REPORTED_JITTER = (1.0, 3.0)
+GOSSIP_PREFIX = b"\x01"  # first byte of a message that names backends seen to fail
+HASH_BYTES = 4  # of each name
+MAX_GOSSIP_BACKENDS = 60  # in one message of at most 256 bytes
+
+
+class OutlierDetector:
+    """Ejects backends by their own failures and by reports. Times are in ms."""
+
+    def __init__(self, settings: Settings, rng: Random, backends: BackendSet) -> None:
+        self._settings = settings
+        self._rng = rng
+        self._backends = backends
+        self._is_sparse = is_sparse(settings)
+        self._to_gossip: list[Backend] = []  # seen to fail in this step
+
+    def record_success(self, now: float, backend: Backend) -> None:
+        """Learn that a backend responded."""
+        backend.consecutive_failures = 0
+        reports = backend.failure_reports
+        reported = bool(reports) and now - reports[-1].reported_at < MAX_EJECTION_MS
+        if not (self._is_sparse and (reported or self._is_outlier(backend))):
+            backend.ejection_ms = MIN_EJECTION_MS
+
+    def record_failure(self, now: float, backend: Backend, result: AttemptResult) -> BackendEjected | None:
+        """Learn that a backend failed; return what to log if it is ejected."""
+        backend.consecutive_failures += 1
+        # Seldom met, a backend that fails every other request seldom fails three in a row.
+        if self._is_sparse and self._settings.may_gossip and result in BACKEND_FAULTS:
+            self._report(now, backend, self._settings.proxy_index)
+            if now - backend.gossiped_at >= GOSSIP_INTERVAL_MS:
+                backend.gossiped_at = now
+                self._to_gossip.append(backend)
+        # A timeout may show load alone, in which all share.
+        is_bad = self._is_sparse and result is not AttemptResult.TIMEOUT and self._is_outlier(backend)
+        fails_in_a_row = backend.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+        if (is_bad or fails_in_a_row) and backend.ejected_until <= now:
+            return self._eject_outlier(now, backend)
+        return None
+
+    def on_gossip(self, now: float, event: GossipReceived) -> None:
+        """Take over another proxy's reports; messages of another kind, as of a later release, are ignored."""
+        if not self._is_sparse or event.sender_index == self._settings.proxy_index:
+            return
+        if not event.payload.startswith(GOSSIP_PREFIX):
+            return
+        last_start = len(event.payload) - HASH_BYTES
+        for start in range(len(GOSSIP_PREFIX), last_start + 1, HASH_BYTES):
+            name_hash = int.from_bytes(event.payload[start : start + HASH_BYTES], "big")
+            alike = self._backends.find_by_hash(name_hash)
+            if alike:
+                self._report(now, alike[-1], event.sender_index)
+
+    def take_gossip(self) -> SendGossip | None:
+        """Return the message on backends that have just failed; None if there is none."""
+        if not self._to_gossip:
+            return None
+        named = self._to_gossip[:MAX_GOSSIP_BACKENDS]
+        self._to_gossip = []
+        hashes = b"".join(backend.name_hash.to_bytes(HASH_BYTES, "big") for backend in named)
+        return SendGossip(GOSSIP_PREFIX + hashes)
+
+    def _is_outlier(self, backend: Backend) -> bool:
+        part = SPARSE_OUTLIER_PAYOFF if self._is_sparse else OUTLIER_PAYOFF
+        return backend.payoff <= part * mean_payoff(self._backends.subset)
+
+    def _eject_outlier(self, now: float, backend: Backend) -> BackendEjected | None:
+        """Eject a backend, unless it is a usual one or most fail: then the fault is not this backend's."""
+        active = self._backends.active
+        failing = sum(
+            other.consecutive_failures >= MAX_CONSECUTIVE_FAILURES and other is not backend
+            for other in active
+        )
+        if 2 * (failing + 1) > len(active) or not self._is_outlier(backend):
+            backend.consecutive_failures = 0
+            return None
+        ejection = BackendEjected(backend.id, backend.consecutive_failures)
+        self._eject(now, backend, EJECTION_JITTER)
+        return ejection
+
+    def _report(self, now: float, backend: Backend, proxy_index: int) -> None:
+        """Take over that a backend failed a request of some proxy; eject it once enough proxies say so."""
+        recent = [r for r in backend.failure_reports if r.reported_at > now - REPORT_WINDOW_MS]
+        reports = [*recent[-MAX_KEPT_REPORTS:], FailureReport(now, proxy_index)]
+        backend.failure_reports = reports
+        if len(reports) < MIN_REPORTS or len({report.proxy_index for report in reports}) < MIN_REPORTERS:
+            return
+        active = self._backends.active
+        ejected = sum(other.ejected_until > now for other in active)
+        if backend.ejected_until <= now and 2 * (ejected + 1) <= len(active):
+            # It comes back with one request on trial.
+            backend.consecutive_failures = max(backend.consecutive_failures, MAX_CONSECUTIVE_FAILURES)
+            self._eject(now, backend, REPORTED_JITTER)
+
+    def _eject(self, now: float, backend: Backend, jitter: tuple[float, float]) -> None:
+        backend.ejected_until = now + backend.ejection_ms * self._rng.uniform(*jitter)
+        backend.ejection_ms = min(2 * backend.ejection_ms, MAX_EJECTION_MS)
--- /dev/null
+++ b/dunecove/policy/pinned_retries.py
@@ -0,0 +1,55 @@
+"""Keyed retries of what may have executed: only backends that recognise the repeat may get them."""
+
+from __future__ import annotations
+
+from dunecove.policy.actions import Forward
+from dunecove.policy.backend import Backend
+from dunecove.policy.dispatcher import Dispatcher
+from dunecove.policy.request import Attempt, Request
+from dunecove.policy.request_rules import first_executed_attempt, in_dedup_scope
+from dunecove.policy.subsetting import BackendSet
+from dunecove.policy.unsubscribed_backends import MAX_SCOPE_MEMBERS
+
+
+class PinnedRetries:
+    """The retries that wait for capacity in their deduplication scope."""
+
+    def __init__(self, backends: BackendSet, dispatcher: Dispatcher) -> None:
+        self.waiting: list[Request] = []
+        self._backends = backends
+        self._dispatcher = dispatcher
+
+    def add(self, request: Request) -> None:
+        """Let a retry wait for its scope."""
+        request.is_queued = True
+        self.waiting.append(request)
+
+    def dispatch(self, now: float) -> list[Forward]:
+        """Send those whose scope has capacity; forget those that have ended."""
+        waiting, self.waiting = self.waiting, []
+        forwards: list[Forward] = []
+        for request in waiting:
+            executed = first_executed_attempt(request.attempts)
+            if not request.is_queued or executed is None:
+                continue
+            candidates = [
+                backend
+                for backend in self._scope_members(now, request, executed)
+                if backend.has_capacity(now, self._backends.min_limit)
+            ]
+            if candidates and now < request.latest_send:
+                request.is_queued = False
+                forwards.append(self._dispatcher.forward(now, request, candidates))
+            else:
+                self.waiting.append(request)
+        return forwards
+
+    def _scope_members(self, now: float, request: Request, executed: Attempt) -> list[Backend]:
+        """Return the active backends of its scope; some of them are subscribed to if few are."""
+        scope = request.request_class.dedup_scope
+        members = [backend for backend in self._backends.active if in_dedup_scope(scope, backend, executed)]
+        unsubscribed = self._backends.unsubscribed
+        if not unsubscribed.count or len(members) >= MAX_SCOPE_MEMBERS:
+            return members
+        self._backends.subscribe(now, unsubscribed.scope_members(scope, executed))
+        return [backend for backend in self._backends.active if in_dedup_scope(scope, backend, executed)]
--- /dev/null
+++ b/dunecove/policy/queue_timeouts.py
@@ -0,0 +1,67 @@
+"""For how long a request may wait for a backend, and the timers for that."""
+
+from __future__ import annotations
+
+from heapq import heappop, heappush
+
+from dunecove.policy.latency_tracker import LatencyTracker
+from dunecove.policy.request import Attempt, Request
+from dunecove.policy.settings import Settings
+
+TICK_MS = 25.0  # between two housekeeping ticks: timeouts and recovery need no finer grain
+# Part of its wait after which a request never sent is failed: its client can still try again.
+MAX_UNSENT_PART = 0.45
+
+
+class QueueTimeouts:
+    """The requests that wait, by the time at which to look at them again. Times are in ms."""
+
+    def __init__(self, settings: Settings, latencies: LatencyTracker) -> None:
+        self._step_interval_ms = settings.step_interval_ms
+        self._latencies = latencies
+        self._timers: list[tuple[float, int, Request]] = []  # a heap
+        self._timer_count = 0
+
+    def schedule(self, when: float, request: Request) -> None:
+        """Look at a request again at this time."""
+        self._timer_count += 1
+        heappush(self._timers, (when, self._timer_count, request))
+
+    def pop_due(self, now: float) -> Request | None:
+        """Remove and return a request to look at now; None if there is none."""
+        if self._timers and self._timers[0][0] <= now:
+            return heappop(self._timers)[2]
+        return None
+
+    def is_too_late(self, now: float, request: Request) -> bool:
+        """Whether a request that has just come has to be answered now, since no later step could."""
+        return min(request.deadline, request.useful_until) <= now + 2 * self._step_interval_ms
+
+    def start_queued(self, request: Request) -> None:
+        """Set when a request that has just been queued has to be sent at the latest."""
+        # An attempt that gets less than an ordinary one's time can't be useful.
+        fair_ms = self._latencies.fair_ms(request)
+        answer_ms = TICK_MS + 2 * self._step_interval_ms  # to tell the client before it leaves
+        request.latest_send = min(request.useful_until - fair_ms, request.deadline - answer_ms)
+        if not request.attempts:
+            wait_ms = request.deadline - request.arrived_at
+            request.latest_send = min(request.latest_send, request.arrived_at + MAX_UNSENT_PART * wait_ms)
+        self.schedule(min(request.latest_send, request.objective_end - fair_ms), request)
+
+    def start_pinned(self, request: Request, executed: Attempt) -> None:
+        """Set when a retry that waits for its deduplication scope has to be sent at the latest."""
+        window_end = executed.sent_at + request.request_class.dedup_window_ms
+        usual_ms = self._latencies.usual_ms(request)
+        request.latest_send = min(request.useful_until - usual_ms, window_end - TICK_MS)
+        self.schedule(request.latest_send, request)
+
+    def extend(self, now: float, request: Request) -> bool:
+        """Whether a request whose time is up may wait on; if so its timer is set anew.
+
+        A late response, if worth something, is only for times with capacity to spare: under overload it costs
+        a request that is still in time.
+        """
+        if request.queue.overload_ratio(now) > 1 or now >= request.latest_send:
+            return False
+        self.schedule(min(now + 2 * TICK_MS, request.latest_send), request)
+        return True
--- /dev/null
+++ b/dunecove/policy/rendezvous_hash.py
@@ -0,0 +1,24 @@
+"""Rendezvous hashing: every key orders all backends, and the order of the others stays as some leave."""
+
+from __future__ import annotations
+
+from zlib import crc32
+
+_MASK_64 = 0xFFFFFFFFFFFFFFFF
+
+
+def name_hash(backend_id: str) -> int:
+    """Return the 32 bits that stand for a backend in ranks and in gossip."""
+    return crc32(backend_id.encode())
+
+
+def hash_pair(key: int, number: int) -> int:
+    """Return 64 well-mixed bits of two integers; the same in every process."""
+    mixed = (key * 0x9E3779B97F4A7C15 ^ number * 0xC2B2AE3D27D4EB4F) & _MASK_64
+    mixed = ((mixed ^ mixed >> 29) * 0xBF58476D1CE4E5B9) & _MASK_64
+    return mixed ^ mixed >> 32
+
+
+def proxy_key(proxy_index: int) -> int:
+    """Return the key by which a proxy ranks the backends that it may subscribe to."""
+    return proxy_index + 1
--- /dev/null
+++ b/dunecove/policy/retry_policy.py
@@ -0,0 +1,77 @@
+"""Whether and how a request whose attempt failed is sent again."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+from dunecove.policy.actions import EndReason
+from dunecove.policy.latency_tracker import LatencyTracker
+from dunecove.policy.models import AttemptResult, Idempotency
+from dunecove.policy.request import Request
+from dunecove.policy.request_rules import first_executed_attempt, retry_denial
+from dunecove.policy.settings import Settings
+
+# Retries of what may have executed, per arrival: they can't add more than this to any load.
+BUDGET_PER_ARRIVAL = 0.1
+MAX_BUDGET = 10.0  # retries saved up
+# ms until a request that met a second local failure in a row is sent again, doubled at each attempt: all
+# would else be used up in that moment. After the first another backend may have a connection left.
+LOCAL_FAILURE_BACKOFF_MS = 50.0
+
+
+class Retry(Enum):
+    """How a request goes on after a failed attempt."""
+
+    QUEUED = "queued"  # at the head of its queue, for any backend
+    PINNED = "pinned"  # for a backend that recognises a repeat of what may have executed
+    BACKOFF = "backoff"  # at `Request.retry_at`
+
+
+class RetryPolicy:
+    """The retry budget, and the decision after each failed attempt."""
+
+    def __init__(self, settings: Settings, latencies: LatencyTracker) -> None:
+        self.budget = MAX_BUDGET  # retries
+        self._settings = settings
+        self._latencies = latencies
+
+    def record_arrival(self) -> None:
+        """Add an arrival's part to the budget."""
+        self.budget = min(MAX_BUDGET, self.budget + BUDGET_PER_ARRIVAL)
+
+    def after_failure(self, now: float, request: Request, result: AttemptResult) -> Retry | EndReason:
+        """Decide on a request that has no open attempt and whose last one ended so."""
+        if result is AttemptResult.WITHDRAWN:
+            return EndReason.ATTEMPT_WITHDRAWN
+        if result is AttemptResult.BAD_REQUEST:
+            return EndReason.BAD_REQUEST
+        if not self._may_retry(now, request):
+            return EndReason.RETRY_NOT_ALLOWED
+        if result is AttemptResult.NO_LOCAL_RESOURCE:
+            request.local_failures += 1
+            if request.local_failures > 1:
+                backoff_ms = LOCAL_FAILURE_BACKOFF_MS * 2 ** (request.local_failures - 2)
+                request.retry_at = now + backoff_ms
+                return Retry.BACKOFF
+        return self._spend_budget(request)
+
+    def after_backoff(self, now: float, request: Request) -> Retry | EndReason:
+        """Decide on a request whose backoff has ended."""
+        request.retry_at = 0.0
+        return self._spend_budget(request) if self._may_retry(now, request) else EndReason.RETRY_NOT_ALLOWED
+
+    def _may_retry(self, now: float, request: Request) -> bool:
+        """Whether another attempt is allowed, and of use at its class's usual latency."""
+        sent_at = now + 2 * self._settings.step_interval_ms
+        denial = retry_denial(self._settings, request.request_class, request.attempts, sent_at)
+        return denial is None and now + self._latencies.usual_ms(request) <= request.useful_until
+
+    def _spend_budget(self, request: Request) -> Retry | EndReason:
+        if first_executed_attempt(request.attempts) is None:
+            return Retry.QUEUED
+        if self.budget < 1:
+            return EndReason.RETRY_BUDGET_EXHAUSTED
+        self.budget -= 1
+        if request.request_class.idempotency is Idempotency.IDEMPOTENT:
+            return Retry.QUEUED
+        return Retry.PINNED
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -7,9 +7,12 @@
 import pytest
 
 from dunecove.policy.actions import Fail, Forward, Reject
-from dunecove.policy.balancer import Backend, Balancer, RequestQueue
+from dunecove.policy.backend import Backend
+from dunecove.policy.balancer import Balancer
 from dunecove.policy.events import AttemptEnded, RequestArrived
 from dunecove.policy.models import AttemptResult, BackendInfo
+from dunecove.policy.overload_detector import OverloadDetector
+from dunecove.policy.request_queue import RequestQueue
 from dunecove.policy.settings import RequestClass, Settings
 from tests.support import Driver, fleet, of, settings
 
@@ -42,7 +45,7 @@
 
 def test_pick_takes_the_higher_payoff() -> None:
     driver = Driver(settings(), *fleet(2))
-    bad, good = driver.balancer.active
+    bad, good = driver.balancer.backends.active
     bad.payoff, bad.outcome_count, good.outcome_count = 0.2, 50.0, 50.0
     driver.arrive()
     assert list(driver.sends.values()) == [[good.id]]
@@ -50,8 +53,8 @@
 
 def test_bonus_tries_a_server_without_recent_outcomes_again() -> None:
     driver = Driver(settings(), *fleet(2))
-    idle, busy = driver.balancer.active
-    driver.balancer.outcomes = 200.0
+    idle, busy = driver.balancer.backends.active
+    driver.balancer.bandit.outcome_count = 200.0
     idle.payoff, idle.outcome_count, busy.outcome_count = 0.8, 0.0, 100.0
     driver.arrive()
     assert list(driver.sends.values()) == [[idle.id]]
@@ -65,7 +68,7 @@
 
 def test_payoff_is_one_inside_the_aim_and_zero_for_late_or_failed() -> None:
     driver = Driver(settings(), *fleet(1))
-    server = driver.balancer.active[0]
+    server = driver.balancer.backends.active[0]
     server.payoff = 0.5
     driver.end(driver.arrive(), after=299)
     assert server.payoff == pytest.approx(0.55)
@@ -83,45 +86,48 @@
     return driver
 
 
-def endpoint_with_waits(*waits: float) -> tuple[RequestQueue, float]:
+def queue_with_waits(*waits: float) -> tuple[RequestQueue, float]:
     driver = stuck()
-    endpoint, now = driver.balancer.queues[0], driver.now
-    endpoint.min_wait_ms, endpoint.previous_min_wait_ms, endpoint.send_count = 0.0, 0.0, 0
+    queue, now = driver.balancer.queues[0], driver.now
+    detector = queue.detector
+    detector.min_wait_ms, detector.previous_min_wait_ms, detector.send_count = 0.0, 0.0, 0
     for wait in waits:
         now += 20
-        endpoint.record_send(now, wait)
-    return endpoint, now
+        queue.detector.record_send(now, wait)
+    return queue, now
 
 
 def test_flag_follows_the_least_wait_of_the_window() -> None:
-    endpoint, now = endpoint_with_waits(*[60.0] * 20)
-    assert endpoint.overload_ratio(now) > 1
-    endpoint.record_send(now + 1, 0.0)  # one immediate send is enough: no standing queue
-    assert endpoint.overload_ratio(now + 1) == 0
+    queue, now = queue_with_waits(*[60.0] * 20)
+    assert queue.overload_ratio(now) > 1
+    queue.detector.record_send(now + 1, 0.0)  # one immediate send is enough: no standing queue
+    assert queue.overload_ratio(now + 1) == 0
 
 
 def test_a_thin_window_does_not_flip_the_flag() -> None:
-    endpoint, now = endpoint_with_waits(0.0, 60.0, 60.0)
-    assert endpoint.overload_ratio(now) < 1
+    queue, now = queue_with_waits(0.0, 60.0, 60.0)
+    assert queue.overload_ratio(now) < 1
 
 
 def test_a_stuck_queue_counts_by_the_age_of_its_head() -> None:
-    endpoint, now = endpoint_with_waits(*[0.0] * 20)
-    assert endpoint.overload_ratio(now + 200) > 1
+    queue, now = queue_with_waits(*[0.0] * 20)
+    assert queue.overload_ratio(now + 200) > 1
 
 
 def test_an_old_window_does_not_flag_an_empty_buffer() -> None:
-    endpoint, now = endpoint_with_waits(*[60.0] * 20)
-    endpoint.requests[0].is_queued = False
-    assert endpoint.overload_ratio(now + 5) == 0
+    queue, now = queue_with_waits(*[60.0] * 20)
+    head = queue.head()
+    assert head is not None
+    head.is_queued = False
+    assert queue.overload_ratio(now + 5) == 0
 
 
 def test_levels_come_from_worth_and_share() -> None:
     classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (12.0, 7.0, 4.0, 1.0))
     balancer = Balancer(settings(*classes, tenant_quotas=(2.0,), over_quota_weight=0.05, proxy_count=2), 1)
-    assert [balancer.level_of(0.0, c, 5) for c in classes] == [1, 2, 3, 4]
-    assert [balancer.level_of(1.0, classes[0], 0) for _ in range(3)] == [1, 4, 4]
-    assert balancer.level_of(2001.0, classes[0], 0) == 1  # a second's quota has come in
+    assert [balancer.admission.priority_level(0.0, c, 5) for c in classes] == [1, 2, 3, 4]
+    assert [balancer.admission.priority_level(1.0, classes[0], 0) for _ in range(3)] == [1, 4, 4]
+    assert balancer.admission.priority_level(2001.0, classes[0], 0) == 1  # a second's quota has come in
 
 
 @pytest.mark.parametrize(("cls", "answer"), [(0, None), (1, None), (3, Reject)])
@@ -141,10 +147,10 @@
     counts = {}
     for cls in (1, 2):
         driver = stuck(*classes)
-        endpoint = driver.balancer.queues[0]
+        queue = driver.balancer.queues[0]
         for _ in range(9):
             driver.now += 20
-            endpoint.record_send(driver.now, 1.5 * 0.08 * 300)
+            queue.detector.record_send(driver.now, 1.5 * 0.08 * 300)
         counts[cls] = sum(bool(of(Reject, driver.last)) for _ in range(20) if driver.arrive(cls))
     assert counts == {1: 0, 2: 20}
 
@@ -154,15 +160,15 @@
     counts = {}
     for cls in (0, 1):
         driver = stuck(*classes)
-        endpoint = driver.balancer.queues[0]
+        queue = driver.balancer.queues[0]
         for _ in range(9):
             driver.now += 20
-            endpoint.record_send(driver.now, 6.5 * 0.08 * 300)
+            queue.detector.record_send(driver.now, 6.5 * 0.08 * 300)
         counts[cls] = sum(bool(of(Reject, driver.last)) for _ in range(20) if driver.arrive(cls))
     assert counts == {0: 0, 1: 20}
 
 
-def test_the_flag_is_per_endpoint() -> None:
+def test_the_flag_is_per_queue() -> None:
     classes = (
         RequestClass(300.0, 900.0, priority_weight=12.0),
         RequestClass(500.0, 900.0, priority_weight=1.0),
@@ -196,8 +202,8 @@
     )
     for release, refused in ((0.5, False), (4.0, True)):
         driver = Driver(settings(*classes), *fleet(40))
-        driver.balancer.queues[0].flagged_at = driver.now
-        driver.balancer.queues[0].release_objectives = release
+        driver.balancer.queues[0].detector.overloaded_at = driver.now
+        driver.balancer.queues[0].detector.release_objectives = release
         driver.arrive(1)
         assert bool(of(Reject, driver.last)) is refused
 
@@ -243,7 +249,7 @@
 
 def test_limits_below_one_add_up_to_a_limit_on_all_in_flight() -> None:
     driver = Driver(settings(proxy_count=4), *fleet(8))
-    for server in driver.balancer.active:
+    for server in driver.balancer.backends.active:
         server.limit = 0.25
     for _ in range(8):
         driver.arrive()
@@ -256,7 +262,7 @@
     driver = Driver(settings(proxy_count=4), *fleet(8))
     for _ in range(20):
         driver.end(driver.arrive(), after=20)
-    for server in driver.balancer.active:
+    for server in driver.balancer.backends.active:
         server.limit = 0.25
     held = [driver.arrive() for _ in range(3)]
     assert [name in driver.sends for name in held] == [True, True, False]
@@ -343,7 +349,7 @@
 def test_all_limits_are_cut_when_answers_of_all_servers_take_much_of_the_aim() -> None:
     """Two answers of each server say nothing of it alone; twenty servers together say enough."""
     driver = Driver(settings(proxy_count=4), *fleet(20))
-    servers = driver.balancer.active
+    servers = driver.balancer.backends.active
     before = sum(s.limit for s in servers)
     for _ in range(80):
         driver.end(driver.arrive(), after=150)
@@ -362,10 +368,10 @@
             driver.step(RequestArrived(f"{second}.{slot}", 0, tenant, None, driver.now + 900))
             driver.beat(after=12.5)
     balancer, spec = driver.balancer, config.classes[0]
-    assert balancer.part > 0.4
+    assert balancer.admission.quotas.traffic_share > 0.4
     driver.now += 1000
-    assert [balancer.level_of(driver.now, spec, 1) for _ in range(4)] == [1] * 4
-    levels = [balancer.level_of(driver.now, spec, 0) for _ in range(60)]
+    assert [balancer.admission.priority_level(driver.now, spec, 1) for _ in range(4)] == [1] * 4
+    levels = [balancer.admission.priority_level(driver.now, spec, 0) for _ in range(60)]
     assert 10 < levels.count(1) < 40
 
 
@@ -375,7 +381,7 @@
     for count in range(800):
         driver.step(RequestArrived(f"{count}", 0, count % 3, None, driver.now + 900))
         driver.beat(after=10)
-    assert driver.balancer.part == pytest.approx(1 / 3)
+    assert driver.balancer.admission.quotas.traffic_share == pytest.approx(1 / 3)
 
 
 def test_without_other_tenants_to_compare_the_part_is_one_in_n() -> None:
@@ -383,7 +389,7 @@
     for _ in range(200):
         driver.arrive()
         driver.beat()
-    assert driver.balancer.part == 0.25
+    assert driver.balancer.admission.quotas.traffic_share == 0.25
 
 
 def test_level_four_comes_back_by_degrees_after_the_flag() -> None:
@@ -394,8 +400,8 @@
     refused = []
     for since in (1.0, 600.0, 1201.0):
         driver = Driver(settings(*classes), *fleet(40))
-        driver.balancer.queues[0].flagged_at = driver.now
-        driver.balancer.queues[0].release_objectives = 4.0
+        driver.balancer.queues[0].detector.overloaded_at = driver.now
+        driver.balancer.queues[0].detector.release_objectives = 4.0
         driver.now += since
         refused.append(sum(bool(of(Reject, driver.last)) for _ in range(40) if driver.arrive(1)))
     assert refused[0] >= 38 and 8 < refused[1] < 32 and refused[2] == 0
@@ -403,17 +409,17 @@
 
 def test_level_four_comes_back_more_slowly_only_where_the_flag_returns_soon() -> None:
     # After each short spike it was kept out for four aims, and servers stood idle meanwhile.
-    endpoint = RequestQueue(300.0, 1.0)
+    detector = OverloadDetector(300.0, 1.0)
 
     def flags(every: float, times: int) -> float:
         for number in range(times):
-            endpoint.set_overloaded(1e6 + number * every, True)
-            endpoint.set_overloaded(1e6 + number * every + 1, False)
-        return endpoint.release_objectives
+            detector.set_overloaded(1e6 + number * every, True)
+            detector.set_overloaded(1e6 + number * every + 1, False)
+        return detector.release_objectives
 
     assert flags(200.0, 1) == 0.5
     assert flags(200.0, 6) == 4.0
-    endpoint.flagged_at = -1e9
+    detector.overloaded_at = -1e9
     assert flags(5000.0, 3) == 0.5
 
 
@@ -435,7 +441,7 @@
         driver = Driver(settings(RequestClass(80.0, 400.0)), *fleet(4))
         sent = 0
         for number in range(40):
-            driver.balancer.turned_away = away
+            driver.balancer.client_retries.expected = away
             request = driver.arrive(wait=45 if number % 4 else 398)
             if request in driver.sends:
                 sent += number % 4 > 0
@@ -487,10 +493,10 @@
     balancer = Balancer(settings(*classes), 1)
 
     def levels(work: float) -> list[int]:
-        return [balancer.level_of(0.0, spec, 0, work) for spec in classes]
+        return [balancer.admission.priority_level(0.0, spec, 0, work) for spec in classes]
 
     assert levels(5000.0) == [1, 3]  # before any kind's pace is known
-    balancer.pace = {0: 1.5, 1: 3.0}
+    balancer.latencies.work_rates = {0: 1.5, 1: 3.0}
     assert levels(190.0) == [1, 3]
     assert levels(210.0) == [3, 4]
     assert levels(0.0) == [1, 3]
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -58,16 +58,16 @@
     counts: Counter[str] = Counter()
     for me in range(100):
         driver = Driver(settings(proxy_index=me, **MANY), *fleet(20))
-        counts.update(s.id for s in driver.balancer.subset)
+        counts.update(s.id for s in driver.balancer.backends.subset)
     assert len(counts) == 20 and max(counts.values()) < 1.5 * 40 and min(counts.values()) > 40 / 1.5
 
 
 def test_the_few_stay_as_they_are_when_another_server_leaves() -> None:
     driver = Driver(settings(**MANY), *fleet(20))
-    before = [s.id for s in driver.balancer.subset]
+    before = [s.id for s in driver.balancer.backends.subset]
     left = [s for s in fleet(20) if s.backend_id != before[0]]
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(left)))
-    assert len({s.id for s in driver.balancer.subset} & set(before)) == len(before) - 1
+    assert len({s.id for s in driver.balancer.backends.subset} & set(before)) == len(before) - 1
 
 
 def test_another_zone_serves_when_the_own_one_fails() -> None:
@@ -112,12 +112,12 @@
 
 def test_a_server_that_fails_often_but_seldom_in_a_row_rests_while_others_take_its_place() -> None:
     driver = Driver(settings(proxy_count=40), *fleet(30))
-    bad = driver.balancer.subset[0]
+    bad = driver.balancer.backends.subset[0]
     assert sends_to_one_that_fails(driver, bad.id, 250) <= 12  # an even share would be 20
     assert bad.ejection_ms > 1000.0  # and a success between two failures does not start its rests anew
     bad.ejected_until = driver.now + 3000.0
     driver.beats(1100)
-    assert bad not in driver.balancer.subset and len(driver.balancer.subset) >= 8
+    assert bad not in driver.balancer.backends.subset and len(driver.balancer.backends.subset) >= 8
 
 
 def crowd(driver: Driver, n: int, delay: float) -> None:
@@ -131,22 +131,22 @@
 def test_the_limit_on_all_in_flight_falls_when_answers_come_late_and_rises_again() -> None:
     driver = Driver(settings(RequestClass(300.0, 5000.0, late_weight=0.5), **MANY), *fleet(40))
     crowd(driver, 20, 50.0)
-    calm = driver.balancer.allow
+    calm = driver.balancer.in_flight.limit
     crowd(driver, 20, 290.0)
-    crowded = driver.balancer.allow
+    crowded = driver.balancer.in_flight.limit
     crowd(driver, 60, 50.0)
-    assert crowded < calm / 4 and driver.balancer.allow > 2 * crowded
+    assert crowded < calm / 4 and driver.balancer.in_flight.limit > 2 * crowded
 
 
 def test_work_of_uneven_size_is_not_taken_for_crowding() -> None:
     """A first answer of 5 ms made the usual ones, ten times as long, look late: the limit fell to nothing."""
     driver = Driver(settings(RequestClass(1000.0, 5000.0), proxy_count=40, zone_count=2), *fleet(20))
     crowd(driver, 1, 5.0)
-    calm = driver.balancer.allow
+    calm = driver.balancer.in_flight.limit
     for _ in range(40):
         crowd(driver, 3, 40.0)
         crowd(driver, 1, 600.0)
-    assert driver.balancer.allow >= calm
+    assert driver.balancer.in_flight.limit >= calm
 
 
 def test_two_that_come_together_after_idling_do_not_wait_for_each_other() -> None:
@@ -159,7 +159,7 @@
 def test_under_a_small_limit_a_burst_is_held() -> None:
     driver = Driver(settings(**MANY), *fleet(40))
     crowd(driver, 10, 50.0)
-    driver.balancer.allow = 0.1
+    driver.balancer.in_flight.limit = 0.1
     names = [driver.arrive(wait=5000) for _ in range(20)]
     assert 1 <= sum(name in driver.sends for name in names) <= 6
 
@@ -203,7 +203,9 @@
     driver = Driver(settings(tenant_quotas=(300.0,), over_quota_weight=0.1, proxy_count=300), *fleet(9))
     balancer = driver.balancer
     driver.now += 10_000
-    levels = [balancer.level_of(driver.now, balancer.settings.classes[0], 0) for _ in range(8)]
+    levels = [
+        balancer.admission.priority_level(driver.now, balancer.settings.classes[0], 0) for _ in range(8)
+    ]
     assert levels == [1] * 5 + [4] * 3
 
 
@@ -248,7 +250,7 @@
     )
     driver = Driver(settings(*classes, **MANY), *fleet(40))
     answers(driver, 20, 10.0, 2.0)
-    assert driver.balancer.level_of(driver.now, classes[0], 0, 400.0) == level
+    assert driver.balancer.admission.priority_level(driver.now, classes[0], 0, 400.0) == level
     assert ask(driver, 400.0) in driver.sends  # no overload: why not try
     time_outs(driver, 8, 10.0)
     late = ask(driver, 400.0)
@@ -268,17 +270,17 @@
     driver = Driver(settings(RequestClass(300.0, 2000.0), **MANY), *fleet(40))
     answers(driver, 40, 40.0, 1.0)
     answers(driver, 10, 40.0, 4.0)
-    assert 2.0 < driver.balancer.pace[0] < 4.0
+    assert 2.0 < driver.balancer.latencies.work_rates[0] < 4.0
 
 
 def test_a_time_out_shows_that_a_kind_is_at_least_so_slow() -> None:
     driver = Driver(settings(RequestClass(300.0, 2000.0), **MANY), *fleet(40))
     answers(driver, 40, 40.0, 1.0)
     time_outs(driver, 10, 75.0)
-    slowed = driver.balancer.pace[0]
+    slowed = driver.balancer.latencies.work_rates[0]
     assert slowed > 2.0
     time_outs(driver, 3, 2000.0)  # a short wait for long work says nothing
-    assert driver.balancer.pace[0] >= slowed
+    assert driver.balancer.latencies.work_rates[0] >= slowed
 
 
 def test_what_takes_most_of_its_aim_on_the_fastest_kind_is_taken_for_late_by_one_of_many_only() -> None:
@@ -286,8 +288,8 @@
     for proxies, level in ((300, 4), (3, 1)):
         driver = Driver(settings(spec, proxy_count=proxies), *fleet(40))
         answers(driver, 60, 40.0, 1.0)
-        assert driver.balancer.level_of(driver.now, spec, 0, 220.0) == level
-        assert driver.balancer.level_of(driver.now, spec, 0, 120.0) == 1
+        assert driver.balancer.admission.priority_level(driver.now, spec, 0, 220.0) == level
+        assert driver.balancer.admission.priority_level(driver.now, spec, 0, 120.0) == 1
 
 
 @pytest.mark.parametrize(
@@ -300,7 +302,7 @@
     """Time spent on a silent one was counted as load: the next half second waited beside idle servers."""
     driver = Driver(settings(RequestClass(900.0, 5000.0), **MANY), *fleet(40))
     crowd(driver, 20, 40.0)
-    driver.balancer.allow = 1.0
+    driver.balancer.in_flight.limit = 1.0
     driver.beats(1000)
     for _ in range(times):
         driver.end(driver.arrive(wait=5000), result, after=0.0, delay=delay, done=True)
@@ -310,7 +312,7 @@
 def test_answers_that_all_take_long_do_use_it_up() -> None:
     driver = Driver(settings(RequestClass(900.0, 5000.0), **MANY), *fleet(40))
     crowd(driver, 60, 400.0)
-    driver.balancer.allow = 0.5
+    driver.balancer.in_flight.limit = 0.5
     sent = []
     for _ in range(20):
         request = driver.arrive(wait=5000)
@@ -323,7 +325,7 @@
 def test_with_little_traffic_one_of_many_keeps_to_few_servers_and_with_more_to_more() -> None:
     """Spread over a dozen, the few requests of one of hundreds teach it next to nothing of any."""
     driver = Driver(settings(**MANY), *fleet(60))
-    assert len(driver.balancer.subset) <= 8
-    driver.balancer.allow = 9.0
+    assert len(driver.balancer.backends.subset) <= 8
+    driver.balancer.in_flight.limit = 9.0
     driver.beats(1100)
-    assert len(driver.balancer.subset) == 20
+    assert len(driver.balancer.backends.subset) == 20
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -121,7 +121,7 @@
 def test_a_failure_is_told_and_one_that_may_be_load_is_not() -> None:
     driver = Driver(settings(**TOLD), *fleet(30))
     name, (tell,) = fail_at(driver, AttemptResult.ERROR)
-    assert tell.payload == b"\x01" + driver.balancer.backends[name].name_hash.to_bytes(4, "big")
+    assert tell.payload == b"\x01" + driver.balancer.backends.by_id[name].name_hash.to_bytes(4, "big")
     for result in (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.REJECTED):
         assert fail_at(driver, result)[1] == []
     alone = Driver(settings(proxy_count=3, may_gossip=True), *fleet(30))
@@ -137,7 +137,7 @@
     tellers: tuple[int, ...], apart: float, ejected: bool
 ) -> None:
     driver = Driver(settings(**TOLD), *fleet(30))
-    server = driver.balancer.subset[0]
+    server = driver.balancer.backends.subset[0]
     for teller in tellers:
         driver.step(GossipReceived(teller, b"\x01" + server.name_hash.to_bytes(4, "big")), after=apart)
     assert (not server.has_capacity(driver.now)) == ejected
@@ -147,26 +147,26 @@
 
 def test_peers_cannot_make_most_servers_rest() -> None:
     driver = Driver(settings(**TOLD), *fleet(10))
-    data = b"\x01" + b"".join(s.name_hash.to_bytes(4, "big") for s in driver.balancer.active)
+    data = b"\x01" + b"".join(s.name_hash.to_bytes(4, "big") for s in driver.balancer.backends.active)
     for teller in (1, 2, 3):
         driver.step(GossipReceived(teller, data))
-    assert sum(s.has_capacity(driver.now) for s in driver.balancer.active) == 5
+    assert sum(s.has_capacity(driver.now) for s in driver.balancer.backends.active) == 5
 
 
 def test_messages_that_say_nothing_to_this_proxy_are_passed_over() -> None:
     driver = Driver(settings(proxy_index=4, **TOLD), *fleet(30))
-    gone = driver.balancer.subset[0].name_hash.to_bytes(4, "big")
-    own = GossipReceived(4, b"\x01" + driver.balancer.subset[1].name_hash.to_bytes(4, "big"))
+    gone = driver.balancer.backends.subset[0].name_hash.to_bytes(4, "big")
+    own = GossipReceived(4, b"\x01" + driver.balancer.backends.subset[1].name_hash.to_bytes(4, "big"))
     driver.step(
         BackendListUpdate(
             ListUpdateKind.SNAPSHOT,
-            tuple(s for s in fleet(30) if s.backend_id != driver.balancer.subset[0].id),
+            tuple(s for s in fleet(30) if s.backend_id != driver.balancer.backends.subset[0].id),
         )
     )
     for data in (b"", b"\x01", b"\x01abc", b"\x01abcd", b"\x02" + gone, b"\x01" + gone):
         for teller in (1, 2, 3):
             driver.step(GossipReceived(teller, data), own)
-    assert all(s.has_capacity(driver.now) for s in driver.balancer.active)
+    assert all(s.has_capacity(driver.now) for s in driver.balancer.backends.active)
 
 
 def test_the_wire_of_the_simulator_carries_messages_both_ways() -> None:
@@ -195,5 +195,5 @@
     assert told["Recipient"] == "all"
     heard = {"what": "FromPeer", "Raw": told["Raw"]}
     batch(10.0, heard | {"SrcPeer": 7}, heard | {"SrcPeer": 8})
-    (server,) = host.instances[0][0].backends.values()
+    (server,) = host.instances[0][0].backends.by_id.values()
     assert [by for _, by in server.failure_reports] == [0, 7, 8]
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from dunecove.policy import balancer as balancer_module
+from dunecove.policy import pinned_retries, subsetting, unsubscribed_backends
 from dunecove.policy.actions import Action, CancelAttempt, Fail, Forward, Reject, SendHealthCheck, SetTimer
 from dunecove.policy.balancer import Balancer
 from dunecove.policy.events import (
@@ -238,7 +238,11 @@
 def test_rules_hold_when_most_servers_are_beyond_the_kept(
     config: Settings, seed: int, first: list[BackendInfo], moves: list[tuple[str, object, object]]
 ) -> None:
-    with patch.multiple(balancer_module, RESERVE=1, RESERVE_SLACK=1, NEAR=1, LOAD_STEP=1, GROUP=1):
+    with (
+        patch.multiple(subsetting, MIN_RESERVE=1, RESERVE_SLACK=1, MIN_SUBSET=1, MAX_RESERVE_STEP=1),
+        patch.multiple(unsubscribed_backends, MAX_SCOPE_MEMBERS=1),
+        patch.multiple(pinned_retries, MAX_SCOPE_MEMBERS=1),
+    ):
         play(config, seed, first, moves)
 
 
@@ -282,4 +286,4 @@
         oracle.step(oracle.due())
     assert all(r.over for r in oracle.asked.values())
     assert oracle.balancer.requests == {}
-    assert all(s.in_flight == 0 for s in oracle.balancer.backends.values())
+    assert all(s.in_flight == 0 for s in oracle.balancer.backends.by_id.values())
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -85,7 +85,7 @@
     assert [e.overload_ratio(script.driver.now) for e in balancer.queues] == [0.0]
     assert sum(script.sent.values()) >= 0.98 * 2_000 / STEP_MS  # level 4 is let in again, nothing is held
     fair = sum(script.sent.values()) / 4
-    for server in balancer.active:
+    for server in balancer.backends.active:
         assert server.consecutive_failures == 0 and server.ejected_until <= script.driver.now
         assert server.payoff > 0.9, server.id
         # Room for all of the traffic at the usual latency, and its part of it.
--- a/tests/policy/test_request_rules.py
+++ b/tests/policy/test_request_rules.py
@@ -10,7 +10,7 @@
 import pytest
 
 from dunecove.policy.actions import BackendEjected, CancelAttempt, Fail, Forward, PollDiscovery, Reject
-from dunecove.policy.balancer import ASK_LATEST_MS, BEAT_MS
+from dunecove.policy.discovery_polling import MAX_POLL_GAP_MS
 from dunecove.policy.events import (
     AttemptEnded,
     BackendListUpdate,
@@ -19,6 +19,7 @@
     ResponseStarted,
 )
 from dunecove.policy.models import AttemptResult, BackendInfo, BackendState, DeduplicationScope, Idempotency
+from dunecove.policy.queue_timeouts import TICK_MS
 from dunecove.policy.settings import RequestClass
 from tests.support import Driver, fleet, of, settings
 
@@ -148,7 +149,7 @@
     driver = Driver(settings(KEYED), *cells())
     request = driver.arrive()
     home = driver.sends[request][0].split(".")[2]
-    for server in driver.balancer.active:
+    for server in driver.balancer.backends.active:
         if str(server.cell) == home:
             server.ejected_until = driver.now + 10_000
     driver.end(request, AttemptResult.ERROR)
@@ -162,7 +163,7 @@
         driver = Driver(settings(KEYED), *cells())
         request = driver.arrive()
         home = driver.sends[request][0].split(".")[2]
-        for server in driver.balancer.active:
+        for server in driver.balancer.backends.active:
             if str(server.cell) == home:
                 server.ejected_until = driver.now + rest
         driver.end(request, AttemptResult.ERROR)
@@ -170,7 +171,7 @@
         actions = driver.beats(250)
         assert bool(of(Forward, actions)) is sent and bool(of(Fail, actions)) is not sent
         assert {name.split(".")[2] for name in driver.sends[request]} == {home}
-        assert not driver.balancer.bound
+        assert not driver.balancer.pinned_retries.waiting
 
 
 def test_keyed_with_all_servers_as_group_does_not_outlive_its_window_in_the_buffer() -> None:
@@ -183,7 +184,7 @@
     )
     driver = Driver(settings(spec, proxy_count=4), *fleet(1))
     request = driver.arrive()
-    driver.balancer.active[0].ejected_until = driver.now + 150
+    driver.balancer.backends.active[0].ejected_until = driver.now + 150
     driver.end(request, AttemptResult.ERROR)
     assert not of(Forward, driver.beats(250))
 
@@ -215,23 +216,23 @@
     driver = Driver(settings(), *fleet(2))
     for _ in range(20):
         driver.end(driver.arrive(), after=20)
-    before = driver.balancer.class_latency[0][0]
+    before = driver.balancer.latencies.class_latency_ms(0)
     driver.end(driver.arrive(), AttemptResult.CANCELLED, after=150)
-    assert driver.balancer.class_latency[0][0] > before
+    assert driver.balancer.latencies.class_latency_ms(0) > before
 
 
 def test_a_given_up_attempt_leaves_its_slot_at_once() -> None:
     # Its work stops as its connection closes: a slot held longer counts what no socket holds.
     driver = Driver(settings(UNSAFE), *fleet(1))
     driver.end(driver.arrive(), AttemptResult.TIMEOUT, after=200)
-    assert driver.balancer.active[0].in_flight == 0
+    assert driver.balancer.backends.active[0].in_flight == 0
 
 
 def test_a_time_out_cut_short_by_the_wait_blames_no_server() -> None:
     driver = Driver(settings(UNSAFE), *fleet(1))
     for _ in range(40):
         driver.end(driver.arrive(), after=50)
-    server = driver.balancer.active[0]
+    server = driver.balancer.backends.active[0]
     before = server.limit, server.payoff, server.consecutive_failures
     driver.end(driver.arrive(), AttemptResult.TIMEOUT, after=20)
     assert (server.limit, server.payoff, server.consecutive_failures) == before
@@ -244,11 +245,11 @@
     driver: Driver, server: int, times: int, result: AttemptResult = AttemptResult.ERROR
 ) -> list[Any]:
     actions: list[Any] = []
-    for other in driver.balancer.active:
-        other.ejected_until = 0.0 if other is driver.balancer.active[server] else driver.now + 1e9
+    for other in driver.balancer.backends.active:
+        other.ejected_until = 0.0 if other is driver.balancer.backends.active[server] else driver.now + 1e9
     for _ in range(times):
-        driver.balancer.retries = 0.0
-        if not driver.balancer.active[server].has_capacity(driver.now):
+        driver.balancer.retry_policy.budget = 0.0
+        if not driver.balancer.backends.active[server].has_capacity(driver.now):
             break
         actions += driver.end(driver.arrive(), result)
     return actions
@@ -256,7 +257,7 @@
 
 def test_a_server_that_fails_far_more_than_the_fleet_rests_and_comes_back_on_trial() -> None:
     driver = Driver(settings(UNSAFE), *fleet(4))
-    server = driver.balancer.active[0]
+    server = driver.balancer.backends.active[0]
     assert [a for a in fail_at(driver, 0, 10) if isinstance(a, BackendEjected)]
     assert not server.has_capacity(driver.now)
     driver.now = server.ejected_until + 1
@@ -272,12 +273,12 @@
     driver = Driver(settings(UNSAFE), *fleet(4))
     for n in range(4):
         fail_at(driver, n, 12)
-    assert sum(s.consecutive_failures >= 3 for s in driver.balancer.active) <= 2
+    assert sum(s.consecutive_failures >= 3 for s in driver.balancer.backends.active) <= 2
 
 
 def test_nobody_rests_when_all_serve_alike() -> None:
     driver = Driver(settings(UNSAFE), *fleet(4))
-    for server in driver.balancer.active:
+    for server in driver.balancer.backends.active:
         server.payoff = 0.2
     assert not [a for a in fail_at(driver, 0, 4) if isinstance(a, BackendEjected)]
 
@@ -301,7 +302,7 @@
 def test_a_full_list_that_leaves_a_server_out_removes_it() -> None:
     driver = Driver(settings(), *fleet(2))
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(1))))
-    assert [s.id for s in driver.balancer.active] == ["10.0.0.0:80"]
+    assert [s.id for s in driver.balancer.backends.active] == ["10.0.0.0:80"]
 
 
 def test_a_keyed_repeat_goes_to_the_cell_of_its_first_attempt_though_the_list_moves_the_server() -> None:
@@ -338,7 +339,7 @@
         while not of(PollDiscovery, driver.beat()):
             pass
         gaps.append(driver.now - start)
-    assert gaps[0] < 600 and gaps[-1] >= ASK_LATEST_MS / 2 and max(gaps) <= ASK_LATEST_MS + BEAT_MS
+    assert gaps[0] < 600 and gaps[-1] >= MAX_POLL_GAP_MS / 2 and max(gaps) <= MAX_POLL_GAP_MS + TICK_MS
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(1))))
     assert not of(PollDiscovery, driver.beats(30_000))
 
@@ -442,7 +443,7 @@
 
 def test_a_restart_of_a_known_server_is_cold_and_forgets_its_limit() -> None:
     driver = Driver(settings(**COLD), *fleet(2))
-    server = driver.balancer.active[0]
+    server = driver.balancer.backends.active[0]
     server.limit, server.payoff = 9.0, 0.1
     driver.step(
         BackendListUpdate(ListUpdateKind.DELTA, (BackendInfo("10.0.0.0:80", started_at=driver.now - 5),))
@@ -472,10 +473,10 @@
 def test_what_is_not_a_servers_doing_blames_no_server(result: AttemptResult) -> None:
     # Our own lack of descriptors, or a request at fault itself, must not take a healthy server out.
     driver = Driver(settings(), *fleet(2))
-    before = [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.active]
+    before = [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.backends.active]
     for _ in range(6):
         driver.end(driver.arrive(), result, done=True)
-    assert [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.active] == before
+    assert [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.backends.active] == before
 
 
 def test_a_request_at_fault_itself_is_not_sent_again() -> None:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -10,8 +10,9 @@
 
 import pytest
 
+from dunecove.policy import queue_timeouts
 from dunecove.policy.actions import Forward, SetTimer
-from dunecove.policy.balancer import BEAT_MS, Balancer
+from dunecove.policy.balancer import Balancer
 from dunecove.policy.events import AttemptEnded, BackendListUpdate, ListUpdateKind, RequestArrived, TimerFired
 from dunecove.policy.models import AttemptResult, BackendInfo
 from dunecove.policy.settings import RequestClass
@@ -64,7 +65,7 @@
                 ended = AttemptEnded(action.request_id, 0, AttemptResult.OK, LATENCY_MS, True)
                 heappush(self.due, (self.now + LATENCY_MS, next(self.ids), me, ended))
             elif isinstance(action, SetTimer):
-                heappush(self.due, (self.now + BEAT_MS, next(self.ids), me, TimerFired(0)))
+                heappush(self.due, (self.now + queue_timeouts.TICK_MS, next(self.ids), me, TimerFired(0)))
 
     def run(self, ms: float, load: float) -> None:
         """`load`: of what all servers can do together when warm, over all proxies by their shares."""
@@ -190,4 +191,4 @@
         for me in range(3):
             world.start(me)
     world.run(COLD_MS + 500.0, 0.1)
-    assert all(s.cold_until <= world.now for m in world.modules.values() for s in m.backends.values())
+    assert all(s.cold_until <= world.now for m in world.modules.values() for s in m.backends.by_id.values())
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from marshal import loads
 from unittest.mock import patch
 from zlib import crc32
 
@@ -12,10 +11,12 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 
-from dunecove.policy import balancer as balancer_module
-from dunecove.policy.balancer import Backend, Balancer, mix
+from dunecove.policy import rendezvous_hash, subsetting
+from dunecove.policy.backend import Backend
+from dunecove.policy.balancer import Balancer
 from dunecove.policy.events import BackendListUpdate, ListUpdateKind, RequestArrived, TimerFired
 from dunecove.policy.models import AttemptResult, BackendInfo, BackendState, DeduplicationScope, Idempotency
+from dunecove.policy.rendezvous_hash import hash_pair
 from dunecove.policy.settings import RequestClass
 from tests.support import Driver, settings
 
@@ -32,7 +33,7 @@
 
 
 def by_rank(names: list[str], me: int) -> list[int]:
-    return sorted(mix(me + 1, crc32(name.encode())) for name in names)
+    return sorted(hash_pair(me + 1, crc32(name.encode())) for name in names)
 
 
 @pytest.fixture
@@ -42,9 +43,9 @@
 
     def counting(key: int, number: int) -> int:
         count[0] += 1
-        return mix(key, number)
+        return hash_pair(key, number)
 
-    with patch.object(balancer_module, "mix", counting):
+    with patch.object(rendezvous_hash, "hash_pair", counting):
         yield count
 
 
@@ -68,7 +69,7 @@
     me: int, lists: list[tuple[ListUpdateKind, list[BackendInfo]]]
 ) -> None:
     listed: dict[str, BackendState] = {}
-    with patch.multiple(balancer_module, RESERVE=16, RESERVE_SLACK=2):
+    with patch.multiple(subsetting, MIN_RESERVE=16, RESERVE_SLACK=2):
         balancer = Balancer(settings(**MANY | {"proxy_index": me, "slow_start_ms": 5000.0}), 1)
         for number, (kind, entries) in enumerate(lists):
             if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
@@ -76,16 +77,23 @@
             listed.update({e.backend_id: e.state for e in entries})
             balancer.step(25.0 * number, [BackendListUpdate(kind, tuple(entries)), TimerFired(0)])
             active = [name for name, state in listed.items() if state is BackendState.ACTIVE]
-            assert balancer.listed == len(active)  # also of two that rank alike
+            assert balancer.backends.listed_count == len(active)  # also of two that rank alike
             held = [
-                *(s.id for s in balancer.active),
-                *(n for b in balancer.unsubscribed.buckets.values() for n in b),
+                *(s.id for s in balancer.backends.active),
+                *balancer.backends.unsubscribed.names(),
             ]
             assert sorted(held) == sorted(active)
-            assert [s.rank for s in balancer.subset] == by_rank(active, me)[: balancer.near_size]
-            assert sorted(s.rank for s in balancer.active) == by_rank(active, me)[: len(balancer.active)]
-            assert len(balancer.active) >= min(len(active), 16) and len(balancer.backends) <= 18
-            assert all(s in balancer.by_hash[s.name_hash] for s in balancer.active)
+            assert [s.rank for s in balancer.backends.subset] == by_rank(active, me)[
+                : balancer.backends.subset_size
+            ]
+            assert (
+                sorted(s.rank for s in balancer.backends.active)
+                == by_rank(active, me)[: len(balancer.backends.active)]
+            )
+            assert (
+                len(balancer.backends.active) >= min(len(active), 16) and len(balancer.backends.by_id) <= 18
+            )
+            assert all(s in balancer.backends.find_by_hash(s.name_hash) for s in balancer.backends.active)
 
 
 def test_a_change_among_many_touches_few(hashed: list[int]) -> None:
@@ -107,47 +115,46 @@
     assert hashed[0] / 150 < 30
     hashed[0] = 0
     driver.beats(3000)
-    assert hashed[0] == 0 and len(driver.balancer.backends) <= 320
-    assert driver.balancer.listed == 20_000
+    assert hashed[0] == 0 and len(driver.balancer.backends.by_id) <= 320
+    assert driver.balancer.backends.listed_count == 20_000
 
 
 def test_new_weights_of_all_touch_only_what_the_list_told_of_them() -> None:
     driver = Driver(settings(**MANY), *servers(5_000))
-    kept = list(driver.balancer.backends.values())
+    kept = list(driver.balancer.backends.by_id.values())
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, servers(5_000, weight=0.5)))
-    assert list(driver.balancer.backends.values()) == kept and {s.weight for s in kept} == {0.5}
-    weights = {
-        loads(told)[4] for bucket in driver.balancer.unsubscribed.buckets.values() for told in bucket.values()
-    }
+    assert list(driver.balancer.backends.by_id.values()) == kept and {s.weight for s in kept} == {0.5}
+    unsubscribed = driver.balancer.backends.unsubscribed
+    weights = {traits.weight for name in unsubscribed.names() if (traits := unsubscribed.get(name))}
     assert weights == {0.5}
 
 
 def test_what_was_learned_is_kept_of_those_it_keeps_to() -> None:
     driver = Driver(settings(**MANY), *servers(5_000))
-    bad = driver.balancer.subset[0]
+    bad = driver.balancer.backends.subset[0]
     bad.payoff = 0.1
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, servers(6_000)))
     driver.beats(3000)
-    assert driver.balancer.backends[bad.id] is bad and bad.payoff < 1.0
+    assert driver.balancer.backends.by_id[bad.id] is bad and bad.payoff < 1.0
 
 
 def test_few_proxies_keep_to_few_of_a_long_list_and_to_more_under_load() -> None:
     driver = Driver(settings(RequestClass(300.0, 5000.0), proxy_count=3), *servers(5_000))
-    assert len(driver.balancer.subset) <= 320
+    assert len(driver.balancer.backends.subset) <= 320
     arrivals = [RequestArrived(f"q{n}", 0, 0, None, driver.now + 5000.0) for n in range(2_000)]
     for n in range(0, 2_000, 50):  # none is answered: all are sent, since there are servers for all
         driver.step(*arrivals[n : n + 50])
-    assert len(driver.sends) == 2_000 and 1_000 < len(driver.balancer.subset) < 4_500
+    assert len(driver.sends) == 2_000 and 1_000 < len(driver.balancer.backends.subset) < 4_500
     for request in list(driver.sends):
         driver.end(request, after=0.0, delay=20.0)
     driver.beats(40_000)
-    assert len(driver.balancer.backends) <= 320 and driver.balancer.listed == 5_000
+    assert len(driver.balancer.backends.by_id) <= 320 and driver.balancer.backends.listed_count == 5_000
 
 
 def test_few_proxies_find_ready_servers_beyond_those_that_are_all_cold() -> None:
     cold = {"slow_start_capacity": 0.1, "slow_start_ms": 60_000.0, "slow_start_window_ms": 10_000.0}
     driver = Driver(settings(proxy_count=3, **cold), *servers(2_000))
-    restarted = tuple(BackendInfo(s.id, started_at=driver.now) for s in driver.balancer.active)
+    restarted = tuple(BackendInfo(s.id, started_at=driver.now) for s in driver.balancer.backends.active)
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, restarted))
     assert driver.arrive() in driver.sends
 
@@ -188,7 +195,9 @@
     for proxies in (3, 3400):
         driver = Driver(settings(proxy_count=proxies), *servers(256))
         driver.beats(2000)
-        assert [s.id for s in driver.balancer.active] == names and not driver.balancer.unsubscribed.count
+        assert [
+            s.id for s in driver.balancer.backends.active
+        ] == names and not driver.balancer.backends.unsubscribed.count
 
 
 def test_a_beat_looks_at_cold_servers_only() -> None:
@@ -203,17 +212,19 @@
             return super().__iter__()
 
     driver.beats(2_000)
-    driver.balancer.subset = Near(driver.balancer.subset)
+    driver.balancer.backends.subset = Near(driver.balancer.backends.subset)
     driver.beats(900)
     assert looked[0] == 0
 
 
 def test_one_that_arrives_ahead_of_those_moved_up_is_kept() -> None:
-    ranked = sorted(servers(60), key=lambda s: mix(MANY["proxy_index"] + 1, crc32(s.backend_id.encode())))
-    with patch.multiple(balancer_module, RESERVE=16, RESERVE_SLACK=2):
+    ranked = sorted(
+        servers(60), key=lambda s: hash_pair(MANY["proxy_index"] + 1, crc32(s.backend_id.encode()))
+    )
+    with patch.multiple(subsetting, MIN_RESERVE=16, RESERVE_SLACK=2):
         driver = Driver(settings(**MANY), *ranked[:20], *ranked[30:])
         gone = tuple(s._replace(state=BackendState.REMOVED) for s in ranked[:10])
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, gone))
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(ranked[20:22])))
-        kept = {s.id for s in driver.balancer.active}
+        kept = {s.id for s in driver.balancer.backends.active}
     assert kept == {s.backend_id for s in [*ranked[10:22], *ranked[30 : 30 + len(kept) - 12]]}
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -198,7 +198,7 @@
 
 def until_asked(driver: Driver) -> float:
     """ms at most from a failed call to the next one: the latest that chance may choose."""
-    driver.balancer.rng = Latest(1)
+    driver.balancer.polling.rng = Latest(1)
     driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     return until_called(driver)
 
--- a/tests/proxy/test_incremental_json.py
+++ b/tests/proxy/test_incremental_json.py
@@ -200,7 +200,7 @@
 
 
 async def taken(p: Proxy, n: int) -> None:
-    while p.engine.balancer.listed != n or p.engine.turn is not None:
+    while p.engine.balancer.backends.listed_count != n or p.engine.turn is not None:
         await asyncio.sleep(0.001)
 
 
@@ -211,7 +211,7 @@
             client = await p.client()
             (await p.registry.calls.get()).reply(json.dumps(listing(2, own, *entries(3000))).encode())
             served = 0
-            while p.engine.balancer.listed != 3001:
+            while p.engine.balancer.backends.listed_count != 3001:
                 assert (await client.ask("/health/ready", "GET")).status == 200
                 served += 1
             assert served > 5
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -19,8 +19,8 @@
 
 
 def names(p: Proxy) -> set[str]:
-    far = p.engine.balancer.unsubscribed.buckets.values()
-    return {*(s.id for s in p.engine.balancer.active), *(name for bucket in far for name in bucket)}
+    backends = p.engine.balancer.backends
+    return {*(s.id for s in backends.active), *backends.unsubscribed.names()}
 
 
 async def told(p: Proxy) -> int:
@@ -38,7 +38,9 @@
             p.engine.on_list(Listing(2, True, targets(10 * PIECE)), ListUpdateKind.CACHED)
             assert not p.engine.backends.backends and p.engine.backends.active() == 10 * PIECE
             assert await told(p) >= 10
-            assert p.engine.balancer.listed == 10 * PIECE and names(p) == set(p.engine.backends.targets)
+            assert p.engine.balancer.backends.listed_count == 10 * PIECE and names(p) == set(
+                p.engine.backends.targets
+            )
 
     run(test())
 
@@ -67,7 +69,9 @@
             while p.engine.balancer is old:
                 await asyncio.sleep(0)
             await told(p)
-            assert p.engine.balancer.listed == 5 * PIECE and names(p) == set(p.engine.backends.targets)
+            assert p.engine.balancer.backends.listed_count == 5 * PIECE and names(p) == set(
+                p.engine.backends.targets
+            )
 
     run(test())
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -97,7 +97,7 @@
 def test_the_registered_size_is_read() -> None:
     host = Host()
     host.batch(batch(1, START[0], START[1] | {"Records": [ENTRY | {"Rating": 2.5}]}).encode())
-    assert [s.weight for s in host.instances[3][0].active] == [2.5]
+    assert [s.weight for s in host.instances[3][0].backends.active] == [2.5]
 
 
 def without(event: dict[str, Any], member: str) -> dict[str, Any]:
--- a/tests/tools/test_fleet.py
+++ b/tests/tools/test_fleet.py
@@ -259,7 +259,7 @@
 
 def test_a_module_that_breaks_is_counted_and_followed_by_another() -> None:
     run = Fleet(Plan(**SMALL))
-    run.loop.call_later(15.0, lambda: setattr(run.proxies[1].balancer, "subset", None))
+    run.loop.call_later(15.0, lambda: setattr(run.proxies[1].balancer.backends, "subset", None))
     figures = run.run()
     assert figures["counts"]["module exceptions"] == 1
     assert run.proxies[1].account.counts["module exceptions"] == 1
