--- a/dunecove/policy/backend.py
+++ b/dunecove/policy/backend.py
@@ -15,7 +15,7 @@
 MIN_WEIGHT = 0.01
 
 # Failures that are the backend's own, not its load's.
-BACKEND_FAULTS = frozenset({AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CONNECT_FAILED})
+BACKEND_FAULTS = (AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CONNECT_FAILED)
 
 
 class FailureReport(NamedTuple):
@@ -62,7 +62,7 @@
         self.name_hash = name_hash(info.backend_id)
         self.rank = 0  # in this proxy's order of all backends
         self.update(info)
-        self.forget()
+        self._forget_outcomes()
 
     def update(self, info: BackendInfo) -> None:
         """Take over what the endpoint list says, but for the start: see `forget`."""
@@ -75,6 +75,9 @@
     def forget(self) -> None:
         """Forget all that was learned: a process that has just started shares nothing with the last one."""
         self.reset_limit()
+        self._forget_outcomes()
+
+    def _forget_outcomes(self) -> None:
         self.payoff = 1.0  # smoothed part of its outcomes that were good
         self.outcome_count = 0.0  # decayed
         self.consecutive_failures = 0
--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -9,7 +9,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from random import Random
+from typing import Any
 
 from dunecove.policy.actions import (
     Action,
@@ -96,6 +98,16 @@
         self._is_started = False
         self._slow_tick_at = 0.0  # the last one
         self._actions: list[Action] = []
+        self._handlers: dict[type, Callable[[float, Any], None]] = {
+            RequestArrived: self._on_arrival,
+            AttemptEnded: self._on_attempt_ended,
+            ResponseStarted: self._on_response_started,
+            ClientDisconnected: self._on_client_disconnected,
+            BackendListUpdate: self._on_list_update,
+            DiscoveryMoved: self._on_discovery_moved,
+            GossipReceived: self._outliers.on_gossip,
+            TimerFired: self._on_tick,
+        }
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
         """Take a batch of events that happened up to `now`; return the actions in order."""
@@ -103,14 +115,15 @@
         if not self._is_started and events:
             self._start(now)
         for event in events:
-            self._handle(now, event)
+            handler = self._handlers.get(type(event))
+            if handler is not None:
+                handler(now, event)
         if self.pinned_retries.waiting:
             self._actions += self.pinned_retries.dispatch(now)
         self._actions += self._dispatcher.dispatch(now)
         self._expire(now)
-        gossip = self._outliers.take_gossip()
-        if gossip is not None:
-            self._actions.append(gossip)
+        if self._outliers.to_gossip:
+            self._actions.append(self._outliers.take_gossip())
         return self._actions
 
     def _start(self, now: float) -> None:
@@ -122,26 +135,6 @@
         self._actions.append(SetTimer(TICK_MS, 0))
         self.polling.start(now)
 
-    def _handle(self, now: float, event: Event) -> None:
-        match event:
-            case RequestArrived():
-                self._on_arrival(now, event)
-            case AttemptEnded():
-                self._on_attempt_ended(now, event)
-            case TimerFired():
-                self._on_tick(now)
-            case ClientDisconnected():
-                self._on_client_disconnected(event)
-            case BackendListUpdate():
-                self._on_list_update(now, event)
-            case GossipReceived():
-                self._outliers.on_gossip(now, event)
-            case DiscoveryMoved():
-                self.polling.on_moved(now)
-                self._actions.append(PollDiscovery())
-            case ResponseStarted():
-                self._on_response_started(event)
-
     # Requests
 
     def _on_arrival(self, now: float, event: RequestArrived) -> None:
@@ -200,12 +193,12 @@
             self.pinned_retries.add(request)
             self._timeouts.start_pinned(request, executed)
 
-    def _on_response_started(self, event: ResponseStarted) -> None:
+    def _on_response_started(self, _now: float, event: ResponseStarted) -> None:
         request = self.requests.get(event.request_id)
         if request is not None:
             request.is_queued = False
 
-    def _on_client_disconnected(self, event: ClientDisconnected) -> None:
+    def _on_client_disconnected(self, _now: float, event: ClientDisconnected) -> None:
         request = self.requests.get(event.request_id)
         if request is None:
             return
@@ -247,7 +240,11 @@
             self.polling.on_update()
         self._list_updates.apply(now, update)
 
-    def _on_tick(self, now: float) -> None:
+    def _on_discovery_moved(self, now: float, _event: DiscoveryMoved) -> None:
+        self.polling.on_moved(now)
+        self._actions.append(PollDiscovery())
+
+    def _on_tick(self, now: float, _event: TimerFired) -> None:
         self._actions.append(SetTimer(TICK_MS, 0))
         self._expire(now)
         self._slow_start.refill(now, self.backends.cold_subset, self.backends.proxies_per_backend())
--- a/dunecove/policy/dispatcher.py
+++ b/dunecove/policy/dispatcher.py
@@ -47,24 +47,20 @@
 
         So all queues feel a shortage of backends alike, and each one's detector sheds its own.
         """
-        heads = self._heads()
-        if not heads:
-            return []
-        if self._is_sparse:
-            candidates, sends_left = self._sparse_capacity(now)
-        else:
-            candidates, sends_left = self._capacity(now)
-        min_limit = self._backends.min_limit
-        forwards = []
-        while heads and candidates and sends_left > 0:
+        forwards: list[Forward] = []
+        candidates: list[Backend] | None = None
+        while heads := [head for queue in self._queues if (head := queue.head()) is not None]:
+            if candidates is None:
+                candidates, sends_left = self._capacity(now)
+            if not candidates or sends_left <= 0:
+                break
             sends_left -= 1
             request = max(heads, key=lambda head: (now - head.arrived_at) / head.queue.objective_ms)
             request.queue.pop_head(now)
             forwards.append(self.forward(now, request, candidates))
             backend = request.attempts[-1].backend
-            if not backend.has_capacity(now, min_limit):
+            if not backend.has_capacity(now, self._backends.min_limit):
                 candidates.remove(backend)
-            heads = self._heads()
         return forwards
 
     def forward(self, now: float, request: Request, candidates: list[Backend]) -> Forward:
@@ -83,36 +79,26 @@
             write_within_ms = executed.sent_at + request_class.dedup_window_ms - now
         return Forward(request.id, backend.id, max(end - now, MIN_TIMEOUT_MS), write_within_ms)
 
-    def _heads(self) -> list[Request]:
-        return [head for queue in self._queues if (head := queue.head()) is not None]
-
-    def _sparse_capacity(self, now: float) -> tuple[list[Backend], float]:
-        """Return the backends with capacity, and how many requests may be sent."""
-        candidates = self._with_capacity(now)
-        if not candidates:  # nothing waits beside a ready backend
-            min_limit = self._backends.min_limit
-            candidates = [
-                backend
-                for backend in self._backends.active
-                if backend.cold_until <= now and backend.has_capacity(now, min_limit)
-            ]
-        return candidates, self._in_flight.sends_left(now)
-
     def _capacity(self, now: float) -> tuple[list[Backend], float]:
-        """The same for few proxies, which keep state of more backends if those don't suffice."""
-        candidates = self._with_capacity(now)
+        """Return the backends with capacity, and how many requests may be sent."""
+        candidates = self._with_capacity(now, self._backends.subset)
+        if self._is_sparse:
+            if not candidates:  # nothing waits beside a ready backend
+                warm = [backend for backend in self._backends.active if backend.cold_until <= now]
+                candidates = self._with_capacity(now, warm)
+            return candidates, self._in_flight.sends_left(now)
         sends_left = self._sum_of_limits_left(now)
         if self._backends.unsubscribed.count and (
             not candidates or sends_left < sum(len(queue) for queue in self._queues)
         ):
-            self._backends.choose_subset(now)
-            candidates = self._with_capacity(now)
+            self._backends.choose_subset(now)  # keeps state of more of them under load
+            candidates = self._with_capacity(now, self._backends.subset)
             sends_left = self._sum_of_limits_left(now)
         return candidates, sends_left
 
-    def _with_capacity(self, now: float) -> list[Backend]:
+    def _with_capacity(self, now: float, backends: Sequence[Backend]) -> list[Backend]:
         min_limit = self._backends.min_limit
-        return [backend for backend in self._backends.subset if backend.has_capacity(now, min_limit)]
+        return [backend for backend in backends if backend.has_capacity(now, min_limit)]
 
     def _sum_of_limits_left(self, now: float) -> float:
         """Limits below one add up: one request each at every backend would be too many.
--- a/dunecove/policy/feedback.py
+++ b/dunecove/policy/feedback.py
@@ -16,17 +16,15 @@
 from dunecove.policy.subsetting import BackendSet
 
 # This proxy stopped waiting.
-_GIVEN_UP = frozenset({AttemptResult.TIMEOUT, AttemptResult.CANCELLED})
+_GIVEN_UP = (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
 # The doing of this proxy or of the client: says nothing of the backend.
-_NOT_OF_BACKEND = frozenset(
-    {
-        AttemptResult.CANCELLED,
-        AttemptResult.WITHDRAWN,
-        AttemptResult.NO_LOCAL_RESOURCE,
-        AttemptResult.BAD_REQUEST,
-    }
+_NOT_OF_BACKEND = (
+    AttemptResult.CANCELLED,
+    AttemptResult.WITHDRAWN,
+    AttemptResult.NO_LOCAL_RESOURCE,
+    AttemptResult.BAD_REQUEST,
 )
-_LOAD_FAILURES = frozenset({AttemptResult.REJECTED, AttemptResult.TIMEOUT})
+_LOAD_FAILURES = (AttemptResult.REJECTED, AttemptResult.TIMEOUT)
 
 
 class Feedback:
@@ -75,13 +73,9 @@
         return self._outliers.record_failure(now, backend, result)
 
     def _had_fair_chance(self, request: Request, latency_ms: float) -> bool:
-        """Whether an attempt given up had the time that an ordinary one takes.
-
-        Its latency counts in any case: were only responses counted, each attempt given up would make the next
-        one look later still.
-        """
+        """Whether an attempt given up had the time that an ordinary one takes; learns from it in any case."""
         fair_ms = self._latencies.fair_ms(request)
-        self._latencies.record_class(request.class_index, latency_ms)
+        self._latencies.record_given_up(request, latency_ms)
         return latency_ms >= fair_ms
 
     def _record_response(self, now: float, request: Request, backend: Backend, latency_ms: float) -> None:
--- a/dunecove/policy/latency_tracker.py
+++ b/dunecove/policy/latency_tracker.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
 from dunecove.policy.request import Request
 from dunecove.policy.smoothing import LATENCY_WEIGHT, moved_toward, smooth
 
@@ -14,11 +12,23 @@
 SPARSE_WORK_RATE_WEIGHT = 1 / 10
 
 
-class ClassLatency(NamedTuple):
+class ClassLatency:
     """The latency of one request class, smoothed, in ms."""
 
-    mean_ms: float = 0.0
-    deviation_ms: float = 0.0
+    __slots__ = ("deviation_ms", "mean_ms")
+
+    def __init__(self) -> None:
+        self.mean_ms = 0.0
+        self.deviation_ms = 0.0
+
+    def record(self, latency_ms: float) -> None:
+        """Learn from a response, or from an attempt given up."""
+        if self.mean_ms:
+            deviation_ms = abs(latency_ms - self.mean_ms)
+            self.deviation_ms = moved_toward(self.deviation_ms, deviation_ms, LATENCY_WEIGHT)
+        else:
+            self.deviation_ms = latency_ms / 2
+        self.mean_ms = smooth(self.mean_ms, latency_ms)
 
 
 class LatencyTracker:
@@ -27,7 +37,7 @@
     def __init__(self, class_count: int, is_sparse: bool) -> None:
         self.overall_ms = 0.0
         self.work_rates: dict[int, float] = {}  # ms of latency per ms of hinted work, by kind of hardware
-        self._by_class = [ClassLatency()] * class_count
+        self._by_class = [ClassLatency() for _ in range(class_count)]
         self._work_rate_weight = SPARSE_WORK_RATE_WEIGHT if is_sparse else WORK_RATE_WEIGHT
 
     def class_latency_ms(self, class_index: int) -> float:
@@ -44,26 +54,24 @@
         It is at most half the objective: were the usual latency above the objective, nothing would ever be
         sent again and the latency never be corrected.
         """
-        mean_ms, deviation_ms = self._by_class[request.class_index]
-        return min(mean_ms + FAIR_DEVIATIONS * deviation_ms, request.queue.objective_ms / 2)
+        usual = self._by_class[request.class_index]
+        ordinary_ms = usual.mean_ms + FAIR_DEVIATIONS * usual.deviation_ms
+        return min(ordinary_ms, request.queue.objective_ms / 2)
 
     def record_response(self, request: Request, latency_ms: float) -> float:
         """Learn from a response; return its class's usual latency."""
         request.queue.record_latency(latency_ms)
-        mean_ms = self.record_class(request.class_index, latency_ms)
+        class_latency = self._by_class[request.class_index]
+        class_latency.record(latency_ms)
         self.overall_ms = smooth(self.overall_ms, latency_ms)
-        return mean_ms
+        return class_latency.mean_ms
 
-    def record_class(self, class_index: int, latency_ms: float) -> float:
-        """Learn the latency of a class alone, as from an attempt given up; return its usual latency."""
-        mean_ms, deviation_ms = self._by_class[class_index]
-        if mean_ms:
-            deviation_ms = moved_toward(deviation_ms, abs(latency_ms - mean_ms), LATENCY_WEIGHT)
-        else:
-            deviation_ms = latency_ms / 2
-        mean_ms = smooth(mean_ms, latency_ms)
-        self._by_class[class_index] = ClassLatency(mean_ms, deviation_ms)
-        return mean_ms
+    def record_given_up(self, request: Request, latency_ms: float) -> None:
+        """Learn from an attempt given up, for its class alone.
+
+        Were only responses counted, each attempt given up would make the next one look later still.
+        """
+        self._by_class[request.class_index].record(latency_ms)
 
     def record_work_rate(self, kind: int, work_rate: float) -> None:
         """Learn the work rate of a kind of hardware; of one backend alone there are too few responses.
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -48,7 +48,7 @@
         self._rng = rng
         self._backends = backends
         self._is_sparse = is_sparse(settings)
-        self._to_gossip: list[Backend] = []  # seen to fail in this step
+        self.to_gossip: list[Backend] = []  # seen to fail in this step
 
     def record_success(self, now: float, backend: Backend) -> None:
         """Learn that a backend responded."""
@@ -66,7 +66,7 @@
             self._report(now, backend, self._settings.proxy_index)
             if now - backend.gossiped_at >= GOSSIP_INTERVAL_MS:
                 backend.gossiped_at = now
-                self._to_gossip.append(backend)
+                self.to_gossip.append(backend)
         # A timeout may show load alone, in which all share.
         is_bad = self._is_sparse and result is not AttemptResult.TIMEOUT and self._is_outlier(backend)
         fails_in_a_row = backend.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
@@ -87,12 +87,10 @@
             if alike:
                 self._report(now, alike[-1], event.sender_index)
 
-    def take_gossip(self) -> SendGossip | None:
-        """Return the message on backends that have just failed; None if there is none."""
-        if not self._to_gossip:
-            return None
-        named = self._to_gossip[:MAX_GOSSIP_BACKENDS]
-        self._to_gossip = []
+    def take_gossip(self) -> SendGossip:
+        """Return the message on the backends that have just failed, and forget them."""
+        named = self.to_gossip[:MAX_GOSSIP_BACKENDS]
+        self.to_gossip = []
         hashes = b"".join(backend.name_hash.to_bytes(HASH_BYTES, "big") for backend in named)
         return SendGossip(GOSSIP_PREFIX + hashes)
 
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -113,7 +113,8 @@
             backend.rank = rendezvous_hash.hash_pair(rank_key, backend.name_hash)
             self.by_id[entry.backend_id] = backend
             self._by_hash.setdefault(backend.name_hash, []).append(backend)
-        backend.update(entry)
+        else:
+            backend.update(entry)
         if entry.started_at != backend.started_at:
             backend.forget()
             backend.started_at = entry.started_at
