--- a/dunecove/policy/list_updates.py
+++ b/dunecove/policy/list_updates.py
@@ -66,8 +66,8 @@
         if known is not None and known.started_at == entry.started_at:
             return
         if is_cached:
-            self._starts.found(now, entry.backend_id, entry.started_at)
+            self._starts.record_cached(now, entry.backend_id, entry.started_at)
         elif self._has_heard_discovery:
-            self._starts.restarted(now, entry.backend_id, entry.started_at)
+            self._starts.record_restart(now, entry.backend_id, entry.started_at)
         else:
-            self._starts.first_told(now, entry.backend_id, entry.started_at)
+            self._starts.record_first_update(now, entry.backend_id, entry.started_at)
--- a/dunecove/policy/request_rules.py
+++ b/dunecove/policy/request_rules.py
@@ -1,9 +1,8 @@
-"""The one place that says whether something may be sent, repeated, refused or taken now.
+"""The one place that says whether something may be sent, retried, rejected or closed now.
 
-It has no sockets and no clock: whoever asks brings the time, in milliseconds. The decision module asks it
-before it decides, and the network code asks it again just before the first byte of an attempt is written,
-since a list, a client or the time may have moved between the two. The rules are those of the operators'
-pages.
+It has no sockets and no clock: the caller brings the time, in milliseconds. The balancer asks before it
+decides, and the network code asks again just before the first byte of an attempt is written, since the
+endpoint list, the client or the time may have moved between the two.
 """
 
 from __future__ import annotations
@@ -21,18 +20,18 @@
 
     CLIENT_DISCONNECTED = "client_disconnected"
     ANSWERED = "answered"  # the request has its final answer
-    BACKEND_REMOVED = "backend_removed"  # it drains or is gone
-    DEADLINE_EXCEEDED = "deadline_exceeded"  # of the attempt or of the request
-    SHUTTING_DOWN = "shutting_down"  # the program ends, and could not answer it any more
-    DEDUP_WINDOW_OVER = "dedup_window_over"  # repeats of a keyed request are not remembered any longer
+    BACKEND_REMOVED = "backend_removed"  # or it drains
+    DEADLINE_EXCEEDED = "deadline_exceeded"  # the attempt's or the request's
+    SHUTTING_DOWN = "shutting_down"  # the program could not answer it any more
+    DEDUP_WINDOW_OVER = "dedup_window_over"  # backends have forgotten the key
     TOO_MANY_ATTEMPTS = "too_many_attempts"
-    CONCURRENT_ATTEMPT = "concurrent_attempt"  # another attempt is still out
+    CONCURRENT_ATTEMPT = "concurrent_attempt"  # another attempt is open
     MAY_HAVE_EXECUTED = "may_have_executed"
-    OUTSIDE_DEDUP_SCOPE = "outside_dedup_scope"  # backends there don't know the repeats of this request
+    OUTSIDE_DEDUP_SCOPE = "outside_dedup_scope"  # the backend does not know the key
 
 
-# Those that the world may bring about between a decision and its first byte. The others mean that the
-# decision itself broke a rule, and are counted as violations.
+# Those that may come about between a decision and its first byte. The others mean that the decision itself
+# broke a rule, and are counted as violations.
 EXPECTED_DENIALS = frozenset(
     (
         Denial.CLIENT_DISCONNECTED,
@@ -46,93 +45,110 @@
 
 
 class Violation(Enum):
-    """A rule that was broken, or would have been, had the rules not been asked."""
+    """A rule that was broken, or would have been without a check here."""
 
-    FORBIDDEN_ATTEMPT = "forbidden_attempt"  # a decision that the rules denied
-    FORBIDDEN_REJECTION = "forbidden_rejection"  # a refusal of what may have run
-    LATE_RESPONSE = "late_response"  # more than `LATE_MS` after the request's time
+    FORBIDDEN_ATTEMPT = "forbidden_attempt"  # decided, but denied
+    FORBIDDEN_REJECTION = "forbidden_rejection"  # of what may have executed
+    LATE_RESPONSE = "late_response"  # more than `RESPONSE_GRACE_MS` after the deadline
     UNANSWERED = "unanswered"  # the program ended, or closed a connection, with a request open
 
 
-RESPONSE_GRACE_MS = (
-    500.0  # after a request's time: its answer earns nothing before that, and is lost from then on
-)
+RESPONSE_GRACE_MS = 500.0  # after the deadline: a response earns nothing any more, but still counts as given
 
 
 class Location(Protocol):
-    """Where a backend stands."""
+    """Where a backend is."""
 
     @property
-    def zone(self) -> int: ...
+    def zone(self) -> int:
+        """Its zone."""
 
     @property
-    def cell(self) -> int: ...
+    def cell(self) -> int:
+        """Its rack."""
 
 
 class PreviousAttempt(Location, Protocol):
-    """An attempt that was made before."""
+    """An earlier attempt of the same request."""
 
     @property
-    def sent_at(self) -> float: ...  # when its first byte was written, or earlier
+    def sent_at(self) -> float:
+        """When its first byte was written, or earlier."""
 
     @property
-    def is_open(self) -> bool: ...  # it has not ended
+    def is_open(self) -> bool:
+        """Whether it has not ended."""
 
     @property
-    def may_have_executed(self) -> bool: ...
+    def may_have_executed(self) -> bool:
+        """Whether a backend may have executed the request."""
 
 
-E = TypeVar("E", bound=PreviousAttempt)
+AnyAttempt = TypeVar("AnyAttempt", bound=PreviousAttempt)
 
 
-def first_executed_attempt(earlier: Sequence[E]) -> E | None:
-    """The earliest attempt that may have run: what a class allows counts from it."""
-    return next((attempt for attempt in earlier if attempt.may_have_executed), None)
+def first_executed_attempt(attempts: Sequence[AnyAttempt]) -> AnyAttempt | None:
+    """Return the earliest attempt that may have executed; what a class allows counts from it."""
+    return next((attempt for attempt in attempts if attempt.may_have_executed), None)
 
 
-def in_dedup_scope(scope: DeduplicationScope, place: Location, ran: Location) -> bool:
-    """Whether a backend at `place` drops repeats of what ran at the other place."""
+def in_dedup_scope(scope: DeduplicationScope, location: Location, executed: Location) -> bool:
+    """Whether a backend at `location` recognises a repeat of what was executed at the other location."""
     if scope is DeduplicationScope.ALL:
         return True
-    return place.zone == ran.zone if scope is DeduplicationScope.ZONE else place.cell == ran.cell
+    if scope is DeduplicationScope.ZONE:
+        return location.zone == executed.zone
+    return location.cell == executed.cell
 
 
 def retry_denial(
-    settings: Settings, spec: RequestClass, earlier: Sequence[PreviousAttempt], now: float
+    settings: Settings, request_class: RequestClass, previous: Sequence[PreviousAttempt], now: float
 ) -> Denial | None:
-    """Whether a request of this class may be sent once more, wherever; None if it may."""
-    if not earlier:
+    """Return why a request may not be sent now, to whichever backend; None if it may.
+
+    The first attempt, without previous ones, may always be sent.
+    """
+    if not previous:
         return None
-    if len(earlier) >= settings.max_attempts:
+    if len(previous) >= settings.max_attempts:
         return Denial.TOO_MANY_ATTEMPTS
-    if not settings.may_hedge and any(attempt.is_open for attempt in earlier):
+    if not settings.may_hedge and any(attempt.is_open for attempt in previous):
         return Denial.CONCURRENT_ATTEMPT
-    ran = first_executed_attempt(earlier)
-    if ran is None or spec.idempotency is Idempotency.IDEMPOTENT:
+    executed = first_executed_attempt(previous)
+    if executed is None or request_class.idempotency is Idempotency.IDEMPOTENT:
         return None
-    if spec.idempotency is Idempotency.NON_IDEMPOTENT:
+    if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
         return Denial.MAY_HAVE_EXECUTED
-    return Denial.DEDUP_WINDOW_OVER if now >= ran.sent_at + spec.dedup_window_ms else None
+    window_end = executed.sent_at + request_class.dedup_window_ms
+    return Denial.DEDUP_WINDOW_OVER if now >= window_end else None
 
 
 def attempt_denial(
-    settings: Settings, spec: RequestClass, earlier: Sequence[PreviousAttempt], place: Location, now: float
+    settings: Settings,
+    request_class: RequestClass,
+    previous: Sequence[PreviousAttempt],
+    location: Location,
+    now: float,
 ) -> Denial | None:
-    """Whether it may be sent to a backend at `place`; None if it may."""
-    denial = retry_denial(settings, spec, earlier, now)
-    ran = first_executed_attempt(earlier)
-    if denial is not None or ran is None or spec.idempotency is not Idempotency.KEYED:
+    """Return why a request may not be sent to a backend at this location now; None if it may."""
+    denial = retry_denial(settings, request_class, previous, now)
+    executed = first_executed_attempt(previous)
+    if denial is not None or executed is None or request_class.idempotency is not Idempotency.KEYED:
         return denial
-    return None if in_dedup_scope(spec.dedup_scope, place, ran) else Denial.OUTSIDE_DEDUP_SCOPE
+    if in_dedup_scope(request_class.dedup_scope, location, executed):
+        return None
+    return Denial.OUTSIDE_DEDUP_SCOPE
 
 
-def may_close_connection(requests_open: bool, asked: bool) -> bool:
-    """Whether this proxy may end a client's connection; `asked`: bytes of the client lie there unread."""
-    return not requests_open and not asked
+def may_close_connection(has_open_requests: bool, has_unread_bytes: bool) -> bool:
+    """Whether this proxy may end a client's connection; unread bytes of the client may be a request."""
+    return not has_open_requests and not has_unread_bytes
 
 
-def may_reject(spec: RequestClass, earlier: Sequence[PreviousAttempt]) -> bool:
-    """Whether it may be answered with the promise that another try does no harm."""
-    if spec.idempotency is Idempotency.IDEMPOTENT or first_executed_attempt(earlier) is None:
+def may_reject(request_class: RequestClass, attempts: Sequence[PreviousAttempt]) -> bool:
+    """Whether a request may get a rejection, which promises that a retry is safe."""
+    if request_class.idempotency is Idempotency.IDEMPOTENT or first_executed_attempt(attempts) is None:
         return True
-    return spec.idempotency is Idempotency.KEYED and spec.dedup_scope is DeduplicationScope.ALL
+    return (
+        request_class.idempotency is Idempotency.KEYED and request_class.dedup_scope is DeduplicationScope.ALL
+    )
--- a/dunecove/policy/slow_start.py
+++ b/dunecove/policy/slow_start.py
@@ -1,75 +1,81 @@
-"""How long a backend is to be taken for cold, in spans of real time.
+"""Until when a backend is cold.
 
-A list dates the start of each backend by a wall clock. That clock, or the one by which this proxy was
-started, may be off by seconds or an hour, so a date alone proves nothing. What proves a start is that its
-date is new to a process that held a list before. What stands in the first lists can only be compared,
-date with date. Times are milliseconds of the proxy's own clock, which runs evenly.
+The endpoint list dates the start of each backend by a wall clock. That clock, or the one by which this proxy
+was started, may be off by seconds or an hour, so a date alone proves nothing. What proves a start is a date
+that is new to a process that held a list before. Dates in the first lists can only be compared with one
+another. Times are milliseconds of the proxy's own clock, which runs evenly.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-# A list may be so late: a start that it has just told of is no older by a clock that is right.
-LIST_LATE_MS = 15_000.0
+# How late an update may be: a start that is new in it is no older by a clock that is right.
+MAX_UPDATE_DELAY_MS = 15_000.0
 
 
 class SlowStart:
-    """The cold backends by name, each with the time at which it is warm."""
+    """The cold backends, each with the time at which it is warm."""
 
-    def __init__(self, cold_ms: float) -> None:
-        self.cold_ms = cold_ms
-        self.ends: dict[str, float] = {}
-        # Backends of the first lists that by this proxy's clock are warm, or have not started yet, with the
-        # dates of their start. The newest of these is in the past for sure, so the others have a least age.
-        self.undated: dict[str, float] = {}
-        self.newest, self.heard = -inf, 0.0
+    def __init__(self, slow_start_ms: float) -> None:
         self.clock_is_right = False  # a start was heard of that was neither in the future nor long past
+        self._slow_start_ms = slow_start_ms
+        self._warm_at: dict[str, float] = {}
+        # Starts in the first lists that by this proxy's clock are long past or in the future. The newest one
+        # is in the past for sure, so the others have a least age.
+        self._unproven_starts: dict[str, float] = {}
+        self._newest_start = -inf
+        self._newest_heard_at = 0.0
 
-    def end(self, name: str) -> float:
-        """When it is warm; 0 for one that is not known to be cold."""
-        started = self.undated.get(name)
-        if started is None:
-            return self.ends.get(name, 0.0)
-        if self.clock_is_right and started <= self.heard:
+    def warm_at(self, backend_id: str) -> float:
+        """Return when a backend is warm; 0 for one that is not known to be cold."""
+        started_at = self._unproven_starts.get(backend_id)
+        if started_at is None:
+            return self._warm_at.get(backend_id, 0.0)
+        if self.clock_is_right and started_at <= self._newest_heard_at:
             return 0.0  # long past by a clock that can be believed
-        return self.heard + self.cold_ms - (self.newest - started)
+        return self._newest_heard_at + self._slow_start_ms - (self._newest_start - started_at)
 
-    def restarted(self, now: float, name: str, started: float | None) -> None:
-        """The date of its start is new to a process that held a list without it."""
-        self.forget(name)
-        if started is None or self.cold_ms <= 0:
+    def record_restart(self, now: float, backend_id: str, started_at: float | None) -> None:
+        """Take over a start that is new to a process that held a list without it."""
+        self.forget(backend_id)
+        if started_at is None or self._slow_start_ms <= 0:
             return
-        plausible = now - min(LIST_LATE_MS, self.cold_ms) <= started <= now
+        plausible = now - min(MAX_UPDATE_DELAY_MS, self._slow_start_ms) <= started_at <= now
         self.clock_is_right = self.clock_is_right or plausible
-        self.ends[name] = (started if plausible else now) + self.cold_ms
+        self._warm_at[backend_id] = (started_at if plausible else now) + self._slow_start_ms
 
-    def first_told(self, now: float, name: str, started: float | None) -> None:
-        """The saved list did not have this date, and discovery has now been heard for the first time. How old
-        the saved list was is not known."""
-        if started is not None and now - self.cold_ms < started <= now:
-            self.restarted(now, name, started)
+    def record_first_update(self, now: float, backend_id: str, started_at: float | None) -> None:
+        """Take over a start from the first update of discovery, that the cached list did not have.
+
+        How old the cached list was is not known.
+        """
+        if started_at is not None and now - self._slow_start_ms < started_at <= now:
+            self.record_restart(now, backend_id, started_at)
         else:
-            self.found(now, name, started)
+            self.record_cached(now, backend_id, started_at)
 
-    def found(self, now: float, name: str, started: float | None) -> None:
-        """It stood in the list that this process began with."""
-        self.forget(name)
-        if started is None or self.cold_ms <= 0:
+    def record_cached(self, now: float, backend_id: str, started_at: float | None) -> None:
+        """Take over a start from the list that this process began with."""
+        self.forget(backend_id)
+        if started_at is None or self._slow_start_ms <= 0:
             return
-        if now - self.cold_ms < started <= now:
+        if now - self._slow_start_ms < started_at <= now:
             self.clock_is_right = True
-            self.ends[name] = started + self.cold_ms
+            self._warm_at[backend_id] = started_at + self._slow_start_ms
             return
-        self.undated[name] = started
-        if started > self.newest:
-            self.newest, self.heard = started, now
+        self._unproven_starts[backend_id] = started_at
+        if started_at > self._newest_start:
+            self._newest_start = started_at
+            self._newest_heard_at = now
 
-    def forget(self, name: str) -> None:
-        self.ends.pop(name, None)
-        self.undated.pop(name, None)
+    def forget(self, backend_id: str) -> None:
+        """Drop a backend that is warm or was removed."""
+        self._warm_at.pop(backend_id, None)
+        self._unproven_starts.pop(backend_id, None)
 
     def prune(self, now: float) -> None:
-        """Drop those that are warm by now."""
-        for name in [name for name in (*self.ends, *self.undated) if self.end(name) <= now]:
-            self.forget(name)
+        """Drop the backends that are warm by now."""
+        known = [*self._warm_at, *self._unproven_starts]
+        for backend_id in [backend_id for backend_id in known if self.warm_at(backend_id) <= now]:
+            self.forget(backend_id)
