--- a/dunecove/policy/backend.py
+++ b/dunecove/policy/backend.py
@@ -72,6 +72,10 @@
         self.cell = info.cell
         self.weight = max(info.weight, MIN_WEIGHT)
 
+    def info(self) -> BackendInfo:
+        """Return what the endpoint list says of it."""
+        return BackendInfo(self.id, self.state, self.zone, self.kind, self.cell, self.started_at, self.weight)
+
     def forget(self) -> None:
         """Forget all that was learned: a process that has just started shares nothing with the last one."""
         self.reset_limit()
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -53,9 +53,7 @@
     def record_success(self, now: float, backend: Backend) -> None:
         """Learn that a backend responded."""
         backend.consecutive_failures = 0
-        reports = backend.failure_reports
-        reported = bool(reports) and now - reports[-1].reported_at < MAX_EJECTION_MS
-        if not (self._is_sparse and (reported or self._is_outlier(backend))):
+        if backend.ejection_ms > MIN_EJECTION_MS and not self._is_suspect(now, backend):
             backend.ejection_ms = MIN_EJECTION_MS
 
     def record_failure(self, now: float, backend: Backend, result: AttemptResult) -> BackendEjected | None:
@@ -94,6 +92,14 @@
         hashes = b"".join(backend.name_hash.to_bytes(HASH_BYTES, "big") for backend in named)
         return SendGossip(GOSSIP_PREFIX + hashes)
 
+    def _is_suspect(self, now: float, backend: Backend) -> bool:
+        """Whether a success may stand between two failures; a sparse proxy sees too few to tell."""
+        if not self._is_sparse:
+            return False
+        reports = backend.failure_reports
+        reported = bool(reports) and now - reports[-1].reported_at < MAX_EJECTION_MS
+        return reported or self._is_outlier(backend)
+
     def _is_outlier(self, backend: Backend) -> bool:
         part = SPARSE_OUTLIER_PAYOFF if self._is_sparse else OUTLIER_PAYOFF
         return backend.payoff <= part * mean_payoff(self._backends.subset)
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -17,7 +17,7 @@
 from dunecove.policy.request_queue import RequestQueue
 from dunecove.policy.settings import Settings
 from dunecove.policy.slow_start_budget import SlowStartBudget
-from dunecove.policy.unsubscribed_backends import Rank, Traits, UnsubscribedBackends, traits_of
+from dunecove.policy.unsubscribed_backends import Rank, UnsubscribedBackends
 
 MIN_SUBSET = 8  # of a sparse proxy: with a few requests a second it learns of no more in time
 MIN_RESERVE = 256  # backends of which state is kept; of a sparse proxy twice its subset, if that is more
@@ -86,7 +86,7 @@
         elif entry.state is not BackendState.ACTIVE:
             self.unsubscribed.pop(entry.backend_id)
         elif self.unsubscribed.rank(entry.backend_id) > self._rank_boundary:
-            self.unsubscribed.put(entry.backend_id, traits_of(entry))
+            self.unsubscribed.put(entry)
         else:
             self._update(now, entry)
         if self._has_too_many():
@@ -95,9 +95,9 @@
     def subscribe(self, now: float, names: Sequence[str]) -> None:
         """Keep state of these, too."""
         for name in names:
-            traits = self.unsubscribed.pop(name)
-            if traits is not None:
-                self._update(now, traits.info(name))
+            entry = self.unsubscribed.pop(name)
+            if entry is not None:
+                self._update(now, entry)
         self.refresh_active()
 
     def refresh_active(self) -> None:
@@ -190,5 +190,4 @@
         for backend in ranked[self._reserve :]:
             if backend.in_flight == 0:
                 self._remove(backend, BackendState.ACTIVE)
-                traits = Traits(backend.zone, backend.kind, backend.cell, backend.started_at, backend.weight)
-                self.unsubscribed.put(backend.id, traits)
+                self.unsubscribed.put(backend.info())
--- a/dunecove/policy/unsubscribed_backends.py
+++ b/dunecove/policy/unsubscribed_backends.py
@@ -8,7 +8,6 @@
 
 from heapq import nsmallest
 from marshal import dumps, loads
-from typing import NamedTuple
 
 from dunecove.policy import rendezvous_hash
 from dunecove.policy.models import BackendInfo, BackendState, DeduplicationScope
@@ -22,32 +21,15 @@
 Rank = tuple[int, str]  # a place in this proxy's order: the hash, and the name where hashes are equal
 
 
-class Traits(NamedTuple):
-    """What the list says of an active backend: `BackendInfo` without name and state."""
+def _encode(info: BackendInfo) -> bytes:
+    """Return what the list says of an active backend, but for its name."""
+    traits = (info.zone, info.kind, info.cell, info.started_at, info.weight)
+    return dumps(traits, _MARSHAL_VERSION)
 
-    zone: int
-    kind: int
-    cell: int
-    started_at: float | None
-    weight: float
 
-    def encode(self) -> bytes:
-        """Return it as bytes."""
-        return dumps(tuple(self), _MARSHAL_VERSION)
-
-    @classmethod
-    def decode(cls, data: bytes) -> Traits:
-        """Return what `encode` made these bytes of."""
-        return cls(*loads(data))
-
-    def info(self, backend_id: str) -> BackendInfo:
-        """Return the list's entry of the backend with this name."""
-        return BackendInfo(backend_id, BackendState.ACTIVE, *self)
-
-
-def traits_of(info: BackendInfo) -> Traits:
-    """Return what is kept of a list entry."""
-    return Traits(*info[2:])
+def _decode(backend_id: str, data: bytes) -> BackendInfo:
+    """Return the entry that `_encode` made these bytes of."""
+    return BackendInfo(backend_id, BackendState.ACTIVE, *loads(data))
 
 
 class UnsubscribedBackends:
@@ -70,18 +52,18 @@
         """Return all names, in no order."""
         return [name for bucket in self._buckets.values() for name in bucket]
 
-    def put(self, backend_id: str, traits: Traits) -> None:
-        """Add a backend, or replace what is known of it."""
-        number = self._bucket_number(backend_id)
+    def put(self, info: BackendInfo) -> None:
+        """Add an active backend, or replace what is known of it."""
+        number = self._bucket_number(info.backend_id)
         bucket = self._buckets.setdefault(number, {})
-        self.count += backend_id not in bucket
-        bucket[backend_id] = traits.encode()
+        self.count += info.backend_id not in bucket
+        bucket[info.backend_id] = _encode(info)
         bit = 1 << number
-        self._zone_hints[traits.zone] = self._zone_hints.get(traits.zone, 0) | bit
-        self._cell_hints[traits.cell] = self._cell_hints.get(traits.cell, 0) | bit
+        self._zone_hints[info.zone] = self._zone_hints.get(info.zone, 0) | bit
+        self._cell_hints[info.cell] = self._cell_hints.get(info.cell, 0) | bit
 
-    def pop(self, backend_id: str) -> Traits | None:
-        """Remove a backend and return what was known of it; None if it isn't here."""
+    def pop(self, backend_id: str) -> BackendInfo | None:
+        """Remove a backend and return its entry; None if it isn't here."""
         if not self.count:
             return None
         number = self._bucket_number(backend_id)
@@ -90,14 +72,14 @@
         self.count -= data is not None
         if not bucket:
             self._buckets.pop(number, None)
-        return None if data is None else Traits.decode(data)
+        return None if data is None else _decode(backend_id, data)
 
-    def get(self, backend_id: str) -> Traits | None:
-        """Return what is known of a backend; None if it isn't here."""
+    def get(self, backend_id: str) -> BackendInfo | None:
+        """Return a backend's entry; None if it isn't here."""
         if not self.count:
             return None
         data = self._buckets.get(self._bucket_number(backend_id), {}).get(backend_id)
-        return None if data is None else Traits.decode(data)
+        return None if data is None else _decode(backend_id, data)
 
     def first(self, count: int) -> list[str]:
         """Return the names of the first `count` by rank, in order; fewer if there are no more."""
@@ -123,7 +105,7 @@
             lowest_bit = unseen & -unseen
             unseen ^= lowest_bit
             bucket = self._buckets.get(lowest_bit.bit_length() - 1, {})
-            members = [name for name, data in bucket.items() if getattr(Traits.decode(data), trait) == group]
+            members = [name for name, data in bucket.items() if getattr(_decode(name, data), trait) == group]
             found += members
             if not members:
                 hints[group] &= ~lowest_bit
