--- a/tests/docs/test_documents.py
+++ b/tests/docs/test_documents.py
@@ -15,8 +15,8 @@
     assert capsys.readouterr().out == "req-1 goes to one of two: True\n"
 
 
-def test_each_crossing_names_a_test_that_is_there() -> None:
-    named = re.findall(r"`(test_\w+\.py)::(test_\w+)`", (ROOT / "docs" / "crossings.md").read_text())
+def test_each_race_names_a_test_that_is_there() -> None:
+    named = re.findall(r"`(test_\w+\.py)::(test_\w+)`", (ROOT / "docs" / "RACES.md").read_text())
     assert len(named) > 40
     files = {path.name: path.read_text() for path in (ROOT / "tests").rglob("test_*.py")}
     missing = [name for file, name in named if f"def {name}(" not in files.get(file, "")]
