--- /dev/null
+++ b/tests/test_layout.py
@@ -0,0 +1,74 @@
+"""The layout that DEVELOPERS.md asks for: small modules and functions, and decisions without I/O."""
+
+from __future__ import annotations
+
+import ast
+import sys
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parents[1]
+PROGRAM = sorted((ROOT / "dunecove").rglob("*.py"))
+POLICY = sorted((ROOT / "dunecove" / "policy").rglob("*.py"))
+# What the decisions may import: nothing here opens a socket, reads a clock or touches the system.
+PURE_MODULES = {
+    "__future__",
+    "array",
+    "bisect",
+    "collections",
+    "collections.abc",
+    "dataclasses",
+    "enum",
+    "functools",
+    "heapq",
+    "itertools",
+    "marshal",
+    "math",
+    "operator",
+    "random",
+    "struct",
+    "typing",
+    "zlib",
+}
+
+
+def name_of(path: Path) -> str:
+    return str(path.relative_to(ROOT))
+
+
+def imported_modules(tree: ast.Module) -> set[str]:
+    """Every module that is imported anywhere in the file, also inside functions."""
+    names: set[str] = set()
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Import):
+            names |= {alias.name for alias in node.names}
+        elif isinstance(node, ast.ImportFrom):
+            assert node.level == 0, "relative imports hide what is imported"
+            names.add(node.module or "")
+    return names
+
+
+def test_the_program_is_found() -> None:
+    assert len(PROGRAM) > 20 and len(POLICY) > 5
+
+
+@pytest.mark.parametrize("path", POLICY, ids=name_of)
+def test_the_decisions_import_no_socket_clock_or_network_code(path: Path) -> None:
+    imported = imported_modules(ast.parse(path.read_text()))
+    allowed = PURE_MODULES | {name for name in imported if name.startswith("dunecove.policy")}
+    assert imported - allowed == set()
+
+
+@pytest.mark.parametrize("path", POLICY, ids=name_of)
+def test_the_decisions_call_nothing_that_opens_or_runs_things(path: Path) -> None:
+    calls = {
+        node.func.id
+        for node in ast.walk(ast.parse(path.read_text()))
+        if isinstance(node, ast.Call) and isinstance(node.func, ast.Name)
+    }
+    assert calls & {"open", "exec", "eval", "__import__", "input", "print"} == set()
+
+
+def test_the_allowed_modules_are_of_the_standard_library() -> None:
+    assert {name.partition(".")[0] for name in PURE_MODULES} <= sys.stdlib_module_names
