--- a/dunecove/__main__.py
+++ b/dunecove/__main__.py
@@ -26,8 +26,8 @@
 from dunecove.proxy.gossip import Peers, Tier
 from dunecove.proxy.http1 import split_address
 from dunecove.proxy.incremental_json import in_pieces, read, without
-from dunecove.proxy.listener import Frontend
-from dunecove.proxy.request_parser import Reader
+from dunecove.proxy.listener import Listener
+from dunecove.proxy.request_parser import RequestParser
 from dunecove.proxy.telemetry import Telemetry, log, take_library_logs
 from dunecove.settings import (
     Malformed,
@@ -128,7 +128,7 @@
     return sockets - to_backends, to_backends
 
 
-def start(config: Config) -> tuple[Engine, Frontend]:
+def start(config: Config) -> tuple[Engine, Listener]:
     """Wire the parts; from here on clients are served."""
     of_clients, to_backends = places(config.sockets)
     engine = Engine(config.settings, config.wire, config.seed, to_backends)
@@ -145,12 +145,12 @@
     )
     if config.tier is not None:
         open_peers(engine, config.tier)
-    frontend = Frontend(engine, Reader(config.settings, config.wire), of_clients)
-    frontend.listen(config.listen)  # before anything is asked: without the address the program ends here
+    listener = Listener(engine, RequestParser(config.settings, config.wire), of_clients)
+    listener.listen(config.listen)  # before anything is asked: without the address the program ends here
     if not config.settings.polls_discovery:
         # A pushed list comes as far as the agent on this machine; from there it has to be read, from now on.
         engine.discovery.watch()
-    return engine, frontend
+    return engine, listener
 
 
 def open_peers(engine: Engine, tier: Tier) -> None:
@@ -212,13 +212,13 @@
     stop = asyncio.Event()
     for ends in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(ends, stop.set)
-    engine, frontend = start(config)
+    engine, listener = start(config)
     # In the same turn as the start: no client can have seen the proxy ready before.
     reload = Reloader(engine, dict(os.environ))
     loop.add_signal_handler(signal.SIGHUP, reload)
     loop.add_signal_handler(signal.SIGUSR1, engine.telemetry.report)
     reporting = loop.create_task(report_on(engine.telemetry))
-    log(f"{config.name} listens on {frontend.address}")
+    log(f"{config.name} listens on {listener.address}")
     # What start-up made stays for good, and so does what the module's first step makes of the saved list: the
     # collector need not walk it in the middle of a request.
     await asyncio.sleep(0)
@@ -227,9 +227,9 @@
     gc.enable()
     await stop.wait()
     log("stopping")
-    frontend.stop_keeping()
+    listener.begin_shutdown()
     await asyncio.sleep(ACCEPT_ON_S)
-    await frontend.finish(min(max(c.deadline_ms for c in config.settings.classes) / 1000, LONGEST_S))
+    await listener.finish_shutdown(min(max(c.deadline_ms for c in config.settings.classes) / 1000, LONGEST_S))
     engine.close()
     reload.close()
     reporting.cancel()
--- /dev/null
+++ b/dunecove/proxy/disconnect_watcher.py
@@ -0,0 +1,43 @@
+"""Detecting that a client has left while its connection is not read."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING
+
+from dunecove.proxy.http1 import all_hung_up
+
+if TYPE_CHECKING:
+    from dunecove.proxy.client_connection import ClientConnection
+
+DISCONNECT_POLL_S = 0.05
+
+
+class DisconnectWatcher:
+    """Polls the connections whose reading is paused, since the event loop reports no end of them.
+
+    Who has left must not keep a slot, nor the capacity of a backend.
+    """
+
+    def __init__(self) -> None:
+        self.paused: set[ClientConnection] = set()
+        self.poll_timer: asyncio.TimerHandle | None = None
+        self._loop = asyncio.get_running_loop()
+
+    def watch(self, connection: ClientConnection) -> None:
+        """Poll a connection from now on."""
+        self.paused.add(connection)
+        if self.poll_timer is None:
+            self.poll_timer = self._loop.call_later(DISCONNECT_POLL_S, self.poll)
+
+    def unwatch(self, connection: ClientConnection) -> None:
+        """Stop polling a connection, if it was polled."""
+        self.paused.discard(connection)
+
+    def poll(self) -> None:
+        """Abort the connections whose clients have left, by one system call for all of them."""
+        self.poll_timer = None
+        for transport in all_hung_up(connection.transport for connection in self.paused):
+            transport.abort()
+        if self.paused:
+            self.poll_timer = self._loop.call_later(DISCONNECT_POLL_S, self.poll)
--- a/dunecove/proxy/receive_buffer.py
+++ b/dunecove/proxy/receive_buffer.py
@@ -1,4 +1,4 @@
-"""Bytes of a client that have been read and not been parsed yet, each with the time at which it came."""
+"""Bytes of one client that were received and not parsed yet, with the time of their arrival."""
 
 from __future__ import annotations
 
@@ -6,36 +6,41 @@
 from typing import NamedTuple
 
 
-class Chunk(NamedTuple):
-    """What was read at once."""
+class ReceivedChunk(NamedTuple):
+    """Bytes that arrived together."""
 
     data: bytes
-    arrived: float  # ms of `now_ms`
+    arrived_at: float  # ms of `now_ms`
 
 
-class ReadAhead:
-    """Chunks in their order. A request that waits here behind others uses up its client's time as it does."""
+class ReceiveBuffer:
+    """A first-in first-out buffer of received chunks; its length is the number of bytes in it.
+
+    A request's time budget runs from its arrival, so each chunk keeps its own time however long it waits.
+    """
 
     def __init__(self) -> None:
-        self.chunks: deque[Chunk] = deque()
-        self.size = 0  # bytes of all chunks
+        self._chunks: deque[ReceivedChunk] = deque()
+        self._size_bytes = 0
 
     def __len__(self) -> int:
-        return self.size
-
-    def append(self, data: bytes, arrived: float) -> None:
-        self.chunks.append(Chunk(data, arrived))
-        self.size += len(data)
-
-    def take(self, most: int) -> Chunk:
-        """Up to `most` bytes that came at one time; IndexError if there are none."""
-        data, arrived = self.chunks.popleft()
-        if len(data) > most:
-            self.chunks.appendleft(Chunk(data[most:], arrived))
-            data = data[:most]
-        self.size -= len(data)
-        return Chunk(data, arrived)
+        return self._size_bytes
+
+    def append(self, data: bytes, arrived_at: float) -> None:
+        """Add bytes that arrived at that time, in ms of `now_ms`."""
+        self._chunks.append(ReceivedChunk(data, arrived_at))
+        self._size_bytes += len(data)
+
+    def pop(self, max_bytes: int) -> ReceivedChunk:
+        """Remove and return up to `max_bytes` bytes of one arrival; IndexError if the buffer is empty."""
+        data, arrived_at = self._chunks.popleft()
+        if len(data) > max_bytes:
+            self._chunks.appendleft(ReceivedChunk(data[max_bytes:], arrived_at))
+            data = data[:max_bytes]
+        self._size_bytes -= len(data)
+        return ReceivedChunk(data, arrived_at)
 
     def clear(self) -> None:
-        self.chunks.clear()
-        self.size = 0
+        """Drop everything that has not been parsed."""
+        self._chunks.clear()
+        self._size_bytes = 0
--- a/dunecove/proxy/request_parser.py
+++ b/dunecove/proxy/request_parser.py
@@ -1,23 +1,21 @@
-"""Checking a client's request: from a message read whole to `Taken`, or the status that refuses it."""
+"""Validation of a client's request: from the HTTP message to the request that the engine takes."""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Callable
-from math import inf
-from typing import NamedTuple
 from urllib.parse import unquote_to_bytes
 
 from dunecove.policy.models import Idempotency
 from dunecove.policy.settings import Settings
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.engine import Answer, Taken
-from dunecove.proxy.http1 import MAX_BODY, Headers
+from dunecove.proxy.http_request import BUDGET_MS_PATTERN, HttpRequest, RequestError
 from dunecove.settings import Wire
 
-# What goes on to a backend. Anything else is the client's own affair, and one way less to make a backend
-# hang up, and so fail a request that it was made to look guilty of.
-FORWARDED = frozenset(
+# Only these are forwarded: any other header could make a backend close the connection and so cause an
+# attempt to fail that the backend is not to blame for.
+FORWARDED_HEADERS = frozenset(
     (
         b"host",
         b"x-call-id",
@@ -30,127 +28,110 @@
         b"content-type",
     )
 )
-# Told twice, the backend could read the other value; HTTP/1.1 asks for one host.
-SINGLE = FORWARDED | {b"x-budget-ms", b"content-length", b"transfer-encoding"}
-TARGET = re.compile(rb"/[!-~]{0,2047}")  # a longer one is nobody's path, and servers bound their first line
-VALUE = re.compile(rb"[\t -~\x80-\xff]{0,1024}")  # more than any of these holds; no byte that servers dispute
-ID = re.compile(rb"[!-~]{1,128}")
-BUDGET = re.compile(rb"0{0,8}[1-9][0-9]{0,8}")
-COST = re.compile(rb"[0-9]{1,9}")
-KEY = re.compile(rb"[0-9A-Fa-f]{1,16}")
-
-
-class Bad(Exception):
-    def __init__(self, status: int) -> None:
-        super().__init__(status)
-        self.status = status
-
-    def size(self) -> int:
-        return 0
-
-
-class Message(NamedTuple):
-    method: bytes
-    target: bytes
-    headers: Headers  # those of the head; trailers are dropped
-    body: bytes
-    keep: bool
-    arrived: float
-
-    def size(self) -> int:
-        """Bytes, of head and body, without what frames them."""
-        return len(self.target) + len(self.body) + sum(len(name) + len(value) for name, value in self.headers)
-
-    def give_up(self) -> float:
-        """When its client stops waiting, in ms of `now_ms`; infinite if it does not say so rightly."""
-        budget = next((value for name, value in self.headers if name == b"x-budget-ms"), b"")
-        return self.arrived + float(budget) if BUDGET.fullmatch(budget) else inf
-
-
-def check_framing(headers: Headers) -> None:
-    """Where the message ends must be beyond dispute, or the next server could see another request in it."""
-    lengths = [value for name, value in headers if name == b"content-length"]
-    codings = [value for name, value in headers if name == b"transfer-encoding"]
-    if len(lengths) + len(codings) > 1:
-        raise Bad(400)
-    if codings and codings[0].strip().lower() != b"chunked":
-        raise Bad(400)
-    if lengths:
-        if not lengths[0].isdigit():
-            raise Bad(400)
-        if len(lengths[0]) > 18 or int(lengths[0]) > MAX_BODY:
-            raise Bad(413)
-
-
-class Reader:
-    """Knows the deployment's classes and tenants."""
+# Repeated, the backend could read the other value; HTTP/1.1 demands exactly one host.
+SINGLETON_HEADERS = FORWARDED_HEADERS | {b"x-budget-ms", b"content-length", b"transfer-encoding"}
+TARGET_PATTERN = re.compile(rb"/[!-~]{0,2047}")
+HEADER_VALUE_PATTERN = re.compile(rb"[\t -~\x80-\xff]{0,1024}")
+REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
+WORK_HINT_PATTERN = re.compile(rb"[0-9]{1,9}")
+AFFINITY_KEY_PATTERN = re.compile(rb"[0-9A-Fa-f]{1,16}")
+
+
+class RequestParser:
+    """Validates requests against the request classes and tenants of the deployment."""
 
     def __init__(self, settings: Settings, wire: Wire) -> None:
-        self.settings, self.wire = settings, wire
-
-    def read(self, message: Message, answer: Callable[[Answer], None], gone: Callable[[], bool]) -> Taken:
-        headers = dict(message.headers)
-        names = [name for name, _ in message.headers if name in SINGLE]
-        if len(names) != len(set(names)) or b"host" not in headers or not TARGET.fullmatch(message.target):
-            raise Bad(400)
-        path = message.target.split(b"?", 1)[0]
-        cls = self.wire.classes.get(as_name(unquote_to_bytes(path.split(b"/")[1])))
-        if cls is None:
-            raise Bad(404)
-        effect = self.settings.classes[cls].idempotency
-        if message.method != (b"GET" if effect is Idempotency.IDEMPOTENT else b"POST"):
-            raise Bad(405)
-        if message.method == b"GET" and message.body:
-            raise Bad(400)
-        if effect is Idempotency.KEYED and not headers.get(b"idempotency-key"):
-            raise Bad(400)
-        request_id, budget = headers.get(b"x-call-id", b""), headers.get(b"x-budget-ms", b"")
-        if not ID.fullmatch(request_id) or not BUDGET.fullmatch(budget):
-            raise Bad(400)
-        lines = [b"%b %b HTTP/1.1\r\n" % (message.method, message.target)]
-        for name, value in message.headers:
-            if name in FORWARDED:
-                if not VALUE.fullmatch(value):
-                    raise Bad(400)
-                lines.append(b"%b: %b\r\n" % (name, value))
-        if message.method == b"POST":
-            lines.append(b"content-length: %d\r\n" % len(message.body))
+        self.settings = settings
+        self.wire = wire
+
+    def parse(
+        self,
+        request: HttpRequest,
+        on_response: Callable[[Answer], None],
+        has_disconnected: Callable[[], bool],
+    ) -> Taken:
+        """Return the request for the engine; RequestError with the status that rejects it."""
+        headers = dict(request.headers)
+        _check_headers(request, headers)
+        cls = self._request_class(request, headers)
+        request_id = headers.get(b"x-call-id", b"")
+        budget = headers.get(b"x-budget-ms", b"")
+        if not REQUEST_ID_PATTERN.fullmatch(request_id) or not BUDGET_MS_PATTERN.fullmatch(budget):
+            raise RequestError(400)
+        head = _forwarded_head(request)
+        waited_ms = now_ms() - request.arrived_at  # behind other requests of its connection
         return Taken(
             request_id.decode(),
             cls,
             self._tenant(headers.get(b"x-caller")),
-            read_key(headers.get(b"x-route-hash")),
-            float(budget) - (now_ms() - message.arrived),  # less what it waited behind others here
+            parse_affinity_key(headers.get(b"x-route-hash")),
+            float(budget) - waited_ms,
             headers.get(b"x-again") == b"1",
-            read_cost(headers.get(b"x-call-cost", b"")),
-            b"".join(lines),
-            message.body,
-            answer,
-            gone,
+            parse_work_hint_ms(headers.get(b"x-call-cost", b"")),
+            head,
+            request.body,
+            on_response,
+            has_disconnected,
         )
 
+    def _request_class(self, request: HttpRequest, headers: dict[bytes, bytes]) -> int:
+        """Return the index of the class that the path names, once method and body are right for it."""
+        path = request.target.split(b"?", 1)[0]
+        cls = self.wire.classes.get(decode_name(unquote_to_bytes(path.split(b"/")[1])))
+        if cls is None:
+            raise RequestError(404)
+        idempotency = self.settings.classes[cls].idempotency
+        if request.method != (b"GET" if idempotency is Idempotency.IDEMPOTENT else b"POST"):
+            raise RequestError(405)
+        if request.method == b"GET" and request.body:
+            raise RequestError(400)
+        if idempotency is Idempotency.KEYED and not headers.get(b"idempotency-key"):
+            raise RequestError(400)
+        return cls
+
     def _tenant(self, name: bytes | None) -> int:
         if not self.wire.tenants:
             return 0
-        tenant = self.wire.tenants.get(as_name(name or b""))
+        tenant = self.wire.tenants.get(decode_name(name or b""))
         if tenant is None:
-            raise Bad(400)
+            raise RequestError(400)
         return tenant
 
 
-def as_name(raw: bytes) -> str:
-    """A name as the settings have it; what is no UTF-8 is in none of them."""
+def _check_headers(request: HttpRequest, headers: dict[bytes, bytes]) -> None:
+    names = [name for name, _ in request.headers if name in SINGLETON_HEADERS]
+    has_duplicates = len(names) != len(set(names))
+    if has_duplicates or b"host" not in headers or not TARGET_PATTERN.fullmatch(request.target):
+        raise RequestError(400)
+
+
+def _forwarded_head(request: HttpRequest) -> bytes:
+    """Return the request line and headers for a backend, without the empty line at the end."""
+    lines = [b"%b %b HTTP/1.1\r\n" % (request.method, request.target)]
+    for name, value in request.headers:
+        if name in FORWARDED_HEADERS:
+            if not HEADER_VALUE_PATTERN.fullmatch(value):
+                raise RequestError(400)
+            lines.append(b"%b: %b\r\n" % (name, value))
+    if request.method == b"POST":
+        lines.append(b"content-length: %d\r\n" % len(request.body))
+    return b"".join(lines)
+
+
+def decode_name(raw: bytes) -> str:
+    """Return a name as the settings spell it; invalid UTF-8 never equals one of theirs."""
     return raw.decode("utf-8", "replace")
 
 
-def read_cost(value: bytes) -> float:
-    """A guess at the work in microseconds, as milliseconds. What is no number is no guess, and no harm."""
-    return int(value) / 1000 if COST.fullmatch(value) else 0.0
+def parse_work_hint_ms(value: bytes) -> float:
+    """Convert a work hint from microseconds to milliseconds; 0 if it is not a number."""
+    return int(value) / 1000 if WORK_HINT_PATTERN.fullmatch(value) else 0.0
 
 
-def read_key(value: bytes | None) -> int | None:
+def parse_affinity_key(value: bytes | None) -> int | None:
+    """Convert a hexadecimal affinity key; RequestError if it is malformed."""
     if value is None:
         return None
-    if not KEY.fullmatch(value):
-        raise Bad(400)
+    if not AFFINITY_KEY_PATTERN.fullmatch(value):
+        raise RequestError(400)
     return int(value, 16)
--- a/scale/held.py
+++ b/scale/held.py
@@ -25,8 +25,8 @@
 from dunecove.proxy.discovery_client import read_listing
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.gossip import Peers, Tier
-from dunecove.proxy.listener import Frontend
-from dunecove.proxy.request_parser import Reader
+from dunecove.proxy.listener import Listener
+from dunecove.proxy.request_parser import RequestParser
 from dunecove.settings import read_settings, read_wire
 from scale import made
 
@@ -48,13 +48,13 @@
 
 async def classes(count: int, seed: int) -> object:
     info = made.settings(PROXIES, classes=count)
-    return Balancer(read_settings(info), seed), Reader(read_settings(info), read_wire(info))
+    return Balancer(read_settings(info), seed), RequestParser(read_settings(info), read_wire(info))
 
 
 async def tenants(count: int, seed: int) -> object:
     info = made.settings(PROXIES, tenants=count)
     settings = read_settings(info)
-    return Balancer(settings, seed), Reader(settings, read_wire(info))
+    return Balancer(settings, seed), RequestParser(settings, read_wire(info))
 
 
 async def peers(count: int, seed: int) -> object:
@@ -69,9 +69,9 @@
     at = os.environ["SCALE_BACKEND"]
     listing = made.listing(1, [made.entry(number, endpoint=at) for number in range(POOLS)])
     engine.on_list(read_listing(listing, read_wire(info)), ListUpdateKind.SNAPSHOT)
-    frontend = Frontend(engine, Reader(read_settings(info), read_wire(info)), 2000)
-    frontend.listen("127.0.0.1:0")
-    return engine, frontend, frontend.address
+    listener = Listener(engine, RequestParser(read_settings(info), read_wire(info)), 2000)
+    listener.listen("127.0.0.1:0")
+    return engine, listener, listener.address
 
 
 KINDS: dict[str, Callable[[int, int], Any]] = {
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,7 +18,7 @@
 from dunecove.__main__ import Config, start
 from dunecove.proxy.connection_pool import Backends
 from dunecove.proxy.engine import Engine
-from dunecove.proxy.listener import Frontend
+from dunecove.proxy.listener import Listener
 
 LIMIT_S = 60.0  # far beyond what any test needs; only a hang comes near it
 PURCHASE = {
@@ -237,12 +237,12 @@
 
 class Proxy(NamedTuple):
     engine: Engine
-    frontend: Frontend
+    listener: Listener
     backends: list[Peer]
     registry: Peer
 
     async def client(self) -> Client:
-        return await Client.open(self.frontend.address)
+        return await Client.open(self.listener.address)
 
 
 @asynccontextmanager
@@ -254,12 +254,12 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(configuration(registry.address, *targets, **limits)))
-        engine, frontend = start(Config({"LB_CONFIG": str(path)}))
+        engine, listener = start(Config({"LB_CONFIG": str(path)}))
     try:
-        yield Proxy(engine, frontend, peers, registry)
+        yield Proxy(engine, listener, peers, registry)
     finally:
-        await frontend.finish(0.0)
-        for client in list(frontend.clients):
+        await listener.finish_shutdown(0.0)
+        for client in list(listener.slots.connections):
             client.transport.abort()
         engine.close()
         for peer in [*peers, registry]:
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -74,7 +74,7 @@
     async def test() -> None:
         other, address = bound()
         config = with_peers(tmp_path, peer_listen="127.0.0.1:0", peers=[address], peers_all=address)
-        engine, frontend = start(config)
+        engine, listener = start(config)
         assert engine.peers is not None
 
         def step(_: float, events: list[Any]) -> list[Any]:
@@ -87,7 +87,7 @@
         other.sendto(b"\x01efgh", address_of(engine.peers))
         while GossipReceived(0, b"\x01efgh") not in seen:
             await asyncio.sleep(0.001)
-        await frontend.finish(0.0)
+        await listener.finish_shutdown(0.0)
         engine.close()
         other.close()
 
@@ -97,10 +97,10 @@
 def test_an_address_for_peers_that_is_not_to_be_had_leaves_the_proxy_serving(tmp_path: Path) -> None:
     async def test() -> None:
         where = "203.0.113.1:1"
-        engine, frontend = start(with_peers(tmp_path, peer_listen=where, peers=[where], peers_all=where))
-        assert engine.peers is None and frontend.address
+        engine, listener = start(with_peers(tmp_path, peer_listen=where, peers=[where], peers_all=where))
+        assert engine.peers is None and listener.address
         engine._carry_out(SendGossip(b"\x01"))
-        await frontend.finish(0.0)
+        await listener.finish_shutdown(0.0)
         engine.close()
 
     run(test())
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -7,6 +7,8 @@
 
 import pytest
 
+from dunecove.proxy import client_connection as connection_module
+from dunecove.proxy import connection_slots as slots_module
 from dunecove.proxy import listener as listener_module
 from dunecove.proxy.http1 import hung_up, unread
 from tests.loopback import PURCHASE, Call, Client, Proxy, Reply, proxy, request, reset, run, until
@@ -26,12 +28,12 @@
             client = await p.client()
             client.send(x_call_id="c1")
             call = await p.backends[0].calls.get()
-            p.frontend.stop_keeping()
+            p.listener.begin_shutdown()
             call.reply(b"r" * 65536)
-            (inside,) = p.frontend.clients
-            await until(lambda: p.frontend.ending)
+            (inside,) = p.listener.slots.connections
+            await until(lambda: p.listener.slots.lingering)
             client.send(x_call_id="c2")
-            await until(lambda: inside.dropped)
+            await until(lambda: inside.discarded_bytes)
             reply = await client.reply()
             assert (reply.body, reply.headers["connection"]) == (b"r" * 65536, "close")
             assert await client.ended()
@@ -49,14 +51,16 @@
         async with proxy() as p:
             client = await p.client()
             assert (await client.ask("/health/ready", "GET")).status == 200
-            (inside,) = p.frontend.clients
+            (inside,) = p.listener.slots.connections
             inside.transport.pause_reading()  # as if no turn had come yet in which to read
             client.send()
             await until(lambda: unread(inside.transport))
-            p.frontend.most = 1 if place == "full" else 100
-            monkeypatch.setattr(listener_module, "IDLE_FULL_S" if place == "full" else "IDLE_S", -1.0)
-            assert inside in p.frontend.idle
-            p.frontend._sweep()
+            p.listener.slots.limit = 1 if place == "full" else 100
+            monkeypatch.setattr(
+                slots_module, "CROWDED_IDLE_TIMEOUT_S" if place == "full" else "IDLE_TIMEOUT_S", -1.0
+            )
+            assert inside in p.listener.slots.idle
+            p.listener.sweep()
             inside.transport.resume_reading()
             (await p.backends[0].calls.get()).reply()
             assert (await client.reply()).status == 200
@@ -73,7 +77,7 @@
             client.send()
             (await p.backends[0].calls.get()).reply()
             assert (await client.reply()).status == 200
-            (inside,), (kept,) = p.frontend.clients, p.engine.backends.connections
+            (inside,), (kept,) = p.listener.slots.connections, p.engine.backends.connections
             assert kept.transport is not None
             for transport in (inside.transport, kept.transport):
                 sock = transport.get_extra_info("socket")
@@ -85,34 +89,34 @@
 async def slow_reader(p: Proxy, sends: int = 4096, stops: bool = True) -> Client:
     """It has its last answer, and most of that still waits here, unless the kernel takes so much to send."""
     if stops:
-        p.frontend.stop_keeping()
-    host, port = p.frontend.address.split(":")
+        p.listener.begin_shutdown()
+    host, port = p.listener.address.split(":")
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.connect((host, int(port)))
     client = Client(*await asyncio.open_connection(sock=sock, limit=1000))
-    await until(lambda: p.frontend.clients)
-    (inside,) = p.frontend.clients
+    await until(lambda: p.listener.slots.connections)
+    (inside,) = p.listener.slots.connections
     inside.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, sends)
     client.send()
     (await p.backends[0].calls.get()).reply(b"r" * 65536)
-    await until(lambda: p.frontend.ending if stops else p.frontend.idle)
+    await until(lambda: p.listener.slots.lingering if stops else p.listener.slots.idle)
     assert sends > 4096 or inside.transport.get_write_buffer_size()
     return client
 
 
 @pytest.mark.parametrize("at", ["sweep", "cap"])
 def test_who_reads_slowly_gets_its_last_answer_whole(at: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener_module, "LINGER_S", -1.0)
-    monkeypatch.setattr(listener_module, "SPARE_MS", -1000.0)
+    monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", -1.0)
+    monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", -1000.0)
 
     async def test() -> None:
         async with proxy() as p:
             client = await slow_reader(p)
             if at == "sweep":
-                p.frontend._sweep()
+                p.listener.sweep()
             else:
-                assert p.frontend._victim() is None
+                assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
             reply = await client.reply()
             assert reply.body == b"r" * 65536
             assert await client.ended()
@@ -130,28 +134,31 @@
     async def test() -> None:
         async with proxy() as p:
             client = await slow_reader(p, stops=False)
-            (inside,) = p.frontend.idle
+            (inside,) = p.listener.slots.idle
             if how == "idle":
-                monkeypatch.setattr(listener_module, "IDLE_S", -1.0)
-                p.frontend._sweep()
+                monkeypatch.setattr(slots_module, "IDLE_TIMEOUT_S", -1.0)
+                p.listener.sweep()
             elif how == "full":
-                monkeypatch.setattr(listener_module, "IDLE_FULL_S", -1.0)
-                p.frontend.most = 1
+                monkeypatch.setattr(slots_module, "CROWDED_IDLE_TIMEOUT_S", -1.0)
+                p.listener.slots.limit = 1
                 other = await p.client()
                 other.send("/health/ready", "GET")
-                while p.frontend.accepting:  # no place is to be had while its answer may yet be read
+                while p.listener.is_accepting:  # no place is to be had while its answer may yet be read
                     await asyncio.sleep(0.001)
-                assert p.frontend._victim() is None and p.frontend.held == 1
+                assert (
+                    p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
+                    and p.listener.slots.used == 1
+                )
                 p.engine.longest_ms = -1000.0
                 assert (await other.reply()).status == 200
             else:
                 client.writer.write_eof()
             await until(lambda: inside.transport.is_closing())
-            assert how == "full" or inside in p.frontend.clients
-            monkeypatch.setattr(listener_module, "LINGER_S", -1.0)
-            monkeypatch.setattr(listener_module, "READ_S", -1.0)
-            p.frontend._sweep()
-            await until(lambda: inside not in p.frontend.clients)
+            assert how == "full" or inside in p.listener.slots.connections
+            monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", -1.0)
+            monkeypatch.setattr(connection_module, "LINGER_READ_TIMEOUT_S", -1.0)
+            p.listener.sweep()
+            await until(lambda: inside not in p.listener.slots.connections)
 
     run(test())
 
@@ -161,21 +168,21 @@
     at: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Closed over them it would be reset, with all that its client has not been sent yet."""
-    monkeypatch.setattr(listener_module, "SPARE_MS", -1000.0)
+    monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", -1000.0)
 
     async def test() -> None:
         async with proxy() as p:
             client = await slow_reader(p, sends=4_000_000)
-            (inside,) = p.frontend.ending
+            (inside,) = p.listener.slots.lingering
             assert not inside.transport.get_write_buffer_size()  # the kernel has it
             inside.transport.pause_reading()  # as if no turn had come yet in which to read
             client.send(x_call_id="c2")
             await until(lambda: unread(inside.transport))
             if at == "sweep":
-                monkeypatch.setattr(listener_module, "LINGER_S", -1.0)
-                p.frontend._sweep()
+                monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", -1.0)
+                p.listener.sweep()
             else:
-                assert p.frontend._victim() is None
+                assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
             inside.transport.resume_reading()
             assert (await client.reply()).body == b"r" * 65536
             assert await client.ended()
@@ -190,11 +197,11 @@
     async def test() -> None:
         async with proxy() as p:
             await slow_reader(p)
-            (inside,) = p.frontend.ending
-            p.frontend.ending[inside] -= 100_000.0
-            assert p.frontend._victim() is inside
-            p.frontend._sweep()
-            await until(lambda: not p.frontend.clients)
+            (inside,) = p.listener.slots.lingering
+            p.listener.slots.lingering[inside] -= 100_000.0
+            assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is inside
+            p.listener.sweep()
+            await until(lambda: not p.listener.slots.connections)
 
     run(test())
 
@@ -203,15 +210,15 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Sent on, it could not be answered any more."""
-    monkeypatch.setattr(listener_module, "LAST_WORDS_S", 5.0)
+    monkeypatch.setattr(listener_module, "FINAL_RESPONSE_TIMEOUT_S", 5.0)
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             sent = request()
             client.writer.write(sent[:-2])
-            await until(lambda: any(inside.begun for inside in p.frontend.clients))
-            p.frontend.stop_keeping()
+            await until(lambda: any(inside.reader.is_mid_request for inside in p.listener.slots.connections))
+            p.listener.begin_shutdown()
             give_up = p.engine.give_up
 
             def rest_comes_then() -> None:
@@ -219,7 +226,7 @@
                 client.writer.write(sent[-2:])
 
             monkeypatch.setattr(p.engine, "give_up", rest_comes_then)
-            await p.frontend.finish(0.0)
+            await p.listener.finish_shutdown(0.0)
             reply = await client.reply()
             assert (reply.status, reply.headers["connection"]) == (503, "close")
             assert p.backends[0].calls.empty() and not p.engine.requests
@@ -234,7 +241,7 @@
             client.send(x_call_id="c1", connection="close")
             call = await p.backends[0].calls.get()
             client.send(x_call_id="c2")
-            await until(lambda: any(inside.closing for inside in p.frontend.clients))
+            await until(lambda: any(inside.is_closing for inside in p.listener.slots.connections))
             call.reply()
             assert (await client.reply()).status == 200
             assert await client.ended()
@@ -247,22 +254,22 @@
 
 
 def test_noise_without_end_behind_a_request_does_not_take_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener_module, "LINGER_BYTES", 1000)
+    monkeypatch.setattr(connection_module, "MAX_LINGER_BYTES", 1000)
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send()
             call = await p.backends[0].calls.get()
-            (inside,) = p.frontend.clients
+            (inside,) = p.listener.slots.connections
             client.writer.write(b"\x16\x03 no request\r\n\r\n")
-            await until(lambda: inside.closing)
+            await until(lambda: inside.is_closing)
             client.writer.write(b"x" * 100_000)
-            await until(lambda: unread(inside.transport) or inside not in p.frontend.clients)
+            await until(lambda: unread(inside.transport) or inside not in p.listener.slots.connections)
             call.reply(b"owed")
             assert (await client.reply()).body == b"owed"
             assert (await client.reply()).status == 400
-            await until(lambda: not p.frontend.clients)
+            await until(lambda: not p.listener.slots.connections)
             client.close()
 
     run(test())
@@ -367,17 +374,17 @@
 
 
 def test_a_request_and_its_answer_may_come_a_byte_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener_module, "WHOLE_S", 1000.0)  # however slow this machine is
+    monkeypatch.setattr(slots_module, "REQUEST_TIMEOUT_S", 1000.0)  # however slow this machine is
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            await until(lambda: p.frontend.clients)
-            (inside,) = p.frontend.clients
+            await until(lambda: p.listener.slots.connections)
+            (inside,) = p.listener.slots.connections
             sent = request(body=b"by and by")
             for place in range(len(sent) - 1):
                 client.writer.write(sent[place : place + 1])
-                await until(lambda place=place: inside._size == place + 1)  # type: ignore[misc]
+                await until(lambda place=place: inside.reader.size_bytes == place + 1)  # type: ignore[misc]
             assert p.backends[0].connections == 0
             client.writer.write(sent[-1:])
             call = await p.backends[0].calls.get()
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -32,6 +32,9 @@
 )
 from dunecove.policy.models import AttemptResult
 from dunecove.policy.settings import Settings
+from dunecove.proxy import client_connection as connection_module
+from dunecove.proxy import connection_slots as slots_module
+from dunecove.proxy import disconnect_watcher as watcher_module
 from dunecove.proxy import engine as engine_module
 from dunecove.proxy import listener as listener_module
 from dunecove.proxy import request_parser as request_parser_module
@@ -243,7 +246,9 @@
     for name in ids:
         client.send(x_call_id=name)
     for number in range(2):
-        client.send(x_call_id=f"{ids[-1]}-long-{number}", body=b"x" * listener_module.PIPELINED_BYTES)
+        client.send(
+            x_call_id=f"{ids[-1]}-long-{number}", body=b"x" * connection_module.MAX_PIPELINED_SMALL_BYTES
+        )
 
 
 def test_a_client_that_leaves_is_noticed_while_its_connection_is_not_read(script: type[Script]) -> None:
@@ -252,11 +257,11 @@
         async with proxy() as p:
             client = await p.client()
             sent_ahead(client, "c1", "c2", "c3")
-            await until(lambda: p.frontend.paused)
+            await until(lambda: p.listener.disconnects.paused)
             client.close()
             await until(lambda: events(ClientDisconnected))
             assert events(ClientDisconnected) == [ClientDisconnected("c1")]
-            await until(lambda: not p.frontend.clients)
+            await until(lambda: not p.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
 
     run(test())
@@ -265,7 +270,7 @@
 def test_hundreds_of_connections_that_are_not_read_cost_one_question(
     script: type[Script], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(listener_module, "PAUSED_LOOK_S", 1000.0)  # the test gives the word
+    monkeypatch.setattr(watcher_module, "DISCONNECT_POLL_S", 1000.0)  # the test gives the word
     polls, poll = [], select.poll
 
     def counted() -> Any:
@@ -277,20 +282,20 @@
             clients = [await p.client() for _ in range(300)]
             for number, client in enumerate(clients):
                 sent_ahead(client, f"{number}-1", f"{number}-2", f"{number}-3")
-            await until(lambda: len(p.frontend.paused) == len(clients))
+            await until(lambda: len(p.listener.disconnects.paused) == len(clients))
             for client in clients[::3]:
                 client.writer.transport.abort()
-            inside = list(p.frontend.paused)
+            inside = list(p.listener.disconnects.paused)
             await until(lambda: sum(hung_up(one.transport) for one in inside) == 100)
             with monkeypatch.context() as patch:
                 patch.setattr(select, "poll", counted)
-                p.frontend._look_at_paused()
+                p.listener.disconnects.poll()
             assert len(polls) == 1
-            await until(lambda: len(p.frontend.clients) == 200)
+            await until(lambda: len(p.listener.slots.connections) == 200)
             await until(lambda: not p.engine.events)  # the module hears of them a turn later
             assert {e.request_id for e in events(ClientDisconnected)} == {f"{n}-1" for n in range(0, 300, 3)}
-            assert len(p.frontend.paused) == 200 and p.frontend.looker is not None
-            p.frontend.looker.cancel()
+            assert len(p.listener.disconnects.paused) == 200 and p.listener.disconnects.poll_timer is not None
+            p.listener.disconnects.poll_timer.cancel()
 
     run(test())
 
@@ -298,7 +303,9 @@
 def test_what_waited_behind_another_is_not_taken_once_its_client_has_left(
     script: type[Script], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(listener_module, "PAUSED_LOOK_S", 1000.0)  # this test is about the moment of taking
+    monkeypatch.setattr(
+        watcher_module, "DISCONNECT_POLL_S", 1000.0
+    )  # this test is about the moment of taking
     script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
@@ -306,12 +313,12 @@
             client = await p.client()
             sent_ahead(client, "c1", "c2", "c3")
             call = await p.backends[0].calls.get()
-            await until(lambda: p.frontend.paused)
-            (inside,) = p.frontend.clients
+            await until(lambda: p.listener.disconnects.paused)
+            (inside,) = p.listener.slots.connections
             client.close()
             await until(lambda: hung_up(inside.transport))
             call.reply()
-            await until(lambda: not p.frontend.clients)
+            await until(lambda: not p.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
             assert p.backends[0].calls.empty()
 
@@ -325,14 +332,14 @@
             client = await p.client()
             client.send()
             await until(lambda: events(RequestArrived))
-            (inside,) = p.frontend.clients
+            (inside,) = p.listener.slots.connections
             size = 0
             while inside.transport.get_write_buffer_size() == 0 or size < 8_000_000:
                 inside.transport.write(b"x" * 1_000_000)
                 size += 1_000_000
             client.writer.write_eof()
             await until(lambda: events(ClientDisconnected))
-            assert p.frontend.clients
+            assert p.listener.slots.connections
 
     run(test())
 
@@ -342,7 +349,7 @@
 
     async def test() -> None:
         async with proxy() as p:
-            host, port = p.frontend.address.split(":")
+            host, port = p.listener.address.split(":")
             with socket.create_connection((host, int(port))) as client:
                 client.sendall(request())
             # No turn of the loop has been since: it finds the connection, its request and its end at once.
@@ -352,7 +359,7 @@
             assert call.headers["x-call-id"] == "other" and p.backends[0].calls.empty()
             call.reply()
             assert (await other.reply()).status == 200
-            await until(lambda: len(p.frontend.clients) == 1 and not p.engine.requests)
+            await until(lambda: len(p.listener.slots.connections) == 1 and not p.engine.requests)
             assert p.backends[0].connections == 1
 
     run(test())
@@ -399,7 +406,7 @@
 
 async def leave_unseen(p: Proxy, client: Client, how: str) -> None:
     """The client leaves, and the loop is not told: as if it had been too busy to come to it since."""
-    (inside,) = p.frontend.clients
+    (inside,) = p.listener.slots.connections
     inside.transport.pause_reading()
     if how == "half-close":
         client.writer.write_eof()
@@ -437,7 +444,9 @@
             await until(lambda: len(events(AttemptEnded)) == 1 + further)
             assert events(AttemptEnded)[-1][:3] == ("c1", int(further), AttemptResult.WITHDRAWN)
             await until(
-                lambda: events(ClientDisconnected) and not p.engine.requests and not p.frontend.clients
+                lambda: (
+                    events(ClientDisconnected) and not p.engine.requests and not p.listener.slots.connections
+                )
             )
             assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].calls.empty()
             assert p.backends[0].connections == int(further)
@@ -516,7 +525,7 @@
     script: type[Script], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """However many lie before them: one that is parsed only when another has ended waited all that time."""
-    monkeypatch.setattr(listener_module, "PIECE", 100)
+    monkeypatch.setattr(connection_module, "PARSE_CHUNK_BYTES", 100)
 
     async def test() -> None:
         async with proxy() as p:
@@ -553,13 +562,13 @@
 
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.most = 1
+            p.listener.slots.limit = 1
             first, second = await p.client(), await p.client()
             first.send(x_call_id="c1", connection="close")
             call = await p.backends[0].calls.get()
             second.send(x_call_id="c2", x_budget_ms="9000")
             sent = now_ms()
-            await until(lambda: not p.frontend.accepting)
+            await until(lambda: not p.listener.is_accepting)
             await asyncio.sleep(0.5)
             call.reply()
             assert (await first.reply()).status == 200
@@ -577,9 +586,9 @@
 ) -> None:
     """Or from when it came, where the kernel tells."""
     clock = [0.0]
-    monkeypatch.setattr(listener_module, "last_arrival_ms", lambda _: clock[0] if told else None)
-    monkeypatch.setattr(listener_module, "now_ms", lambda: now_ms() + clock[0])
-    monkeypatch.setattr(request_parser_module, "now_ms", lambda: now_ms() + clock[0])
+    monkeypatch.setattr(connection_module, "last_arrival_ms", lambda _: clock[0] if told else None)
+    for module in (connection_module, listener_module, request_parser_module, slots_module):
+        monkeypatch.setattr(module, "now_ms", lambda: now_ms() + clock[0])
     script.act = each(
         RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)] * (e.request_id == "c1")
     )
@@ -589,8 +598,8 @@
             client = await p.client()
             sent_ahead(client, "c1", "c2", "c3")
             call = await p.backends[0].calls.get()
-            await until(lambda: p.frontend.paused)
-            (inside,) = p.frontend.clients
+            await until(lambda: p.listener.disconnects.paused)
+            (inside,) = p.listener.slots.connections
             client.send(x_call_id="late", x_budget_ms="9000")
             await until(lambda: unread(inside.transport))
             clock[0] = 5000.0
@@ -600,7 +609,7 @@
             for _ in range(6):
                 await client.reply()
             assert [e.request_id for e in events(RequestArrived)] == ["c1", "c2"]
-            assert inside.paused_at == 0.0 and inside.arrived < now_ms() + 2500.0
+            assert inside.paused_since == 0.0 and inside.reader.arrived_at < now_ms() + 2500.0
 
     run(test())
 
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -8,8 +8,9 @@
 
 import pytest
 
+from dunecove.proxy import client_connection as connection_module
+from dunecove.proxy import connection_slots as slots_module
 from dunecove.proxy import engine as engine_module
-from dunecove.proxy import listener as listener_module
 from dunecove.proxy.http1 import unread
 from tests.loopback import Client, Proxy, proxy, request, run
 
@@ -200,7 +201,7 @@
             client.send(x_call_id="c0")
             client.send(x_call_id="c1")
             call = await p.backends[0].calls.get()
-            p.frontend.stop_keeping()
+            p.listener.begin_shutdown()
             call.reply(b"0")
             assert (await client.reply()).body == b"0"
             (await p.backends[0].calls.get()).reply(b"1")
@@ -269,7 +270,7 @@
 def test_a_client_gets_its_answer_while_it_still_sends_what_nobody_reads(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listener_module, "LINGER_S", 30.0)
+    monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", 30.0)
 
     def ask(address: str) -> bytes:
         host, port = address.split(":")
@@ -280,7 +281,7 @@
 
     async def test() -> None:
         async with proxy() as p:
-            assert (await asyncio.to_thread(ask, p.frontend.address)).startswith(b"HTTP/1.1 413 ")
+            assert (await asyncio.to_thread(ask, p.listener.address)).startswith(b"HTTP/1.1 413 ")
 
     run(test())
 
@@ -288,7 +289,7 @@
 def test_at_the_cap_the_connection_idle_for_longest_makes_room() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.most = 2
+            p.listener.slots.limit = 2
             busy, idle = await p.client(), await p.client()
             busy.send()
             call = await p.backends[0].calls.get()
@@ -305,25 +306,25 @@
 def test_without_a_descriptor_for_a_new_client_an_idle_one_makes_room(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listener_module, "IDLE_S", 10_000.0)  # not because it has been idle for long
+    monkeypatch.setattr(slots_module, "IDLE_TIMEOUT_S", 10_000.0)  # not because it has been idle for long
 
     async def test() -> None:
         async with proxy() as p:
             idle = await p.client()
             assert (await idle.ask("/health/ready", "GET")).status == 200
-            assert p.frontend.sock is not None
-            sock: socket.socket = p.frontend.sock
+            assert p.listener.sock is not None
+            sock: socket.socket = p.listener.sock
 
             class Lacking:
                 def accept(self) -> tuple[socket.socket, object]:
-                    if p.frontend.held:
+                    if p.listener.slots.used:
                         raise OSError(errno.EMFILE, "Too many open files")
                     return sock.accept()
 
                 def __getattr__(self, name: str) -> object:
                     return getattr(sock, name)
 
-            monkeypatch.setattr(p.frontend, "sock", Lacking())
+            monkeypatch.setattr(p.listener, "sock", Lacking())
             new = await p.client()
             new.send("/health/ready", "GET")
             assert await idle.ended()
@@ -336,24 +337,24 @@
     # Closed to make room, each kept its descriptor, and the new one had another: there was no end to them.
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.most = 3
+            p.listener.slots.limit = 3
             clients = [await p.client() for _ in range(3)]
             for client in clients:
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
                 client.send("/health/ready", "GET")
-            while len(p.frontend.idle) < 3:
+            while len(p.listener.slots.idle) < 3:
                 await asyncio.sleep(0.001)
-            for held in p.frontend.clients:
+            for held in p.listener.slots.connections:
                 while not held.transport.get_write_buffer_size():
                     held.transport.write(b"x" * 60_000)
             last = await p.client()
             last.send("/health/ready", "GET")
-            while p.frontend.accepting:
-                assert p.frontend.held == 3
+            while p.listener.is_accepting:
+                assert p.listener.slots.used == 3
                 await asyncio.sleep(0.001)
             p.engine.longest_ms = -1000.0  # what they have not read by now is lost
             assert (await last.reply()).status == 200
-            assert p.frontend.held <= 3
+            assert p.listener.slots.used <= 3
 
     run(test())
 
@@ -361,13 +362,13 @@
 def test_at_the_cap_with_all_busy_the_next_client_waits_its_turn() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.most = 1
+            p.listener.slots.limit = 1
             busy = await p.client()
             busy.send()
             call = await p.backends[0].calls.get()
             waiting = await p.client()
             waiting.send("/health/ready", "GET")
-            while p.frontend.accepting:
+            while p.listener.is_accepting:
                 await asyncio.sleep(0.001)
             call.reply()
             assert (await busy.reply()).status == 200
@@ -378,7 +379,7 @@
 
 def test_a_request_that_never_comes_in_whole_loses_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     # Also one of which a byte comes now and then, and one that comes on a connection kept from before.
-    monkeypatch.setattr(listener_module, "WHOLE_S", 0.02)
+    monkeypatch.setattr(slots_module, "REQUEST_TIMEOUT_S", 0.02)
 
     async def test() -> None:
         async with proxy() as p:
@@ -402,11 +403,11 @@
             client = await p.client()
             for byte in (b"G", b"E", b"T"):
                 client.writer.write(byte)
-                while not p.frontend.waiting:
+                while not p.listener.slots.awaiting_request:
                     await asyncio.sleep(0.001)
-                since = next(iter(p.frontend.waiting.values()))
+                since = next(iter(p.listener.slots.awaiting_request.values()))
                 await asyncio.sleep(0.01)
-                assert next(iter(p.frontend.waiting.values())) == since
+                assert next(iter(p.listener.slots.awaiting_request.values())) == since
 
     run(test())
 
@@ -414,14 +415,14 @@
 def test_at_the_cap_a_silent_connection_goes_before_one_that_was_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listener_module, "SPARE_MS", 0.0)
+    monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", 0.0)
 
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.most = 2
+            p.listener.slots.limit = 2
             used, silent = await p.client(), await p.client()
             assert (await used.ask("/health/ready", "GET")).status == 200
-            while len(p.frontend.waiting) != 1:
+            while len(p.listener.slots.awaiting_request) != 1:
                 await asyncio.sleep(0.001)
             third = await p.client()
             assert (await third.ask("/health/ready", "GET")).status == 200
@@ -432,11 +433,11 @@
 
 
 def test_idle_connections_do_not_pile_up_to_the_cap(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener_module, "IDLE_FULL_S", 0.02)
+    monkeypatch.setattr(slots_module, "CROWDED_IDLE_TIMEOUT_S", 0.02)
 
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.most = 3
+            p.listener.slots.limit = 3
             first, second = await p.client(), await p.client()
             for client in (first, second):
                 assert (await client.ask("/health/ready", "GET")).status == 200
@@ -480,7 +481,9 @@
             client = await p.client()
             for _ in range(500):
                 client.send("/unknown")
-            statuses = [(await client.reply()).status for _ in range(listener_module.BAD_IN_A_ROW)]
+            statuses = [
+                (await client.reply()).status for _ in range(connection_module.MAX_CONSECUTIVE_ERRORS)
+            ]
             assert set(statuses) == {404}
             assert await client.ended()
 
@@ -505,8 +508,8 @@
 
 def test_what_is_sent_after_the_last_answer_is_read_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     # 60 MB sent at full speed must not cost the time of the other clients.
-    monkeypatch.setattr(listener_module, "LINGER_S", 1000.0)
-    monkeypatch.setattr(listener_module, "LINGER_BYTES", 100_000)
+    monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", 1000.0)
+    monkeypatch.setattr(connection_module, "MAX_LINGER_BYTES", 100_000)
 
     async def test() -> None:
         async with proxy() as p:
@@ -514,7 +517,7 @@
             client.writer.write(b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 60000000\r\n\r\n")
             assert (await client.reply()).status == 413
             client.writer.write(b"x" * 60_000_000)
-            while p.frontend.clients:
+            while p.listener.slots.connections:
                 await asyncio.sleep(0.001)
 
     run(test())
@@ -527,12 +530,12 @@
             busy.send()
             assert (await idle.ask("/health/ready", "GET")).status == 200
             call = await p.backends[0].calls.get()
-            p.frontend.stop_keeping()
-            late = await Client.open(p.frontend.address)
+            p.listener.begin_shutdown()
+            late = await Client.open(p.listener.address)
             reply = await late.ask("/health/ready", "GET")
             assert (reply.status, reply.headers["connection"]) == (503, "close")
             late.close()
-            ended = asyncio.create_task(p.frontend.finish(30.0))
+            ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
             assert await idle.ended()
             assert not ended.done()
             call.reply(b"last")
@@ -553,15 +556,15 @@
     async def test() -> None:
         async with proxy() as p:
             first = await p.client()
-            p.frontend.stop_keeping()
+            p.listener.begin_shutdown()
             await first.ask("/health/ready", "GET")
             first.close()
-            while p.frontend.held:
+            while p.listener.slots.used:
                 await asyncio.sleep(0)
             last = await p.client()
             last.send()
             call = await p.backends[0].calls.get()
-            ended = asyncio.create_task(p.frontend.finish(30.0))
+            ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
             await asyncio.sleep(0)
             assert not ended.done()
             call.reply(b"last")
@@ -574,7 +577,7 @@
 
 def in_the_kernel(p: Proxy, number: int) -> socket.socket:
     """A request that no turn of the loop has seen: its connection waits to be accepted."""
-    host, port = p.frontend.address.split(":")
+    host, port = p.listener.address.split(":")
     sock = socket.create_connection((host, int(port)))
     sock.sendall(request(x_call_id=f"k{number}"))
     sock.setblocking(False)
@@ -587,11 +590,11 @@
 
     async def test() -> None:
         async with proxy() as p:
-            p.frontend.most = most
+            p.listener.slots.limit = most
             loop = asyncio.get_running_loop()
-            p.frontend.stop_keeping()
+            p.listener.begin_shutdown()
             waiting = [in_the_kernel(p, number) for number in range(40)]
-            ended = asyncio.create_task(p.frontend.finish(30.0))
+            ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
             for _ in waiting:
                 (await p.backends[0].calls.get()).reply(b"served")
             for sock in waiting:
@@ -613,10 +616,10 @@
             client.send(x_call_id="c2")
             call = await p.backends[0].calls.get()
             half.writer.write(request(x_call_id="c3")[:-10])
-            while not any(inside.begun for inside in p.frontend.clients):
+            while not any(inside.reader.is_mid_request for inside in p.listener.slots.connections):
                 await asyncio.sleep(0.001)
-            p.frontend.stop_keeping()
-            ended = asyncio.create_task(p.frontend.finish(0.0))
+            p.listener.begin_shutdown()
+            ended = asyncio.create_task(p.listener.finish_shutdown(0.0))
             first, second = await client.reply(), await client.reply()
             assert [first.status, second.status] == [504, 504]
             assert "connection" not in first.headers and second.headers["connection"] == "close"
@@ -632,16 +635,16 @@
 def test_a_new_connection_gets_a_moment_to_ask_while_the_proxy_stops(
     young: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(listener_module, "SPARE_MS", 100_000.0 if young else -1.0)
+    monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", 100_000.0 if young else -1.0)
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            while not p.frontend.waiting:
+            while not p.listener.slots.awaiting_request:
                 await asyncio.sleep(0.001)
-            p.frontend.stop_keeping()
-            ended = asyncio.create_task(p.frontend.finish(30.0))
-            while p.frontend.sock is not None:
+            p.listener.begin_shutdown()
+            ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
+            while p.listener.sock is not None:
                 await asyncio.sleep(0.001)
             if young:
                 client.send()
@@ -660,8 +663,8 @@
             client = await p.client()
             client.send(x_call_id="c1")
             call = await p.backends[0].calls.get()
-            p.frontend.stop_keeping()
-            (inside,) = p.frontend.clients
+            p.listener.begin_shutdown()
+            (inside,) = p.listener.slots.connections
             inside.transport.pause_reading()  # as if no turn had come yet in which to read
             client.send(x_call_id="c2")
             while not unread(inside.transport):
@@ -700,18 +703,18 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            while not p.frontend.waiting:
+            while not p.listener.slots.awaiting_request:
                 await asyncio.sleep(0.001)
-            (inside,) = p.frontend.clients
+            (inside,) = p.listener.slots.connections
             inside.transport.pause_reading()  # as if no turn had come yet in which to read
             client.send()
             while not unread(inside.transport):
                 await asyncio.sleep(0.001)
-            p.frontend.waiting[inside] -= 10_000.0
+            p.listener.slots.awaiting_request[inside] -= 10_000.0
             if closes == "late":
-                inside.late()
+                inside.time_out_request()
             else:
-                p.frontend._close_unasked()
+                p.listener.close_between_requests()
             inside.transport.resume_reading()
             (await p.backends[0].calls.get()).reply()
             assert (await client.reply()).status == 200
@@ -725,14 +728,14 @@
         async with proxy() as p:
             client = await p.client()
             assert (await client.ask("/health/ready", "GET")).status == 200
-            (inside,) = p.frontend.clients
-            p.frontend.idle[inside] -= 100_000.0
-            assert p.frontend._victim() is inside
+            (inside,) = p.listener.slots.connections
+            p.listener.slots.idle[inside] -= 100_000.0
+            assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is inside
             inside.transport.pause_reading()  # as if no turn had come yet in which to read
             client.send()
             while not unread(inside.transport):
                 await asyncio.sleep(0.001)
-            assert p.frontend._victim() is None
+            assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
             inside.transport.resume_reading()
             (await p.backends[0].calls.get()).reply()
             assert (await client.reply()).status == 200
