--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -50,7 +50,7 @@
     writer.transport.abort()
 
 
-class Reply(NamedTuple):
+class ReceivedResponse(NamedTuple):
     status: int
     headers: dict[str, str]
     body: bytes
@@ -61,7 +61,7 @@
     return first, {k.lower(): v for k, v in (line.split(": ", 1) for line in lines)}
 
 
-class Call(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A request that a peer has read; the test answers it."""
 
     line: str
@@ -77,16 +77,16 @@
         self.writer.write(head.encode() + body)
 
 
-class Peer:
+class ScriptedServer:
     """A server that puts each request it reads into `calls`."""
 
     def __init__(self) -> None:
-        self.calls: asyncio.Queue[Call] = asyncio.Queue()
+        self.calls: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.address = ""
 
-    async def open(self, sock: socket.socket | None = None) -> Peer:
+    async def open(self, sock: socket.socket | None = None) -> ScriptedServer:
         """On a free address, or on that of a socket that has one and refuses so far."""
         if sock is None:
             self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -103,7 +103,7 @@
             while True:
                 line, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                await self.calls.put(Call(line, headers, body, writer, connection, closed))
+                await self.calls.put(ReceivedRequest(line, headers, body, writer, connection, closed))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
             closed.set()
@@ -144,12 +144,14 @@
     ) -> None:
         self.writer.write(request(path, method, body=body, **headers))
 
-    async def reply(self) -> Reply:
+    async def reply(self) -> ReceivedResponse:
         line, headers = await read_head(self.reader)
         body = await self.reader.readexactly(int(headers["content-length"]))
-        return Reply(int(line.split()[1]), headers, body)
+        return ReceivedResponse(int(line.split()[1]), headers, body)
 
-    async def ask(self, path: str = "/answer", method: str = "POST", **headers: str | None) -> Reply:
+    async def ask(
+        self, path: str = "/answer", method: str = "POST", **headers: str | None
+    ) -> ReceivedResponse:
         self.send(path, method, body=b"", **headers)
         return await self.reply()
 
@@ -214,7 +216,7 @@
     return {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | {"LB_CONFIG": str(path)}
 
 
-class Gate:
+class ConnectGate:
     """Stands in for the loop of the connections to backends: each comes up only once the test says so."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -229,8 +231,8 @@
         return await self.connect(*args)
 
     @staticmethod
-    def of(backends: Backends) -> Gate:
-        gate = Gate(backends.loop)
+    def of(backends: Backends) -> ConnectGate:
+        gate = ConnectGate(backends.loop)
         backends.loop = cast(asyncio.AbstractEventLoop, gate)
         return gate
 
@@ -238,8 +240,8 @@
 class Proxy(NamedTuple):
     engine: Engine
     listener: Listener
-    backends: list[Peer]
-    registry: Peer
+    backends: list[ScriptedServer]
+    registry: ScriptedServer
 
     async def client(self) -> Client:
         return await Client.open(self.listener.address)
@@ -248,8 +250,8 @@
 @asynccontextmanager
 async def proxy(backends: int = 1, **limits: Any) -> AsyncIterator[Proxy]:
     """The whole proxy in this process, with its peers; nobody answers at the registry but the test."""
-    peers = [await Peer().open() for _ in range(backends)]
-    registry = await Peer().open()
+    peers = [await ScriptedServer().open() for _ in range(backends)]
+    registry = await ScriptedServer().open()
     targets = [target(f"s{number}", peer.address) for number, peer in enumerate(peers)]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -11,12 +11,23 @@
 from dunecove.proxy import connection_slots as slots_module
 from dunecove.proxy import listener as listener_module
 from dunecove.proxy.http1 import hung_up, unread
-from tests.loopback import PURCHASE, Call, Client, Proxy, Reply, proxy, request, reset, run, until
+from tests.loopback import (
+    PURCHASE,
+    Client,
+    Proxy,
+    ReceivedRequest,
+    ReceivedResponse,
+    proxy,
+    request,
+    reset,
+    run,
+    until,
+)
 
 OK = b"HTTP/1.1 200 OK\r\n"
 
 
-async def next_call(p: Proxy) -> Call:
+async def next_call(p: Proxy) -> ReceivedRequest:
     """The next request that any backend reads."""
     await until(lambda: any(not peer.calls.empty() for peer in p.backends))
     return next(peer.calls.get_nowait() for peer in p.backends if not peer.calls.empty())
@@ -327,7 +338,7 @@
 NO_LENGTH = [OK + b"connection: close\r\n\r\nto the end", b"HTTP/1.0 200 OK\r\n\r\nto the end"]
 
 
-async def broken_off(p: Proxy, sent: bytes, how: str) -> Reply:
+async def broken_off(p: Proxy, sent: bytes, how: str) -> ReceivedResponse:
     """What a client gets for an answer that came to its end, or to a reset, while the loop was busy."""
     client = await p.client()
     client.send()
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -18,7 +18,7 @@
 from dunecove.proxy.connection_pool import Attempt, Backends
 from dunecove.proxy.discovery_client import Target
 from dunecove.proxy.http1 import Response, unread
-from tests.loopback import Gate, Peer, reset, run
+from tests.loopback import ConnectGate, ScriptedServer, reset, run
 
 HEAD = b"POST /answer HTTP/1.1\r\nhost: b\r\n"
 
@@ -26,7 +26,7 @@
 class Tries:
     """Backends with one uid `s`, and the outcomes of what was started there."""
 
-    def __init__(self, peer: Peer, connect_ms: float, idle_ms: float, most: int) -> None:
+    def __init__(self, peer: ScriptedServer, connect_ms: float, idle_ms: float, most: int) -> None:
         self.pool = Backends(connect_ms, idle_ms, most)
         self.outcomes: asyncio.Queue[tuple[AttemptResult, Response | None]] = asyncio.Queue()
         self.list(target("s", peer.address))
@@ -47,7 +47,7 @@
     async def result(self) -> AttemptResult:
         return (await self.outcomes.get())[0]
 
-    async def served(self, peer: Peer, uid: str = "s") -> int:
+    async def served(self, peer: ScriptedServer, uid: str = "s") -> int:
         """One attempt served; the number of the connection that carried it."""
         await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)  # those kept may be lent again
         self.start(uid)
@@ -67,8 +67,8 @@
 @asynccontextmanager
 async def tries(
     connect_ms: float = 20000.0, idle_ms: float = 60000.0, most: int = 100
-) -> AsyncIterator[tuple[Tries, Peer]]:
-    peer = await Peer().open()
+) -> AsyncIterator[tuple[Tries, ScriptedServer]]:
+    peer = await ScriptedServer().open()
     attempts = Tries(peer, connect_ms, idle_ms, most)
     try:
         yield attempts, peer
@@ -415,7 +415,7 @@
 
     async def test() -> None:
         async with tries() as (attempts, peer):
-            gate = Gate.of(attempts.pool)
+            gate = ConnectGate.of(attempts.pool)
             attempts.start(within_ms=30.0)
             comes_up = await gate.knocks.get()
             assert await attempts.result() is AttemptResult.CONNECT_FAILED
@@ -436,7 +436,7 @@
 
     async def test() -> None:
         async with tries() as (attempts, peer):
-            gate = Gate.of(attempts.pool)
+            gate = ConnectGate.of(attempts.pool)
             attempt = attempts.start(within_ms=20000.0)
             comes_up = await gate.knocks.get()
             setattr(attempt, until, now_ms() - 1.0)
@@ -591,7 +591,7 @@
 def test_idle_connections_go_with_the_process_behind_them(change: str) -> None:
     async def test() -> None:
         async with tries() as (attempts, peer):
-            other = await Peer().open()
+            other = await ScriptedServer().open()
             news = {
                 "drains": [target("s", peer.address, BackendState.DRAINING)],
                 "leaves": [target("s", peer.address, BackendState.REMOVED)],
@@ -660,7 +660,7 @@
 def test_at_the_cap_an_idle_connection_elsewhere_makes_room() -> None:
     async def test() -> None:
         async with tries(most=2) as (attempts, peer):
-            other = await Peer().open()
+            other = await ScriptedServer().open()
             attempts.list(target("s", peer.address), target("t", other.address))
             await attempts.served(peer)
             attempts.start("t")
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -20,7 +20,7 @@
 from dunecove.proxy import discovery_client as discovery_client_module
 from dunecove.proxy.discovery_client import MIB, Discovery, Listing
 from dunecove.settings import Wire
-from tests.loopback import Call, Peer, listing, proxy, run, target
+from tests.loopback import ReceivedRequest, ScriptedServer, listing, proxy, run, target
 from tests.support import Driver, fleet, of, settings
 
 ADDRESS = "127.0.0.9:80"
@@ -35,8 +35,8 @@
 
 
 @asynccontextmanager
-async def watching() -> AsyncIterator[tuple[Heard, Peer]]:
-    peer = await Peer().open()
+async def watching() -> AsyncIterator[tuple[Heard, ScriptedServer]]:
+    peer = await ScriptedServer().open()
     heard = Heard(peer.address)
     heard.discovery.watch()
     try:
@@ -46,7 +46,7 @@
         peer.close()
 
 
-def reply(call: Call, what: Any) -> None:
+def reply(call: ReceivedRequest, what: Any) -> None:
     call.reply(json.dumps(what).encode())
 
 
@@ -116,7 +116,7 @@
 
     async def test() -> None:
         if how == "refused":
-            peer = await Peer().open()
+            peer = await ScriptedServer().open()
             peer.close()
             await peer.server.wait_closed()
             heard = Heard(peer.address)
@@ -413,7 +413,7 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        peer, other = await Peer().open(), await Peer().open()
+        peer, other = await ScriptedServer().open(), await ScriptedServer().open()
         heard = Heard(peer.address)
         connect = heard.discovery._connect
         comes_up = asyncio.Event()
@@ -455,7 +455,7 @@
 
 def test_an_answer_of_the_old_service_in_the_turn_of_the_move_is_not_heard() -> None:
     async def test() -> None:
-        other = await Peer().open()
+        other = await ScriptedServer().open()
         async with watching() as (heard, peer):
             await peer.calls.get()
             call = heard.discovery.call
@@ -476,7 +476,7 @@
 
 def test_moves_twice_in_a_row_and_back_ask_the_last_service_anew() -> None:
     async def test() -> None:
-        other = await Peer().open()
+        other = await ScriptedServer().open()
         async with watching() as (heard, peer):
             (await peer.calls.get()).reply(json.dumps(listing(42)).encode())
             await heard.lists.get()
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -41,7 +41,7 @@
 from dunecove.proxy import telemetry as telemetry_module
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.http1 import hung_up, unread
-from tests.loopback import Client, Gate, Proxy, proxy, request, reset, run, until
+from tests.loopback import Client, ConnectGate, Proxy, proxy, request, reset, run, until
 
 Step = Callable[[list[Any]], list[Action]]
 
@@ -383,7 +383,7 @@
 
     async def test() -> None:
         async with proxy(MayCancel=may_cancel) as p:
-            gate = Gate.of(p.engine.backends)
+            gate = ConnectGate.of(p.engine.backends)
             client, other = await p.client(), await p.client()
             client.send(x_budget_ms="20000" if why == "client leaves" else "50")
             comes_up = await gate.knocks.get()
@@ -462,7 +462,7 @@
 
     async def test() -> None:
         async with proxy() as p:
-            gate = Gate.of(p.engine.backends)
+            gate = ConnectGate.of(p.engine.backends)
             client = await p.client()
             client.send()
             comes_up = await gate.knocks.get()
@@ -708,7 +708,7 @@
             for name in ("held", "out", "left"):
                 clients[name].send(x_call_id=name)
             calls = [await p.backends[0].calls.get() for _ in range(2)]
-            gate = Gate.of(p.engine.backends)
+            gate = ConnectGate.of(p.engine.backends)
             clients["coming"].send(x_call_id="coming")
             comes_up = await gate.knocks.get()
             await until(lambda: "held" in p.engine.requests)
--- a/tests/proxy/test_system_call_faults.py
+++ b/tests/proxy/test_system_call_faults.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from tests.loopback import Client, Peer, configuration, listing, run, target, write_configuration
+from tests.loopback import Client, ScriptedServer, configuration, listing, run, target, write_configuration
 
 RELOAD_S = 20.0  # far beyond the 4 s in which a move has to take effect
 
@@ -59,7 +59,7 @@
     """A disk without room, a reader that has gone, and one that reads nothing."""
 
     async def test() -> None:
-        backend, later, registry = [await Peer().open() for _ in range(3)]
+        backend, later, registry = [await ScriptedServer().open() for _ in range(3)]
         config = configuration(registry.address, target("s", backend.address), list_mode="push")
         config["listen"] = free_address()
         reads, writes = os.pipe()
@@ -144,7 +144,7 @@
 )
 def test_a_moments_lack_at_the_start_is_no_failed_start(tmp_path: Path, call: str, error: int) -> None:
     async def test() -> None:
-        backend = await Peer().open()
+        backend = await ScriptedServer().open()
         config = configuration("127.0.0.1:1", target("s", backend.address), Peers=True)
         config |= {"listen": free_address(), "peer_listen": free_address(), "peers": ["127.0.0.1:1"]}
         config["peers_all"] = "127.0.0.1:1"
@@ -168,7 +168,7 @@
 
 def test_a_reload_that_cannot_open_the_file_for_a_moment_takes_effect(tmp_path: Path) -> None:
     async def test() -> None:
-        first, second = await Peer().open(), await Peer().open()
+        first, second = await ScriptedServer().open(), await ScriptedServer().open()
         config = configuration(first.address, target("s", "127.0.0.1:1"))
         async with program(
             tmp_path, config, *failing_at_first("open", errno.ENFILE, 2, 3), stderr=asyncio.subprocess.PIPE
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,7 +19,7 @@
 from tests.loopback import (
     LIMIT_S,
     Client,
-    Peer,
+    ScriptedServer,
     configuration,
     listing,
     request,
@@ -151,7 +151,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
     async def test() -> None:
-        backend = await Peer().open()
+        backend = await ScriptedServer().open()
         program = await asyncio.create_subprocess_exec(
             *COMMAND,
             env=write_configuration(tmp_path, configuration("127.0.0.1:1", target("s", backend.address))),
@@ -190,7 +190,11 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
 
     async def test() -> None:
-        backend, other, registry = await Peer().open(), await Peer().open(), Peer()
+        backend, other, registry = (
+            await ScriptedServer().open(),
+            await ScriptedServer().open(),
+            ScriptedServer(),
+        )
         down = socket.socket()
         down.bind(("127.0.0.1", 0))  # refuses until it listens
         address = "{}:{}".format(*down.getsockname())
@@ -259,7 +263,7 @@
     """A restart must not wait for what discovery tells: that refuses, or takes connections and is silent."""
 
     async def test() -> None:
-        backend = await Peer().open()
+        backend = await ScriptedServer().open()
         with socket.socket() as down:
             down.bind(("127.0.0.1", 0))
             if silent:
@@ -311,7 +315,7 @@
 
 def test_sigterm_ends_it_cleanly_after_what_was_taken_is_answered(tmp_path: Path) -> None:
     async def test() -> None:
-        backend = await Peer().open()
+        backend = await ScriptedServer().open()
         config = configuration("127.0.0.1:1", target("s", backend.address))
         program = await asyncio.create_subprocess_exec(
             *COMMAND, env=write_configuration(tmp_path, config), stderr=asyncio.subprocess.PIPE
@@ -346,7 +350,7 @@
     # Guards against SIGHUP ending the program, against an old version in the call to a service that counts
     # its own, and against a first call that fails and is tried again only after the usual wait.
     async def test() -> None:
-        first, second, old, new = [await Peer().open() for _ in range(4)]
+        first, second, old, new = [await ScriptedServer().open() for _ in range(4)]
         known = target("s", old.address)
         env = write_configuration(tmp_path, configuration(first.address, known)) | {
             "LB_DISCOVERY": first.address
