--- /dev/null
+++ b/tests/policy/test_admission.py
@@ -0,0 +1,147 @@
+"""Priority levels, and which of them are shed under overload."""
+
+from __future__ import annotations
+
+import pytest
+
+from dunecove.policy.actions import (
+    Reject,
+)
+from dunecove.policy.balancer import Balancer
+from dunecove.policy.settings import RequestClass
+from tests.policy.helpers import SPARSE, arrive_with_hint, run_responses, run_timeouts, stuck_driver
+from tests.support import Driver, fleet, of, settings
+
+
+def test_levels_come_from_priority_weight_and_quota() -> None:
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (12.0, 7.0, 4.0, 1.0))
+    balancer = Balancer(settings(*classes, tenant_quotas=(2.0,), over_quota_weight=0.05, proxy_count=2), 1)
+    assert [balancer.admission.priority_level(0.0, c, 5) for c in classes] == [1, 2, 3, 4]
+    assert [balancer.admission.priority_level(1.0, classes[0], 0) for _ in range(3)] == [1, 4, 4]
+    assert balancer.admission.priority_level(2001.0, classes[0], 0) == 1  # a second's quota has come in
+
+
+@pytest.mark.parametrize(("cls", "answer"), [(0, None), (1, None), (3, Reject)])
+def test_under_overload_only_low_levels_are_shed(cls: int, answer: type | None) -> None:
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (12.0, 7.0, 4.0, 1.0))
+    driver = stuck_driver(*classes, sends_retry_after=True, max_retry_after_ms=500)
+    driver.now += 160  # stuck for longer than a window
+    driver.arrive(cls)
+    refused = of(Reject, driver.last)
+    assert bool(refused) == (answer is Reject)
+    if refused:
+        assert 0 < refused[0].retry_after_ms <= 500
+
+
+def test_level_three_is_shed_less_readily_than_four() -> None:
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (12.0, 4.0, 1.0))
+    counts = {}
+    for cls in (1, 2):
+        driver = stuck_driver(*classes)
+        queue = driver.balancer.queues[0]
+        for _ in range(9):
+            driver.now += 20
+            queue.detector.record_send(driver.now, 1.5 * 0.08 * 300)
+        counts[cls] = sum(bool(of(Reject, driver.last)) for _ in range(20) if driver.arrive(cls))
+    assert counts == {1: 0, 2: 20}
+
+
+def test_half_the_best_weight_is_shed_under_a_long_wait_and_the_best_is_not() -> None:
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (10.0, 5.0))
+    counts = {}
+    for cls in (0, 1):
+        driver = stuck_driver(*classes)
+        queue = driver.balancer.queues[0]
+        for _ in range(9):
+            driver.now += 20
+            queue.detector.record_send(driver.now, 6.5 * 0.08 * 300)
+        counts[cls] = sum(bool(of(Reject, driver.last)) for _ in range(20) if driver.arrive(cls))
+    assert counts == {0: 0, 1: 20}
+
+
+def test_overload_of_one_queue_sheds_nothing_of_another() -> None:
+    classes = (
+        RequestClass(300.0, 900.0, priority_weight=12.0),
+        RequestClass(500.0, 900.0, priority_weight=1.0),
+    )
+    driver = stuck_driver(*classes)
+    driver.now += 160
+    driver.arrive(1)
+    assert not of(Reject, driver.last)
+
+
+def test_level_four_is_admitted_to_an_empty_queue_unless_overload_keeps_returning() -> None:
+    classes = (
+        RequestClass(300.0, 900.0, priority_weight=12.0),
+        RequestClass(300.0, 900.0, priority_weight=1.0),
+    )
+    for release, refused in ((0.5, False), (4.0, True)):
+        driver = Driver(settings(*classes), *fleet(40))
+        driver.balancer.queues[0].detector.overloaded_at = driver.now
+        driver.balancer.queues[0].detector.release_objectives = release
+        driver.arrive(1)
+        assert bool(of(Reject, driver.last)) is refused
+
+
+def test_level_four_is_admitted_again_by_degrees_after_overload() -> None:
+    classes = (
+        RequestClass(300.0, 900.0, priority_weight=12.0),
+        RequestClass(300.0, 900.0, priority_weight=1.0),
+    )
+    refused = []
+    for since in (1.0, 600.0, 1201.0):
+        driver = Driver(settings(*classes), *fleet(40))
+        driver.balancer.queues[0].detector.overloaded_at = driver.now
+        driver.balancer.queues[0].detector.release_objectives = 4.0
+        driver.now += since
+        refused.append(sum(bool(of(Reject, driver.last)) for _ in range(40) if driver.arrive(1)))
+    assert refused[0] >= 38 and 8 < refused[1] < 32 and refused[2] == 0
+
+
+def test_work_that_is_late_even_on_the_fastest_kind_is_of_a_lower_level() -> None:
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (10.0, 5.0))
+    balancer = Balancer(settings(*classes), 1)
+
+    def levels(work: float) -> list[int]:
+        return [balancer.admission.priority_level(0.0, spec, 0, work) for spec in classes]
+
+    assert levels(5000.0) == [1, 3]  # before any kind's pace is known
+    balancer.latencies.work_rates = {0: 1.5, 1: 3.0}
+    assert levels(190.0) == [1, 3]
+    assert levels(210.0) == [3, 4]
+    assert levels(0.0) == [1, 3]
+
+
+@pytest.mark.parametrize(("worth", "level"), [(5.0, 4), (10.0, 4)])
+def test_after_many_timeouts_work_that_will_be_late_is_shed_first(worth: float, level: int) -> None:
+    """A sparse proxy's buffer is empty while servers all proxies share are full: work that none of them
+    could finish in time went on being sent, and kept others from finishing."""
+    classes = (
+        RequestClass(300.0, 2000.0, priority_weight=worth),
+        RequestClass(300.0, 2000.0, priority_weight=10.0),
+    )
+    driver = Driver(settings(*classes, **SPARSE), *fleet(40))
+    run_responses(driver, 20, 10.0, 2.0)
+    assert driver.balancer.admission.priority_level(driver.now, classes[0], 0, 400.0) == level
+    assert arrive_with_hint(driver, 400.0) in driver.sends  # no overload: why not try
+    run_timeouts(driver, 8, 10.0)
+    late = arrive_with_hint(driver, 400.0)
+    assert late not in driver.sends and of(Reject, driver.last)
+    assert arrive_with_hint(driver, 10.0) in driver.sends
+
+
+def test_overload_is_over_once_responses_are_in_time_again() -> None:
+    driver = Driver(settings(RequestClass(300.0, 2000.0), **SPARSE), *fleet(40))
+    run_responses(driver, 20, 10.0, 2.0)
+    run_timeouts(driver, 8, 10.0)
+    run_responses(driver, 40, 10.0, 2.0)
+    assert arrive_with_hint(driver, 400.0) in driver.sends
+
+
+def test_work_that_takes_most_of_its_objective_counts_as_late_at_a_sparse_proxy_only() -> None:
+    spec = RequestClass(300.0, 2000.0)
+    for proxies, level in ((300, 4), (3, 1)):
+        driver = Driver(settings(spec, proxy_count=proxies), *fleet(40))
+        run_responses(driver, 60, 40.0, 1.0)
+        assert driver.balancer.admission.priority_level(driver.now, spec, 0, 220.0) == level
+        assert driver.balancer.admission.priority_level(driver.now, spec, 0, 120.0) == 1
--- /dev/null
+++ b/tests/policy/test_client_retries.py
@@ -0,0 +1,36 @@
+"""Retries of clients, told by the time that is left to them."""
+
+from __future__ import annotations
+
+from dunecove.policy.actions import (
+    Fail,
+    Forward,
+)
+from dunecove.policy.settings import RequestClass
+from tests.support import Driver, fleet, of, settings
+
+
+def test_a_retry_past_the_objective_of_its_first_try_is_not_sent() -> None:
+    for late_worth, sent in ((0.0, False), (0.3, True)):
+        driver = Driver(settings(RequestClass(300.0, 1000.0, late_weight=late_worth)), *fleet(2))
+        driver.end(driver.arrive(wait=1000))
+        driver.arrive(wait=690)  # its client has waited 310 ms already
+        assert bool(of(Forward, driver.last)) is sent
+        assert bool(of(Fail, driver.last)) is not sent
+        driver.arrive(wait=900)
+        assert of(Forward, driver.last)
+
+
+def test_arrivals_with_less_time_are_no_retries_unless_some_were_rejected() -> None:
+    # For a while three of four came with an eighth of the usual wait. Each looked like a repeat whose aim had
+    # long passed, and failed unsent beside idle servers.
+    for away, low, high in ((0.0, 30, 30), (100.0, 0, 0)):
+        driver = Driver(settings(RequestClass(80.0, 400.0)), *fleet(4))
+        sent = 0
+        for number in range(40):
+            driver.balancer.client_retries.expected = away
+            request = driver.arrive(wait=45 if number % 4 else 398)
+            if request in driver.sends:
+                sent += number % 4 > 0
+                driver.end(request, after=10.0)
+        assert low <= sent <= high
--- /dev/null
+++ b/tests/policy/test_feedback.py
@@ -0,0 +1,29 @@
+"""Outcomes that say nothing of a backend."""
+
+from __future__ import annotations
+
+import pytest
+
+from dunecove.policy.models import AttemptResult
+from tests.policy.helpers import NON_IDEMPOTENT
+from tests.support import Driver, fleet, settings
+
+
+def test_a_timeout_shorter_than_usual_says_nothing_of_the_backend() -> None:
+    driver = Driver(settings(NON_IDEMPOTENT), *fleet(1))
+    for _ in range(40):
+        driver.end(driver.arrive(), after=50)
+    server = driver.balancer.backends.active[0]
+    before = server.limit, server.payoff, server.consecutive_failures
+    driver.end(driver.arrive(), AttemptResult.TIMEOUT, after=20)
+    assert (server.limit, server.payoff, server.consecutive_failures) == before
+
+
+@pytest.mark.parametrize("result", [AttemptResult.NO_LOCAL_RESOURCE, AttemptResult.BAD_REQUEST])
+def test_what_is_not_the_backends_doing_says_nothing_of_it(result: AttemptResult) -> None:
+    # Our own lack of descriptors, or a request at fault itself, must not take a healthy server out.
+    driver = Driver(settings(), *fleet(2))
+    before = [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.backends.active]
+    for _ in range(6):
+        driver.end(driver.arrive(), result, done=True)
+    assert [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.backends.active] == before
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -13,14 +13,10 @@
 from dunecove.__main__ import Config, start
 from dunecove.adapter import Host
 from dunecove.policy.actions import SendGossip
-from dunecove.policy.events import BackendListUpdate, GossipReceived, ListUpdateKind
-from dunecove.policy.models import AttemptResult
+from dunecove.policy.events import GossipReceived
 from dunecove.proxy.gossip import Peers, Tier
 from dunecove.settings import Malformed
 from tests.loopback import configuration, run
-from tests.support import Driver, fleet, of, settings
-
-TOLD: dict[str, Any] = {"proxy_count": 40, "may_gossip": True}
 
 
 def bound() -> tuple[socket.socket, str]:
@@ -113,62 +109,6 @@
         with_peers(tmp_path, **(good | bad))
 
 
-def fail_at(driver: Driver, result: AttemptResult) -> tuple[str, list[SendGossip]]:
-    request = driver.arrive()
-    return driver.sends[request][0], of(SendGossip, driver.end(request, result, done=True))
-
-
-def test_a_failure_is_told_and_one_that_may_be_load_is_not() -> None:
-    driver = Driver(settings(**TOLD), *fleet(30))
-    name, (tell,) = fail_at(driver, AttemptResult.ERROR)
-    assert tell.payload == b"\x01" + driver.balancer.backends.by_id[name].name_hash.to_bytes(4, "big")
-    for result in (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.REJECTED):
-        assert fail_at(driver, result)[1] == []
-    alone = Driver(settings(proxy_count=3, may_gossip=True), *fleet(30))
-    forbidden = Driver(settings(proxy_count=40), *fleet(30))
-    assert fail_at(alone, AttemptResult.ERROR)[1] == fail_at(forbidden, AttemptResult.ERROR)[1] == []
-
-
-@pytest.mark.parametrize(
-    ("tellers", "apart", "ejected"),
-    [((1, 2, 1), 10.0, True), ((1, 1, 1), 10.0, False), ((1, 2, 3), 600.0, False)],
-)
-def test_a_server_that_peers_see_fail_is_left_alone(
-    tellers: tuple[int, ...], apart: float, ejected: bool
-) -> None:
-    driver = Driver(settings(**TOLD), *fleet(30))
-    server = driver.balancer.backends.subset[0]
-    for teller in tellers:
-        driver.step(GossipReceived(teller, b"\x01" + server.name_hash.to_bytes(4, "big")), after=apart)
-    assert (not server.has_capacity(driver.now)) == ejected
-    driver.beats(2000)  # longer than its first rest may last
-    assert server.has_capacity(driver.now)
-
-
-def test_peers_cannot_make_most_servers_rest() -> None:
-    driver = Driver(settings(**TOLD), *fleet(10))
-    data = b"\x01" + b"".join(s.name_hash.to_bytes(4, "big") for s in driver.balancer.backends.active)
-    for teller in (1, 2, 3):
-        driver.step(GossipReceived(teller, data))
-    assert sum(s.has_capacity(driver.now) for s in driver.balancer.backends.active) == 5
-
-
-def test_messages_that_say_nothing_to_this_proxy_are_passed_over() -> None:
-    driver = Driver(settings(proxy_index=4, **TOLD), *fleet(30))
-    gone = driver.balancer.backends.subset[0].name_hash.to_bytes(4, "big")
-    own = GossipReceived(4, b"\x01" + driver.balancer.backends.subset[1].name_hash.to_bytes(4, "big"))
-    driver.step(
-        BackendListUpdate(
-            ListUpdateKind.SNAPSHOT,
-            tuple(s for s in fleet(30) if s.backend_id != driver.balancer.backends.subset[0].id),
-        )
-    )
-    for data in (b"", b"\x01", b"\x01abc", b"\x01abcd", b"\x02" + gone, b"\x01" + gone):
-        for teller in (1, 2, 3):
-            driver.step(GossipReceived(teller, data), own)
-    assert all(s.has_capacity(driver.now) for s in driver.balancer.backends.active)
-
-
 def test_the_wire_of_the_simulator_carries_messages_both_ways() -> None:
     info = {
         "Lanes": [{"AimMs": 300, "HardLimitMs": 900, "Effect": "read_like"}],
--- /dev/null
+++ b/tests/policy/test_pinned_retries.py
@@ -0,0 +1,118 @@
+"""Keyed retries that only their deduplication scope may get."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from math import inf
+
+import pytest
+
+from dunecove.policy.actions import (
+    Fail,
+    Forward,
+)
+from dunecove.policy.events import (
+    BackendListUpdate,
+    ListUpdateKind,
+)
+from dunecove.policy.models import AttemptResult, BackendInfo, DeduplicationScope, Idempotency
+from dunecove.policy.settings import RequestClass
+from tests.support import Driver, fleet, of, settings
+
+KEYED = RequestClass(
+    300.0, 1000.0, idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.CELL, dedup_window_ms=200.0
+)
+
+
+def three_cells() -> list[BackendInfo]:
+    return [BackendInfo(f"10.0.{c}.{i}:80", cell=c, zone=c) for c in range(3) for i in range(2)]
+
+
+@pytest.mark.parametrize("scope", [DeduplicationScope.CELL, DeduplicationScope.ZONE])
+def test_a_keyed_retry_stays_in_its_deduplication_scope(scope: DeduplicationScope) -> None:
+    spec = RequestClass(
+        300.0, 1000.0, idempotency=Idempotency.KEYED, dedup_scope=scope, dedup_window_ms=200.0
+    )
+    for seed in range(10):
+        driver = Driver(settings(spec), *three_cells(), seed=seed)
+        request = driver.arrive()
+        assert len(of(Forward, driver.end(request, AttemptResult.ERROR))) == 1
+        one, two = driver.sends[request]
+        assert one.split(".")[2] == two.split(".")[2] and one != two
+
+
+def test_a_keyed_retry_ends_with_the_deduplication_window() -> None:
+    driver = Driver(settings(KEYED), *three_cells())
+    actions = driver.end(driver.arrive(), AttemptResult.ERROR, after=201)
+    assert of(Fail, actions) and not of(Forward, actions)
+
+
+@pytest.mark.parametrize(
+    ("effect", "within"), [(Idempotency.KEYED, 200.0 - 20.0), (Idempotency.IDEMPOTENT, inf)]
+)
+def test_a_keyed_retry_is_written_within_its_window_or_not_at_all(effect: Idempotency, within: float) -> None:
+    """Its connection may take longer to come up than is left of the window."""
+    driver = Driver(settings(replace(KEYED, idempotency=effect)), *three_cells())
+    request = driver.arrive()
+    (first,) = of(Forward, driver.last)
+    (again,) = of(Forward, driver.end(request, AttemptResult.ERROR, after=20.0))
+    assert (first.write_within_ms, again.write_within_ms) == (inf, within)
+
+
+def test_without_capacity_in_its_scope_a_keyed_retry_fails_rather_than_leave_it() -> None:
+    driver = Driver(settings(KEYED), *three_cells())
+    request = driver.arrive()
+    home = driver.sends[request][0].split(".")[2]
+    for server in driver.balancer.backends.active:
+        if str(server.cell) == home:
+            server.ejected_until = driver.now + 10_000
+    driver.end(request, AttemptResult.ERROR)
+    actions = driver.beats(250)
+    assert of(Fail, actions) and not of(Forward, actions)
+
+
+def test_a_keyed_retry_waits_for_capacity_in_its_scope_within_its_window() -> None:
+    # Now or never, it failed although a server of its group had room a moment later.
+    for rest, sent in ((60.0, True), (190.0, False)):
+        driver = Driver(settings(KEYED), *three_cells())
+        request = driver.arrive()
+        home = driver.sends[request][0].split(".")[2]
+        for server in driver.balancer.backends.active:
+            if str(server.cell) == home:
+                server.ejected_until = driver.now + rest
+        driver.end(request, AttemptResult.ERROR)
+        assert len(driver.sends[request]) == 1
+        actions = driver.beats(250)
+        assert bool(of(Forward, actions)) is sent and bool(of(Fail, actions)) is not sent
+        assert {name.split(".")[2] for name in driver.sends[request]} == {home}
+        assert not driver.balancer.pinned_retries.waiting
+
+
+def test_a_keyed_retry_for_any_backend_does_not_outlive_its_window() -> None:
+    spec = RequestClass(
+        300.0,
+        1000.0,
+        idempotency=Idempotency.KEYED,
+        dedup_scope=DeduplicationScope.ALL,
+        dedup_window_ms=100.0,
+    )
+    driver = Driver(settings(spec, proxy_count=4), *fleet(1))
+    request = driver.arrive()
+    driver.balancer.backends.active[0].ejected_until = driver.now + 150
+    driver.end(request, AttemptResult.ERROR)
+    assert not of(Forward, driver.beats(250))
+
+
+def test_a_keyed_retry_goes_to_the_cell_of_its_first_attempt_though_the_backend_moves() -> None:
+    keyed = RequestClass(300.0, 900.0, Idempotency.KEYED, DeduplicationScope.CELL, dedup_window_ms=800.0)
+    first, second = (BackendInfo(f"10.0.0.{i}:80", cell=i) for i in range(2))
+    driver = Driver(settings(keyed), first)
+    request = driver.arrive()
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, (first._replace(cell=1), second)))
+    driver.end(request, AttemptResult.ERROR)
+    driver.beats(100)
+    assert driver.sends[request] == [
+        first.backend_id
+    ]  # its cell has no server left; cell 1 never saw the key
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, (second._replace(cell=0),)))
+    assert driver.sends[request] == [first.backend_id, second.backend_id]
--- /dev/null
+++ b/tests/policy/test_queue_timeouts.py
@@ -0,0 +1,48 @@
+"""For how long a request may wait."""
+
+from __future__ import annotations
+
+from dunecove.policy.actions import (
+    Fail,
+)
+from dunecove.policy.settings import RequestClass
+from tests.support import Driver, fleet, of, settings
+
+
+def test_a_request_that_cannot_be_useful_is_failed_while_queued() -> None:
+    driver = Driver(settings(proxy_count=4), *fleet(1))
+    driver.arrive()
+    held = driver.arrive()
+    assert [f.request_id for f in of(Fail, driver.beats(325))] == [held]
+
+
+def test_a_request_never_sent_is_failed_before_half_its_wait() -> None:
+    # Told later, its client has no time for another try, and nothing was ever done for it.
+    driver = Driver(settings(RequestClass(5000.0, 9000.0), proxy_count=4), *fleet(1))
+    driver.arrive(wait=1000)
+    held = driver.arrive(wait=1000)
+    assert not of(Fail, driver.beats(400))
+    assert [f.request_id for f in of(Fail, driver.beats(75))] == [held]
+
+
+def test_a_late_response_is_waited_for_only_without_overload() -> None:
+    spec = RequestClass(300.0, 1000.0, late_weight=0.3)
+    driver = Driver(settings(spec, proxy_count=4), *fleet(1))
+    first, held = driver.arrive(), driver.arrive()
+    driver.balancer.queues[0].overload_ratio = lambda now: 0.0  # type: ignore[method-assign]
+    assert not of(Fail, driver.beats(400))
+    driver.balancer.queues[0].overload_ratio = lambda now: 2.0  # type: ignore[method-assign]
+    assert [f.request_id for f in of(Fail, driver.beats(75))] == [held]
+    assert first in driver.sends
+
+
+def test_a_request_without_time_left_is_failed_at_once() -> None:
+    driver = Driver(settings(), *fleet(1))
+    request = driver.arrive(wait=0.0)
+    assert [f.request_id for f in of(Fail, driver.last)] == [request]
+
+
+def test_without_a_backend_a_request_is_failed_in_time() -> None:
+    driver = Driver(settings())
+    request = driver.arrive(wait=200)
+    assert [f.request_id for f in of(Fail, driver.beats(175))] == [request]
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from dunecove.policy.actions import Action, Forward, PollDiscovery
-from dunecove.policy.events import AttemptEnded, BackendListUpdate, DiscoveryMoved, ListUpdateKind
+from dunecove.policy.actions import Action, Forward
+from dunecove.policy.events import AttemptEnded, BackendListUpdate, ListUpdateKind
 from dunecove.policy.models import AttemptResult, BackendState
 from dunecove.policy.settings import RequestClass
 from tests.support import Driver, fleet, of, settings
@@ -103,18 +103,3 @@
     script.run(3_000, {})  # level 4 comes back over four aims
     script.run(3_000, {})
     assert len(script.sent) == 4 and sum(script.sent.values()) >= 290
-
-
-def test_a_failed_call_to_a_list_service_just_moved_to_is_made_again_at_once() -> None:
-    # Its news counts as told 4 s after the move: the wait that failures of the old one had grown is too long.
-    driver = Driver(settings(polls_discovery=True), *fleet(2))
-    for _ in range(6):
-        driver.step(BackendListUpdate(ListUpdateKind.FAILED))
-    assert of(PollDiscovery, driver.step(DiscoveryMoved()))
-    for _ in range(3):
-        driver.step(BackendListUpdate(ListUpdateKind.FAILED))
-        assert of(PollDiscovery, driver.beats(250))
-    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(2))))
-    assert not of(PollDiscovery, driver.beats(20_000))  # the watch stands
-    driver.step(BackendListUpdate(ListUpdateKind.FAILED))
-    assert not of(PollDiscovery, driver.beats(200))
--- /dev/null
+++ b/tests/policy/test_slow_start_budget.py
@@ -0,0 +1,116 @@
+"""What a cold backend gets while it warms up."""
+
+from __future__ import annotations
+
+import pytest
+
+from dunecove.policy.events import (
+    BackendListUpdate,
+    ListUpdateKind,
+)
+from dunecove.policy.models import BackendInfo
+from tests.policy.helpers import two_zones
+from tests.support import Driver, fleet, settings
+
+COLD = {
+    "slow_start_capacity": 0.12,
+    "slow_start_ms": 20_000.0,
+    "slow_start_overload_factor": 3.0,
+    "slow_start_window_ms": 2000.0,
+}
+
+
+def test_a_zone_that_returns_cold_gets_its_part_from_proxies_of_other_zones_too() -> None:
+    cold = {
+        "slow_start_capacity": 0.16,
+        "slow_start_ms": 24_000.0,
+        "slow_start_overload_factor": 3.0,
+        "slow_start_window_ms": 1000.0,
+    }
+    driver = Driver(settings(proxy_count=40, zone_count=2, zone=0, **cold), *two_zones(16))
+    for _ in range(200):
+        driver.end(driver.arrive(), after=10.0, delay=50.0)
+        driver.beat(after=40.0)
+    back = [s._replace(started_at=driver.now) for s in two_zones(16) if s.zone == 1]
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(back)))
+    driver.sends.clear()
+    for _ in range(200):
+        driver.end(driver.arrive(), after=10.0, delay=50.0)
+        driver.beat(after=40.0)
+    cold_ones = sum(sent[0].split(".")[2] == "1" for sent in driver.sends.values())
+    assert 10 <= cold_ones <= 80  # of 200, half of the servers being at a sixth to a half of their capacity
+
+
+@pytest.mark.parametrize("proxies", [50, 400])
+def test_budgets_of_many_proxies_do_not_come_due_together(proxies: int) -> None:
+    """All hear of a new server at once; a first request of each at the same time would push it over."""
+    cold = {
+        "slow_start_capacity": 0.12,
+        "slow_start_ms": 20_000.0,
+        "slow_start_overload_factor": 2.5,
+        "slow_start_window_ms": 2000.0,
+    }
+    times = []
+    for me in range(proxies):
+        driver = Driver(
+            settings(proxy_count=proxies, proxy_index=me, **cold),
+            BackendInfo("new:1", started_at=990.0),
+            seed=me,
+        )
+        for _ in range(80):
+            if driver.sends:
+                times.append(driver.now)
+                break
+            driver.arrive(wait=100)
+            driver.beat(after=50.0)
+    assert len(times) <= proxies / 10 + 4
+
+
+def forwards_to(name: str, drivers: list[Driver]) -> int:
+    return sum(s == name for d in drivers for sends in d.sends.values() for s in sends)
+
+
+@pytest.mark.parametrize("split", [(1, 1, 1), (1, 0, 0), (4, 1, 1)])
+def test_the_budget_of_all_proxies_stays_under_the_capacity_for_any_split(split: tuple[int, ...]) -> None:
+    """Warm servers carry 10 a second each; a cold one's capacity is at least its part of that."""
+    config = settings(proxy_count=3, **COLD)
+    drivers = [Driver(config, *fleet(4), seed=s) for s in range(3)]
+    pause = 1000.0 / 40.0 * sum(split)
+    sent: list[tuple[float, int]] = []
+    for tick in range(400):
+        for driver, weight in zip(drivers, split, strict=True):
+            if tick == 200:
+                driver.step(
+                    BackendListUpdate(ListUpdateKind.DELTA, (BackendInfo("new:1", started_at=driver.now),))
+                )
+            for _ in range(weight):
+                driver.end(driver.arrive(), after=0.0, delay=20.0)
+            driver.beat(after=pause)
+        sent.append((drivers[0].now, forwards_to("new:1", drivers)))
+    start = sent[200][0]
+    for now, count in sent[200:]:
+        before = max((c for t, c in sent if t <= now - 2000), default=0)
+        part = 0.12 + 0.88 * max(0.0, now - 2000 - start) / 20_000
+        assert count - before <= 3 * part * 10 * 2 + 3  # and the rule's slack for chance
+    assert sent[-1][1] > 3
+
+
+def test_a_cold_backend_gets_little_before_anything_was_observed() -> None:
+    driver = Driver(settings(proxy_count=2, **COLD), BackendInfo("new:1", started_at=900.0))
+    for _ in range(40):
+        driver.arrive(wait=5000)
+        for request in list(driver.sends):
+            driver.end(request, after=0.0)
+        driver.beat(after=50.0)
+    assert forwards_to("new:1", [driver]) <= 3
+
+
+def test_a_restarted_backend_is_cold_and_its_limit_is_forgotten() -> None:
+    driver = Driver(settings(**COLD), *fleet(2))
+    server = driver.balancer.backends.active[0]
+    server.limit, server.payoff = 9.0, 0.1
+    driver.step(
+        BackendListUpdate(ListUpdateKind.DELTA, (BackendInfo("10.0.0.0:80", started_at=driver.now - 5),))
+    )
+    assert server.limit <= 1 and server.payoff == 1.0
+    assert not server.has_capacity(driver.now)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections import Counter
 from collections.abc import Iterator
 from unittest.mock import patch
 from zlib import crc32
@@ -14,11 +15,20 @@
 from dunecove.policy import rendezvous_hash, subsetting
 from dunecove.policy.backend import Backend
 from dunecove.policy.balancer import Balancer
-from dunecove.policy.events import BackendListUpdate, ListUpdateKind, RequestArrived, TimerFired
+from dunecove.policy.events import (
+    BackendListUpdate,
+    ListUpdateKind,
+    RequestArrived,
+    TimerFired,
+)
 from dunecove.policy.models import AttemptResult, BackendInfo, BackendState, DeduplicationScope, Idempotency
 from dunecove.policy.rendezvous_hash import hash_pair
 from dunecove.policy.settings import RequestClass
-from tests.support import Driver, settings
+from tests.policy.helpers import (
+    SPARSE,
+    two_zones,
+)
+from tests.support import Driver, fleet, settings
 
 MANY = {"proxy_count": 3400, "proxy_index": 17, "zone_count": 2}
 # Each of the first four names has the CRC-32 of one of the last four.
@@ -228,3 +238,52 @@
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(ranked[20:22])))
         kept = {s.id for s in driver.balancer.backends.active}
     assert kept == {s.backend_id for s in [*ranked[10:22], *ranked[30 : 30 + len(kept) - 12]]}
+
+
+def used_backends(driver: Driver) -> set[str]:
+    return {server for sends in driver.sends.values() for server in sends}
+
+
+def test_a_sparse_proxy_uses_a_few_backends_of_all_zones() -> None:
+    """Hundreds of proxies with a connection to each server would fill its table (incident i02567f); one
+    zone's proxies alone would carry too much for its servers or too little."""
+    driver = Driver(settings(**SPARSE), *two_zones(40))
+    for _ in range(200):
+        driver.end(driver.arrive())
+        driver.beat()
+    assert len(used_backends(driver)) <= 13 and {s.split(".")[2] for s in used_backends(driver)} == {"0", "1"}
+
+
+def test_subsets_are_spread_evenly_over_the_proxies() -> None:
+    counts: Counter[str] = Counter()
+    for me in range(100):
+        driver = Driver(settings(proxy_index=me, **SPARSE), *fleet(20))
+        counts.update(s.id for s in driver.balancer.backends.subset)
+    assert len(counts) == 20 and max(counts.values()) < 1.5 * 40 and min(counts.values()) > 40 / 1.5
+
+
+def test_a_subset_stays_as_it_is_when_a_backend_leaves() -> None:
+    driver = Driver(settings(**SPARSE), *fleet(20))
+    before = [s.id for s in driver.balancer.backends.subset]
+    left = [s for s in fleet(20) if s.backend_id != before[0]]
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(left)))
+    assert len({s.id for s in driver.balancer.backends.subset} & set(before)) == len(before) - 1
+
+
+def test_an_empty_list_at_the_start_is_survived() -> None:
+    driver = Driver(
+        settings(RequestClass(300.0, 900.0), RequestClass(300.0, 900.0, priority_weight=0.1), **SPARSE)
+    )
+    driver.arrive(1)
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(40))))
+    driver.beats(100)
+    assert driver.sends[driver.arrive()]
+
+
+def test_the_subset_of_a_sparse_proxy_grows_with_its_traffic() -> None:
+    """Spread over a dozen, the few requests of one of hundreds teach it next to nothing of any."""
+    driver = Driver(settings(**SPARSE), *fleet(60))
+    assert len(driver.balancer.backends.subset) <= 8
+    driver.balancer.in_flight.limit = 9.0
+    driver.beats(1100)
+    assert len(driver.balancer.backends.subset) == 20
