--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -17,7 +17,7 @@
 
 
 def stuck_driver(*classes: RequestClass, **more: Any) -> Driver:
-    """One request at the only server, one held that can wait for long."""
+    """Return a driver with a request at its only backend and another one queued that can wait for long."""
     driver = Driver(settings(*classes, proxy_count=4, **more), *fleet(1))
     driver.arrive(0)
     driver.arrive(0, wait=100_000)
@@ -34,16 +34,16 @@
     return name
 
 
-def run_responses(driver: Driver, n: int, work: float, pace: float) -> None:
+def run_responses(driver: Driver, n: int, work: float, work_rate: float) -> None:
     for _ in range(n):
-        driver.end(arrive_with_hint(driver, work), after=40.0, delay=work * pace)
-        driver.beat(after=60.0)
+        driver.end(arrive_with_hint(driver, work), after=40.0, delay=work * work_rate)
+        driver.tick(after=60.0)
 
 
 def run_timeouts(driver: Driver, n: int, work: float) -> None:
-    """On servers with room, so that nothing waits at the proxy."""
+    """Let requests time out at backends that have capacity, so that nothing waits at the proxy."""
     for _ in range(n):
         request = arrive_with_hint(driver, work)
-        if request in driver.sends:
+        if request in driver.forwards:
             driver.end(request, AttemptResult.TIMEOUT, after=300.0, done=True)
-        driver.beats(2000)
+        driver.run_ticks(2000)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -27,10 +27,10 @@
     driver = stuck_driver(*classes, sends_retry_after=True, max_retry_after_ms=500)
     driver.now += 160  # stuck for longer than a window
     driver.arrive(cls)
-    refused = of(Reject, driver.last)
-    assert bool(refused) == (answer is Reject)
-    if refused:
-        assert 0 < refused[0].retry_after_ms <= 500
+    rejected = of(Reject, driver.last)
+    assert bool(rejected) == (answer is Reject)
+    if rejected:
+        assert 0 < rejected[0].retry_after_ms <= 500
 
 
 def test_level_three_is_shed_less_readily_than_four() -> None:
@@ -75,12 +75,12 @@
         RequestClass(300.0, 900.0, priority_weight=12.0),
         RequestClass(300.0, 900.0, priority_weight=1.0),
     )
-    for release, refused in ((0.5, False), (4.0, True)):
+    for release, rejected in ((0.5, False), (4.0, True)):
         driver = Driver(settings(*classes), *fleet(40))
         driver.balancer.queues[0].detector.overloaded_at = driver.now
         driver.balancer.queues[0].detector.release_objectives = release
         driver.arrive(1)
-        assert bool(of(Reject, driver.last)) is refused
+        assert bool(of(Reject, driver.last)) is rejected
 
 
 def test_level_four_is_admitted_again_by_degrees_after_overload() -> None:
@@ -88,14 +88,14 @@
         RequestClass(300.0, 900.0, priority_weight=12.0),
         RequestClass(300.0, 900.0, priority_weight=1.0),
     )
-    refused = []
+    rejected = []
     for since in (1.0, 600.0, 1201.0):
         driver = Driver(settings(*classes), *fleet(40))
         driver.balancer.queues[0].detector.overloaded_at = driver.now
         driver.balancer.queues[0].detector.release_objectives = 4.0
         driver.now += since
-        refused.append(sum(bool(of(Reject, driver.last)) for _ in range(40) if driver.arrive(1)))
-    assert refused[0] >= 38 and 8 < refused[1] < 32 and refused[2] == 0
+        rejected.append(sum(bool(of(Reject, driver.last)) for _ in range(40) if driver.arrive(1)))
+    assert rejected[0] >= 38 and 8 < rejected[1] < 32 and rejected[2] == 0
 
 
 def test_work_that_is_late_even_on_the_fastest_kind_is_of_a_lower_level() -> None:
@@ -105,29 +105,29 @@
     def levels(work: float) -> list[int]:
         return [balancer.admission.priority_level(0.0, spec, 0, work) for spec in classes]
 
-    assert levels(5000.0) == [1, 3]  # before any kind's pace is known
+    assert levels(5000.0) == [1, 3]  # before any kind's work rate is known
     balancer.latencies.work_rates = {0: 1.5, 1: 3.0}
     assert levels(190.0) == [1, 3]
     assert levels(210.0) == [3, 4]
     assert levels(0.0) == [1, 3]
 
 
-@pytest.mark.parametrize(("worth", "level"), [(5.0, 4), (10.0, 4)])
-def test_after_many_timeouts_work_that_will_be_late_is_shed_first(worth: float, level: int) -> None:
-    """A sparse proxy's buffer is empty while servers all proxies share are full: work that none of them
-    could finish in time went on being sent, and kept others from finishing."""
+@pytest.mark.parametrize(("weight", "level"), [(5.0, 4), (10.0, 4)])
+def test_after_many_timeouts_work_that_will_be_late_is_shed_first(weight: float, level: int) -> None:
+    """A sparse proxy's queue is empty while the backends that all proxies share are full: work that none of
+    them could finish in time went on being sent, and kept others from finishing."""
     classes = (
-        RequestClass(300.0, 2000.0, priority_weight=worth),
+        RequestClass(300.0, 2000.0, priority_weight=weight),
         RequestClass(300.0, 2000.0, priority_weight=10.0),
     )
     driver = Driver(settings(*classes, **SPARSE), *fleet(40))
     run_responses(driver, 20, 10.0, 2.0)
     assert driver.balancer.admission.priority_level(driver.now, classes[0], 0, 400.0) == level
-    assert arrive_with_hint(driver, 400.0) in driver.sends  # no overload: why not try
+    assert arrive_with_hint(driver, 400.0) in driver.forwards  # no overload: why not try
     run_timeouts(driver, 8, 10.0)
     late = arrive_with_hint(driver, 400.0)
-    assert late not in driver.sends and of(Reject, driver.last)
-    assert arrive_with_hint(driver, 10.0) in driver.sends
+    assert late not in driver.forwards and of(Reject, driver.last)
+    assert arrive_with_hint(driver, 10.0) in driver.forwards
 
 
 def test_overload_is_over_once_responses_are_in_time_again() -> None:
@@ -135,7 +135,7 @@
     run_responses(driver, 20, 10.0, 2.0)
     run_timeouts(driver, 8, 10.0)
     run_responses(driver, 40, 10.0, 2.0)
-    assert arrive_with_hint(driver, 400.0) in driver.sends
+    assert arrive_with_hint(driver, 400.0) in driver.forwards
 
 
 def test_work_that_takes_most_of_its_objective_counts_as_late_at_a_sparse_proxy_only() -> None:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -25,7 +25,7 @@
     runs = []
     for _ in range(2):
         driver = Driver(settings(), *fleet(5), seed=7)
-        runs.append([driver.end(driver.arrive()) and driver.sends[f"r{i}"] for i in range(50)])
+        runs.append([driver.end(driver.arrive()) and driver.forwards[f"r{i}"] for i in range(50)])
     assert runs[0] == runs[1]
 
 
@@ -98,9 +98,9 @@
 
 def test_a_queued_request_whose_client_left_is_not_forwarded() -> None:
     driver = Driver(settings(proxy_count=4), *fleet(1))
-    first, held = driver.arrive(), driver.arrive()
+    first, queued = driver.arrive(), driver.arrive()
     assert not of(
-        Forward, driver.step(ClientDisconnected(held), AttemptEnded(first, 0, AttemptResult.OK, 5.0, True))
+        Forward, driver.step(ClientDisconnected(queued), AttemptEnded(first, 0, AttemptResult.OK, 5.0, True))
     )
 
 
@@ -115,11 +115,11 @@
     driver = Driver(settings(RequestClass(100.0, 1000.0, streams_response=True)), *fleet(2))
     request = driver.arrive()
     driver.step(ResponseStarted(request, 0, 5.0))
-    assert not of(CancelAttempt, driver.beats(500)) and not of(Fail, driver.beats(1000))
+    assert not of(CancelAttempt, driver.run_ticks(500)) and not of(Fail, driver.run_ticks(1000))
 
 
 def test_an_attempt_given_up_is_no_longer_in_flight() -> None:
-    # Its work stops as its connection closes: a slot held longer counts what no socket holds.
+    # Its work stops as its connection closes: counted for longer, it would limit what no socket holds.
     driver = Driver(settings(NON_IDEMPOTENT), *fleet(1))
     driver.end(driver.arrive(), AttemptResult.TIMEOUT, after=200)
     assert driver.balancer.backends.active[0].in_flight == 0
@@ -130,5 +130,5 @@
     request = driver.arrive()
     driver.end(request, AttemptResult.ERROR)
     driver.end(request, AttemptResult.OK)
-    assert not of(Forward, driver.beats(2000))
+    assert not of(Forward, driver.run_ticks(2000))
     assert driver.balancer.requests == {}
--- a/tests/policy/test_bandit.py
+++ b/tests/policy/test_bandit.py
@@ -19,7 +19,7 @@
     bad, good = driver.balancer.backends.active
     bad.payoff, bad.outcome_count, good.outcome_count = 0.2, 50.0, 50.0
     driver.arrive()
-    assert list(driver.sends.values()) == [[good.id]]
+    assert list(driver.forwards.values()) == [[good.id]]
 
 
 def test_the_exploration_bonus_tries_a_backend_without_recent_outcomes_again() -> None:
@@ -28,25 +28,25 @@
     driver.balancer.bandit.outcome_count = 200.0
     idle.payoff, idle.outcome_count, busy.outcome_count = 0.8, 0.0, 100.0
     driver.arrive()
-    assert list(driver.sends.values()) == [[idle.id]]
+    assert list(driver.forwards.values()) == [[idle.id]]
 
 
 def test_ties_go_to_fewer_in_flight() -> None:
     driver = Driver(settings(), *fleet(2))
-    used = driver.sends[driver.arrive()][0]
-    assert driver.sends[driver.arrive()][0] != used
+    used = driver.forwards[driver.arrive()][0]
+    assert driver.forwards[driver.arrive()][0] != used
 
 
 def test_an_outcome_is_one_within_the_objective_and_zero_if_late_or_failed() -> None:
     driver = Driver(settings(), *fleet(1))
-    server = driver.balancer.backends.active[0]
-    server.payoff = 0.5
+    backend = driver.balancer.backends.active[0]
+    backend.payoff = 0.5
     driver.end(driver.arrive(), after=299)
-    assert server.payoff == pytest.approx(0.55)
+    assert backend.payoff == pytest.approx(0.55)
     driver.end(driver.arrive(), after=301)
-    assert server.payoff == pytest.approx(0.495)
+    assert backend.payoff == pytest.approx(0.495)
     driver.end(driver.arrive(), AttemptResult.ERROR)
-    assert server.payoff == pytest.approx(0.4455)
+    assert backend.payoff == pytest.approx(0.4455)
 
 
 def test_with_key_affinity_every_proxy_draws_the_same_two_backends_for_a_key() -> None:
@@ -55,9 +55,9 @@
         driver = Driver(settings(key_affinity=True), *fleet(9), seed=seed)
         for key in range(20):
             request = driver.arrive(key=key)
-            used.setdefault(key, set()).update(driver.sends[request])
+            used.setdefault(key, set()).update(driver.forwards[request])
             driver.end(request)
-    assert all(len(servers) <= 2 for servers in used.values())
+    assert all(len(backends) <= 2 for backends in used.values())
     assert len({frozenset(s) for s in used.values()}) > 5
 
 
@@ -67,7 +67,7 @@
     for _ in range(n):
         request = f"h{next(driver.ids)}"
         driver.step(RequestArrived(request, 0, 0, None, driver.now + 900, False, work))
-        kind = kinds[driver.sends[request][0]]
+        kind = kinds[driver.forwards[request][0]]
         slow += kind
         driver.end(request, after=30.0, delay=(min(work, 30.0) or 30.0) * (1 + kind))
     return slow / n
@@ -77,14 +77,14 @@
     for _ in range(200):
         request = f"l{next(driver.ids)}"
         driver.step(RequestArrived(request, 0, 0, None, driver.now + 900, False, 20.0))
-        driver.end(request, after=30.0, delay=20.0 + 20.0 * kinds[driver.sends[request][0]])
+        driver.end(request, after=30.0, delay=20.0 + 20.0 * kinds[driver.forwards[request][0]])
 
 
 @pytest.mark.parametrize("proxies", [3, 40])
 def test_work_too_large_for_a_slow_kind_goes_to_a_fast_one(proxies: int) -> None:
-    servers = [BackendInfo(f"10.0.0.{i}:80", kind=i % 2) for i in range(12)]
-    kinds = {s.backend_id: s.kind for s in servers}
-    driver = Driver(settings(RequestClass(300.0, 900.0), proxy_count=proxies), *servers)
+    backends = [BackendInfo(f"10.0.0.{i}:80", kind=i % 2) for i in range(12)]
+    kinds = {s.backend_id: s.kind for s in backends}
+    driver = Driver(settings(RequestClass(300.0, 900.0), proxy_count=proxies), *backends)
     learn_work_rates(driver, kinds)
     assert part_sent_to_slow_kind(driver, kinds, 20.0) > 0.2  # short work is done in time by either kind
     assert part_sent_to_slow_kind(driver, kinds, 90.0) == 0.0
@@ -93,29 +93,29 @@
 
 
 def test_a_few_fast_backends_do_not_get_all_the_large_work() -> None:
-    servers = [BackendInfo(f"10.0.0.{i}:80", kind=min(i, 1)) for i in range(12)]
-    kinds = {s.backend_id: s.kind for s in servers}
-    driver = Driver(settings(RequestClass(300.0, 900.0)), *servers)
+    backends = [BackendInfo(f"10.0.0.{i}:80", kind=min(i, 1)) for i in range(12)]
+    kinds = {s.backend_id: s.kind for s in backends}
+    driver = Driver(settings(RequestClass(300.0, 900.0)), *backends)
     learn_work_rates(driver, kinds)
     assert part_sent_to_slow_kind(driver, kinds, 90.0) > 0.5
 
 
 def test_one_failure_of_a_backend_seldom_used_is_remembered() -> None:
     driver = Driver(settings(proxy_count=8), *fleet(2))
-    bad = driver.sends[driver.arrive()][0]
+    bad = driver.forwards[driver.arrive()][0]
     driver.end("r0", AttemptResult.ERROR, done=True)
     for _ in range(10):
         driver.end(driver.arrive())
-        driver.beats(200)
-    later = [driver.sends[f"r{n}"][0] for n in range(1, 11)]
+        driver.run_ticks(200)
+    later = [driver.forwards[f"r{n}"][0] for n in range(1, 11)]
     assert later.count(bad) <= 3
 
 
 def test_larger_backends_are_drawn_more_often() -> None:
-    servers = [BackendInfo(f"10.0.0.{i}:80", weight=3.0 if i % 2 else 1.0) for i in range(6)]
-    driver = Driver(settings(proxy_count=8), *servers)
+    backends = [BackendInfo(f"10.0.0.{i}:80", weight=3.0 if i % 2 else 1.0) for i in range(6)]
+    driver = Driver(settings(proxy_count=8), *backends)
     for _ in range(400):
         driver.end(driver.arrive(), after=30.0)
-        driver.beat()
-    sent = Counter(int(s[0].split(".")[3].split(":")[0]) % 2 for s in driver.sends.values())
+        driver.tick()
+    sent = Counter(int(s[0].split(".")[3].split(":")[0]) % 2 for s in driver.forwards.values())
     assert sent[1] > 1.5 * sent[0]
--- a/tests/policy/test_client_retries.py
+++ b/tests/policy/test_client_retries.py
@@ -1,4 +1,4 @@
-"""Retries of clients, told by the time that is left to them."""
+"""Retries of clients, recognised by the time that is left to them."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 
 def test_arrivals_with_less_time_are_no_retries_unless_some_were_rejected() -> None:
-    # For a while three of four came with an eighth of the usual wait. Each looked like a repeat whose aim had
-    # long passed, and failed unsent beside idle servers.
+    # For a while three of four came with an eighth of the usual wait. Each looked like a retry whose
+    # objective had long passed, and failed unsent beside idle backends.
     for away, low, high in ((0.0, 30, 30), (100.0, 0, 0)):
         driver = Driver(settings(RequestClass(80.0, 400.0)), *fleet(4))
         sent = 0
         for number in range(40):
             driver.balancer.client_retries.expected = away
             request = driver.arrive(wait=45 if number % 4 else 398)
-            if request in driver.sends:
+            if request in driver.forwards:
                 sent += number % 4 > 0
                 driver.end(request, after=10.0)
         assert low <= sent <= high
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -8,13 +8,13 @@
 from tests.support import Driver, fleet, settings
 
 
-def limit_after(latencies: list[float], proxies: int, aim: float = 1000.0, start: float = 4.0) -> float:
-    server = Backend(fleet(1)[0], proxies)
-    server.limit = start
+def limit_after(latencies: list[float], proxies: int, objective: float = 1000.0, start: float = 4.0) -> float:
+    backend = Backend(fleet(1)[0], proxies)
+    backend.limit = start
     for latency in latencies:
-        server.peak_in_flight = max(server.peak_in_flight, int(max(1, server.limit)))
-        server.record_latency(latency, latency / aim)
-    return server.limit
+        backend.peak_in_flight = max(backend.peak_in_flight, int(max(1, backend.limit)))
+        backend.record_latency(latency, latency / objective)
+    return backend.limit
 
 
 def test_the_limit_grows_while_responses_are_quick_and_shrinks_when_they_wait() -> None:
@@ -28,8 +28,8 @@
 
 
 def test_the_limit_is_reduced_by_saturation_though_the_base_latency_is_high() -> None:
-    assert limit_after([150.0] * 200, 2, aim=300.0) == pytest.approx(1.0)
-    assert limit_after([150.0] * 200, 2, aim=3000.0) > 8
+    assert limit_after([150.0] * 200, 2, objective=300.0) == pytest.approx(1.0)
+    assert limit_after([150.0] * 200, 2, objective=3000.0) > 8
 
 
 def test_the_limit_recovers_after_saturation() -> None:
@@ -37,11 +37,11 @@
 
 
 def test_all_limits_are_reduced_when_all_backends_together_are_saturated() -> None:
-    """Two answers of each server say nothing of it alone; twenty servers together say enough."""
+    """Two responses of each backend say nothing of it alone; twenty backends together say enough."""
     driver = Driver(settings(proxy_count=4), *fleet(20))
-    servers = driver.balancer.backends.active
-    before = sum(s.limit for s in servers)
+    backends = driver.balancer.backends.active
+    before = sum(s.limit for s in backends)
     for _ in range(80):
         driver.end(driver.arrive(), after=150)
-    assert all(s.window_responses < 8 for s in servers)
-    assert sum(s.limit for s in servers) == pytest.approx(before / 2)  # two requests of all proxies at each
+    assert all(s.window_responses < 8 for s in backends)
+    assert sum(s.limit for s in backends) == pytest.approx(before / 2)  # two requests of all proxies at each
--- a/tests/policy/test_discovery_polling.py
+++ b/tests/policy/test_discovery_polling.py
@@ -22,39 +22,39 @@
 
 def test_discovery_is_polled_soon_and_after_failures_with_longer_waits() -> None:
     driver = Driver(settings(polls_discovery=True, proxy_count=3, max_poll_interval_ms=10_000.0), *fleet(1))
-    assert of(PollDiscovery, driver.beats(350))
+    assert of(PollDiscovery, driver.run_ticks(350))
     gaps = []
     for _ in range(8):
         driver.step(BackendListUpdate(ListUpdateKind.FAILED))
         start = driver.now
-        while not of(PollDiscovery, driver.beat()):
+        while not of(PollDiscovery, driver.tick()):
             pass
         gaps.append(driver.now - start)
     assert gaps[0] < 600 and gaps[-1] >= MAX_POLL_GAP_MS / 2 and max(gaps) <= MAX_POLL_GAP_MS + TICK_MS
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(1))))
-    assert not of(PollDiscovery, driver.beats(30_000))
+    assert not of(PollDiscovery, driver.run_ticks(30_000))
 
 
 @pytest.mark.parametrize("me", [0, 342, 684])
 def test_hundreds_of_proxies_poll_within_the_longest_interval(me: int) -> None:
-    """Past it a proxy counts as told of drains it has not heard of (incident i7da933)."""
+    """Past it a proxy counts as notified of drains it has not heard of (incident i7da933)."""
     driver = Driver(
         settings(polls_discovery=True, proxy_count=685, proxy_index=me, max_poll_interval_ms=10_000.0),
         *fleet(1),
     )
-    assert of(PollDiscovery, driver.beats(8_000))
+    assert of(PollDiscovery, driver.run_ticks(8_000))
 
 
 @pytest.mark.parametrize("proxies", [200, 1_000, 3_400])
 def test_after_failed_polls_hundreds_of_proxies_leave_discovery_capacity(proxies: int) -> None:
-    """All calls in a second: each must be told within 6 s of its return, so a sixth of them is the least."""
+    """Each proxy must be notified within 6 s of the return, so a sixth of them polls each second at least."""
     config = settings(polls_discovery=True, proxy_count=proxies, max_poll_interval_ms=10_000.0)
     asked: Counter[int] = Counter()
     for me in range(0, proxies, proxies // 200):
         driver = Driver(replace(config, proxy_index=me), *fleet(1), seed=me)
         end = driver.now + 30_000
         while driver.now < end:
-            if of(PollDiscovery, driver.beat()):
+            if of(PollDiscovery, driver.tick()):
                 asked[int(driver.now / 1000)] += proxies // 200
                 driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     later = [asked[second] for second in range(8, 29)]  # the first ones are soon made again, see above
@@ -66,33 +66,33 @@
     driver = Driver(settings(proxy_count=40, max_poll_interval_ms=10_000.0), *fleet(1))
     for _ in range(8):
         driver.step(BackendListUpdate(ListUpdateKind.FAILED))
-        assert of(PollDiscovery, driver.beats(250))
+        assert of(PollDiscovery, driver.run_ticks(250))
 
 
 @pytest.mark.parametrize("ask", [True, False])
 def test_a_long_outage_of_discovery_breaks_nothing(ask: bool) -> None:
-    # Two minutes and a half of refused calls are 1,024 of them, and a wait doubled so often is no number.
+    # Two minutes and a half of rejected calls are 1,024 of them, and a wait doubled so often is no number.
     driver = Driver(settings(polls_discovery=ask), *fleet(2))
     for _ in range(1_100):
         driver.step(BackendListUpdate(ListUpdateKind.FAILED), after=150.0)
-    assert of(PollDiscovery, driver.beats(10_000))
+    assert of(PollDiscovery, driver.run_ticks(10_000))
 
 
 def test_a_poll_that_nothing_is_heard_of_is_repeated() -> None:
     driver = Driver(settings(polls_discovery=True, max_poll_interval_ms=10_000.0), *fleet(1))
-    assert len(of(PollDiscovery, driver.beats(12_000))) >= 2
+    assert len(of(PollDiscovery, driver.run_ticks(12_000))) >= 2
 
 
 def test_a_failed_poll_of_a_service_just_moved_to_is_repeated_at_once() -> None:
-    # Its news counts as told 4 s after the move: the wait that failures of the old one had grown is too long.
+    # Its updates count as notified 4 s after the move: the wait grown by earlier failures is too long.
     driver = Driver(settings(polls_discovery=True), *fleet(2))
     for _ in range(6):
         driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     assert of(PollDiscovery, driver.step(DiscoveryMoved()))
     for _ in range(3):
         driver.step(BackendListUpdate(ListUpdateKind.FAILED))
-        assert of(PollDiscovery, driver.beats(250))
+        assert of(PollDiscovery, driver.run_ticks(250))
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(2))))
-    assert not of(PollDiscovery, driver.beats(20_000))  # the watch stands
+    assert not of(PollDiscovery, driver.run_ticks(20_000))  # the watch stands
     driver.step(BackendListUpdate(ListUpdateKind.FAILED))
-    assert not of(PollDiscovery, driver.beats(200))
+    assert not of(PollDiscovery, driver.run_ticks(200))
--- a/tests/policy/test_dispatcher.py
+++ b/tests/policy/test_dispatcher.py
@@ -18,9 +18,9 @@
 def test_requests_over_the_limit_wait_and_the_head_goes_when_one_ends() -> None:
     driver = Driver(settings(proxy_count=4), *fleet(1))
     first, second, third = driver.arrive(), driver.arrive(), driver.arrive()
-    assert list(driver.sends) == [first]
+    assert list(driver.forwards) == [first]
     assert [s.request_id for s in of(Forward, driver.end(first))] == [second]
-    assert third not in driver.sends
+    assert third not in driver.forwards
 
 
 def test_the_head_that_waited_the_largest_part_of_its_objective_goes_first() -> None:
@@ -32,32 +32,32 @@
     driver.now += 10
     pressed = driver.arrive(1, wait=3000)
     assert [s.request_id for s in of(Forward, driver.end(first))] == [pressed]
-    assert older not in driver.sends
+    assert older not in driver.forwards
 
 
 def test_limits_below_one_add_up_to_a_limit_on_all_in_flight() -> None:
     driver = Driver(settings(proxy_count=4), *fleet(8))
-    for server in driver.balancer.backends.active:
-        server.limit = 0.25
+    for backend in driver.balancer.backends.active:
+        backend.limit = 0.25
     for _ in range(8):
         driver.arrive()
-    assert len(driver.sends) == 2
+    assert len(driver.forwards) == 2
     driver.end("r0")
-    assert len(driver.sends) == 3
+    assert len(driver.forwards) == 3
 
 
 def test_backends_that_hang_do_not_use_up_the_sum_of_limits() -> None:
     driver = Driver(settings(proxy_count=4), *fleet(8))
     for _ in range(20):
         driver.end(driver.arrive(), after=20)
-    for server in driver.balancer.backends.active:
-        server.limit = 0.25
-    held = [driver.arrive() for _ in range(3)]
-    assert [name in driver.sends for name in held] == [True, True, False]
+    for backend in driver.balancer.backends.active:
+        backend.limit = 0.25
+    queued = [driver.arrive() for _ in range(3)]
+    assert [name in driver.forwards for name in queued] == [True, True, False]
     driver.step(after=30)
-    assert held[2] not in driver.sends  # an answer may still be on its way
+    assert queued[2] not in driver.forwards  # a response may still be on its way
     driver.step(after=30)
-    assert held[2] in driver.sends
+    assert queued[2] in driver.forwards
 
 
 def test_arrival_order_is_kept_within_a_queue() -> None:
@@ -65,4 +65,4 @@
     names = [driver.arrive(wait=5000) for _ in range(3)]
     driver.end(names[0])
     driver.end(names[1])
-    assert list(driver.sends) == names
+    assert list(driver.forwards) == names
--- a/tests/policy/test_feedback.py
+++ b/tests/policy/test_feedback.py
@@ -13,15 +13,15 @@
     driver = Driver(settings(NON_IDEMPOTENT), *fleet(1))
     for _ in range(40):
         driver.end(driver.arrive(), after=50)
-    server = driver.balancer.backends.active[0]
-    before = server.limit, server.payoff, server.consecutive_failures
+    backend = driver.balancer.backends.active[0]
+    before = backend.limit, backend.payoff, backend.consecutive_failures
     driver.end(driver.arrive(), AttemptResult.TIMEOUT, after=20)
-    assert (server.limit, server.payoff, server.consecutive_failures) == before
+    assert (backend.limit, backend.payoff, backend.consecutive_failures) == before
 
 
 @pytest.mark.parametrize("result", [AttemptResult.NO_LOCAL_RESOURCE, AttemptResult.BAD_REQUEST])
 def test_what_is_not_the_backends_doing_says_nothing_of_it(result: AttemptResult) -> None:
-    # Our own lack of descriptors, or a request at fault itself, must not take a healthy server out.
+    # Our own lack of descriptors, or a request at fault itself, must not take a healthy backend out.
     driver = Driver(settings(), *fleet(2))
     before = [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.backends.active]
     for _ in range(6):
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -131,9 +131,9 @@
         arrival,
     )
     failed = {"what": "Reply", "Call": "a", "Leg": 0, "How": "error", "DelaySeenMs": 5.0, "Finished": True}
-    (told,) = [cmd for cmd in batch(5.0, failed) if cmd["what"] == "Notify"]
-    assert told["Recipient"] == "all"
-    heard = {"what": "FromPeer", "Raw": told["Raw"]}
+    (notified,) = [cmd for cmd in batch(5.0, failed) if cmd["what"] == "Notify"]
+    assert notified["Recipient"] == "all"
+    heard = {"what": "FromPeer", "Raw": notified["Raw"]}
     batch(10.0, heard | {"SrcPeer": 7}, heard | {"SrcPeer": 8})
-    (server,) = host.instances[0][0].backends.by_id.values()
-    assert [by for _, by in server.failure_reports] == [0, 7, 8]
+    (backend,) = host.instances[0][0].backends.by_id.values()
+    assert [by for _, by in backend.failure_reports] == [0, 7, 8]
--- a/tests/policy/test_in_flight_limit.py
+++ b/tests/policy/test_in_flight_limit.py
@@ -13,8 +13,8 @@
 def run_requests(driver: Driver, n: int, delay: float) -> None:
     for _ in range(n):
         request = driver.arrive(wait=5000)
-        driver.beats(1000)
-        if request in driver.sends:
+        driver.run_ticks(1000)
+        if request in driver.forwards:
             driver.end(request, after=0.0, delay=delay)
 
 
@@ -23,13 +23,13 @@
     run_requests(driver, 20, 50.0)
     calm = driver.balancer.in_flight.limit
     run_requests(driver, 20, 290.0)
-    crowded = driver.balancer.in_flight.limit
+    overloaded = driver.balancer.in_flight.limit
     run_requests(driver, 60, 50.0)
-    assert crowded < calm / 4 and driver.balancer.in_flight.limit > 2 * crowded
+    assert overloaded < calm / 4 and driver.balancer.in_flight.limit > 2 * overloaded
 
 
 def test_work_of_uneven_size_is_not_taken_for_overload() -> None:
-    """A first answer of 5 ms made the usual ones, ten times as long, look late: the limit fell to nothing."""
+    """A first response of 5 ms made usual ones, ten times as long, look late: the limit fell to nothing."""
     driver = Driver(settings(RequestClass(1000.0, 5000.0), proxy_count=40, zone_count=2), *fleet(20))
     run_requests(driver, 1, 5.0)
     calm = driver.balancer.in_flight.limit
@@ -43,7 +43,7 @@
     driver = Driver(settings(**SPARSE), *fleet(40))
     run_requests(driver, 10, 50.0)
     names = [driver.arrive(wait=5000), driver.arrive(wait=5000)]
-    assert all(name in driver.sends for name in names)
+    assert all(name in driver.forwards for name in names)
 
 
 def test_under_a_small_limit_a_burst_is_queued() -> None:
@@ -51,7 +51,7 @@
     run_requests(driver, 10, 50.0)
     driver.balancer.in_flight.limit = 0.1
     names = [driver.arrive(wait=5000) for _ in range(20)]
-    assert 1 <= sum(name in driver.sends for name in names) <= 6
+    assert 1 <= sum(name in driver.forwards for name in names) <= 6
 
 
 @pytest.mark.parametrize(
@@ -61,14 +61,14 @@
 def test_a_backend_that_hangs_does_not_use_up_the_limit(
     result: AttemptResult, delay: float, times: int
 ) -> None:
-    """Time spent on a silent one was counted as load: the next half second waited beside idle servers."""
+    """Time spent on an unresponsive one was counted as load: the next 0.5 s waited beside idle backends."""
     driver = Driver(settings(RequestClass(900.0, 5000.0), **SPARSE), *fleet(40))
     run_requests(driver, 20, 40.0)
     driver.balancer.in_flight.limit = 1.0
-    driver.beats(1000)
+    driver.run_ticks(1000)
     for _ in range(times):
         driver.end(driver.arrive(wait=5000), result, after=0.0, delay=delay, done=True)
-    assert driver.arrive(wait=5000) in driver.sends
+    assert driver.arrive(wait=5000) in driver.forwards
 
 
 def test_responses_that_all_take_long_use_up_the_limit() -> None:
@@ -78,7 +78,7 @@
     sent = []
     for _ in range(20):
         request = driver.arrive(wait=5000)
-        sent.append(request in driver.sends)
+        sent.append(request in driver.forwards)
         if sent[-1]:
             driver.end(request, after=0.0, delay=400.0)
     assert 1 <= sum(sent) <= 6
--- a/tests/policy/test_latency_tracker.py
+++ b/tests/policy/test_latency_tracker.py
@@ -29,7 +29,7 @@
     driver = Driver(settings(), *fleet(1))
     for _ in range(20):
         driver.end(driver.arrive(), after=0.0)
-    assert len(driver.sends) == 20
+    assert len(driver.forwards) == 20
 
 
 def test_attempts_given_up_raise_the_usual_latency() -> None:
--- a/tests/policy/test_list_updates.py
+++ b/tests/policy/test_list_updates.py
@@ -25,7 +25,7 @@
     driver.step(delta("10.0.0.0:80", state))
     for _ in range(10):
         driver.end(driver.arrive())
-    assert {s for sends in driver.sends.values() for s in sends} == {"10.0.0.1:80"}
+    assert {s for sends in driver.forwards.values() for s in sends} == {"10.0.0.1:80"}
 
 
 def test_a_snapshot_without_a_backend_removes_it() -> None:
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -27,12 +27,12 @@
     first: list[str] = []
     for _ in range(100):
         request = driver.arrive()
-        first.append(driver.sends[request][0])
+        first.append(driver.forwards[request][0])
         for attempt in range(4):
-            if len(driver.sends[request]) > attempt:
-                near = driver.sends[request][attempt].split(".")[2] == "0"
+            if len(driver.forwards[request]) > attempt:
+                near = driver.forwards[request][attempt].split(".")[2] == "0"
                 driver.end(request, AttemptResult.CONNECT_FAILED if near else AttemptResult.OK, after=1.0)
-        driver.beats(100)
+        driver.run_ticks(100)
     assert sum(s.split(".")[2] == "1" for s in first[60:]) > 15
 
 
@@ -41,13 +41,13 @@
     sends = 0
     for _ in range(arrivals):
         request = driver.arrive()
-        there = driver.sends[request][0] == bad
+        there = driver.forwards[request][0] == bad
         sends += there
         fails = there and sends % 3 != 0
         driver.end(
             request, AttemptResult.ERROR if fails else AttemptResult.OK, after=10.0, done=True, delay=40.0
         )
-        driver.beat(after=30.0)
+        driver.tick(after=30.0)
     return sends
 
 
@@ -55,21 +55,21 @@
     driver = Driver(settings(proxy_count=40), *fleet(30))
     bad = driver.balancer.backends.subset[0]
     assert forwards_to_failing_backend(driver, bad.id, 250) <= 12  # an even share would be 20
-    assert bad.ejection_ms > 1000.0  # and a success between two failures does not start its rests anew
+    assert bad.ejection_ms > 1000.0  # and a success between two failures does not reset its ejection
     bad.ejected_until = driver.now + 3000.0
-    driver.beats(1100)
+    driver.run_ticks(1100)
     assert bad not in driver.balancer.backends.subset and len(driver.balancer.backends.subset) >= 8
 
 
 def fail_one(driver: Driver, result: AttemptResult) -> tuple[str, list[SendGossip]]:
     request = driver.arrive()
-    return driver.sends[request][0], of(SendGossip, driver.end(request, result, done=True))
+    return driver.forwards[request][0], of(SendGossip, driver.end(request, result, done=True))
 
 
 def test_a_failure_is_reported_and_one_that_may_be_load_is_not() -> None:
     driver = Driver(settings(**GOSSIPING), *fleet(30))
-    name, (tell,) = fail_one(driver, AttemptResult.ERROR)
-    assert tell.payload == b"\x01" + driver.balancer.backends.by_id[name].name_hash.to_bytes(4, "big")
+    name, (gossip,) = fail_one(driver, AttemptResult.ERROR)
+    assert gossip.payload == b"\x01" + driver.balancer.backends.by_id[name].name_hash.to_bytes(4, "big")
     for result in (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.REJECTED):
         assert fail_one(driver, result)[1] == []
     alone = Driver(settings(proxy_count=3, may_gossip=True), *fleet(30))
@@ -78,26 +78,26 @@
 
 
 @pytest.mark.parametrize(
-    ("tellers", "apart", "ejected"),
+    ("senders", "apart", "ejected"),
     [((1, 2, 1), 10.0, True), ((1, 1, 1), 10.0, False), ((1, 2, 3), 600.0, False)],
 )
 def test_a_backend_that_other_proxies_see_fail_is_ejected(
-    tellers: tuple[int, ...], apart: float, ejected: bool
+    senders: tuple[int, ...], apart: float, ejected: bool
 ) -> None:
     driver = Driver(settings(**GOSSIPING), *fleet(30))
-    server = driver.balancer.backends.subset[0]
-    for teller in tellers:
-        driver.step(GossipReceived(teller, b"\x01" + server.name_hash.to_bytes(4, "big")), after=apart)
-    assert (not server.has_capacity(driver.now)) == ejected
-    driver.beats(2000)  # longer than its first rest may last
-    assert server.has_capacity(driver.now)
+    backend = driver.balancer.backends.subset[0]
+    for sender in senders:
+        driver.step(GossipReceived(sender, b"\x01" + backend.name_hash.to_bytes(4, "big")), after=apart)
+    assert (not backend.has_capacity(driver.now)) == ejected
+    driver.run_ticks(2000)  # longer than its first ejection may last
+    assert backend.has_capacity(driver.now)
 
 
 def test_other_proxies_cannot_eject_most_backends() -> None:
     driver = Driver(settings(**GOSSIPING), *fleet(10))
     data = b"\x01" + b"".join(s.name_hash.to_bytes(4, "big") for s in driver.balancer.backends.active)
-    for teller in (1, 2, 3):
-        driver.step(GossipReceived(teller, data))
+    for sender in (1, 2, 3):
+        driver.step(GossipReceived(sender, data))
     assert sum(s.has_capacity(driver.now) for s in driver.balancer.backends.active) == 5
 
 
@@ -112,20 +112,20 @@
         )
     )
     for data in (b"", b"\x01", b"\x01abc", b"\x01abcd", b"\x02" + gone, b"\x01" + gone):
-        for teller in (1, 2, 3):
-            driver.step(GossipReceived(teller, data), own)
+        for sender in (1, 2, 3):
+            driver.step(GossipReceived(sender, data), own)
     assert all(s.has_capacity(driver.now) for s in driver.balancer.backends.active)
 
 
 def fail_often(
-    driver: Driver, server: int, times: int, result: AttemptResult = AttemptResult.ERROR
+    driver: Driver, backend: int, times: int, result: AttemptResult = AttemptResult.ERROR
 ) -> list[Any]:
     actions: list[Any] = []
     for other in driver.balancer.backends.active:
-        other.ejected_until = 0.0 if other is driver.balancer.backends.active[server] else driver.now + 1e9
+        other.ejected_until = 0.0 if other is driver.balancer.backends.active[backend] else driver.now + 1e9
     for _ in range(times):
         driver.balancer.retry_policy.budget = 0.0
-        if not driver.balancer.backends.active[server].has_capacity(driver.now):
+        if not driver.balancer.backends.active[backend].has_capacity(driver.now):
             break
         actions += driver.end(driver.arrive(), result)
     return actions
@@ -133,16 +133,16 @@
 
 def test_an_outlier_is_ejected_and_comes_back_on_trial() -> None:
     driver = Driver(settings(NON_IDEMPOTENT), *fleet(4))
-    server = driver.balancer.backends.active[0]
+    backend = driver.balancer.backends.active[0]
     assert [a for a in fail_often(driver, 0, 10) if isinstance(a, BackendEjected)]
-    assert not server.has_capacity(driver.now)
-    driver.now = server.ejected_until + 1
-    assert server.has_capacity(driver.now)
-    server.in_flight = 1
-    assert not server.has_capacity(driver.now)  # one on trial, not a full load
-    server.in_flight = 0
+    assert not backend.has_capacity(driver.now)
+    driver.now = backend.ejected_until + 1
+    assert backend.has_capacity(driver.now)
+    backend.in_flight = 1
+    assert not backend.has_capacity(driver.now)  # one on trial, not a full load
+    backend.in_flight = 0
     driver.end(driver.arrive())
-    assert server.consecutive_failures == 0
+    assert backend.consecutive_failures == 0
 
 
 def test_never_more_than_half_are_ejected() -> None:
@@ -154,6 +154,6 @@
 
 def test_none_is_ejected_when_all_serve_alike() -> None:
     driver = Driver(settings(NON_IDEMPOTENT), *fleet(4))
-    for server in driver.balancer.backends.active:
-        server.payoff = 0.2
+    for backend in driver.balancer.backends.active:
+        backend.payoff = 0.2
     assert not [a for a in fail_often(driver, 0, 4) if isinstance(a, BackendEjected)]
--- a/tests/policy/test_overload_detector.py
+++ b/tests/policy/test_overload_detector.py
@@ -44,7 +44,7 @@
 
 
 def test_the_release_is_longer_only_where_overload_returns_soon() -> None:
-    # After each short spike it was kept out for four aims, and servers stood idle meanwhile.
+    # After each short spike it was shed for four objectives, and backends stood idle meanwhile.
     detector = OverloadDetector(300.0, 1.0)
 
     def flags(every: float, times: int) -> float:
--- a/tests/policy/test_pinned_retries.py
+++ b/tests/policy/test_pinned_retries.py
@@ -37,7 +37,7 @@
         driver = Driver(settings(spec), *three_cells(), seed=seed)
         request = driver.arrive()
         assert len(of(Forward, driver.end(request, AttemptResult.ERROR))) == 1
-        one, two = driver.sends[request]
+        one, two = driver.forwards[request]
         assert one.split(".")[2] == two.split(".")[2] and one != two
 
 
@@ -62,29 +62,29 @@
 def test_without_capacity_in_its_scope_a_keyed_retry_fails_rather_than_leave_it() -> None:
     driver = Driver(settings(KEYED), *three_cells())
     request = driver.arrive()
-    home = driver.sends[request][0].split(".")[2]
-    for server in driver.balancer.backends.active:
-        if str(server.cell) == home:
-            server.ejected_until = driver.now + 10_000
+    home = driver.forwards[request][0].split(".")[2]
+    for backend in driver.balancer.backends.active:
+        if str(backend.cell) == home:
+            backend.ejected_until = driver.now + 10_000
     driver.end(request, AttemptResult.ERROR)
-    actions = driver.beats(250)
+    actions = driver.run_ticks(250)
     assert of(Fail, actions) and not of(Forward, actions)
 
 
 def test_a_keyed_retry_waits_for_capacity_in_its_scope_within_its_window() -> None:
-    # Now or never, it failed although a server of its group had room a moment later.
-    for rest, sent in ((60.0, True), (190.0, False)):
+    # Now or never, it failed although a backend of its scope had capacity a moment later.
+    for ejected_ms, sent in ((60.0, True), (190.0, False)):
         driver = Driver(settings(KEYED), *three_cells())
         request = driver.arrive()
-        home = driver.sends[request][0].split(".")[2]
-        for server in driver.balancer.backends.active:
-            if str(server.cell) == home:
-                server.ejected_until = driver.now + rest
+        home = driver.forwards[request][0].split(".")[2]
+        for backend in driver.balancer.backends.active:
+            if str(backend.cell) == home:
+                backend.ejected_until = driver.now + ejected_ms
         driver.end(request, AttemptResult.ERROR)
-        assert len(driver.sends[request]) == 1
-        actions = driver.beats(250)
+        assert len(driver.forwards[request]) == 1
+        actions = driver.run_ticks(250)
         assert bool(of(Forward, actions)) is sent and bool(of(Fail, actions)) is not sent
-        assert {name.split(".")[2] for name in driver.sends[request]} == {home}
+        assert {name.split(".")[2] for name in driver.forwards[request]} == {home}
         assert not driver.balancer.pinned_retries.waiting
 
 
@@ -100,7 +100,7 @@
     request = driver.arrive()
     driver.balancer.backends.active[0].ejected_until = driver.now + 150
     driver.end(request, AttemptResult.ERROR)
-    assert not of(Forward, driver.beats(250))
+    assert not of(Forward, driver.run_ticks(250))
 
 
 def test_a_keyed_retry_goes_to_the_cell_of_its_first_attempt_though_the_backend_moves() -> None:
@@ -110,9 +110,9 @@
     request = driver.arrive()
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, (first._replace(cell=1), second)))
     driver.end(request, AttemptResult.ERROR)
-    driver.beats(100)
-    assert driver.sends[request] == [
+    driver.run_ticks(100)
+    assert driver.forwards[request] == [
         first.backend_id
-    ]  # its cell has no server left; cell 1 never saw the key
+    ]  # its cell has no backend left; cell 1 never saw the key
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, (second._replace(cell=0),)))
-    assert driver.sends[request] == [first.backend_id, second.backend_id]
+    assert driver.forwards[request] == [first.backend_id, second.backend_id]
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -85,7 +85,7 @@
 
 @dataclass
 class Sent:
-    server: str
+    backend: str
     at: float
     limit: float
     home: BackendInfo  # where it was listed when this was sent: that group has seen the key
@@ -102,7 +102,7 @@
 
 
 class Oracle:
-    """Plays clients, servers' outcomes and the list; checks each action against the rules."""
+    """Plays clients, backends' outcomes and the list; checks each action against the rules."""
 
     def __init__(self, config: Settings, seed: int) -> None:
         self.config, self.balancer, self.now = config, Balancer(config, seed), 0.0
@@ -147,7 +147,7 @@
         spec = CLASSES[request.cls]
         assert not request.over, "sent after its end"
         entry = self.listed[action.backend_id]
-        assert entry.state is BackendState.ACTIVE, "sent to a server that drains or is gone"
+        assert entry.state is BackendState.ACTIVE, "sent to a backend that drains or is gone"
         assert len(request.attempts) < self.config.max_attempts
         ran = self.may_have_run(request)
         if not self.config.may_hedge:
@@ -235,7 +235,7 @@
     st.lists(ENTRY, max_size=6),
     st.lists(MOVE, min_size=10, max_size=70),
 )
-def test_rules_hold_when_most_servers_are_beyond_the_kept(
+def test_rules_hold_when_most_backends_are_unsubscribed(
     config: Settings, seed: int, first: list[BackendInfo], moves: list[tuple[str, object, object]]
 ) -> None:
     with (
--- a/tests/policy/test_queue_timeouts.py
+++ b/tests/policy/test_queue_timeouts.py
@@ -12,28 +12,28 @@
 def test_a_request_that_cannot_be_useful_is_failed_while_queued() -> None:
     driver = Driver(settings(proxy_count=4), *fleet(1))
     driver.arrive()
-    held = driver.arrive()
-    assert [f.request_id for f in of(Fail, driver.beats(325))] == [held]
+    queued = driver.arrive()
+    assert [f.request_id for f in of(Fail, driver.run_ticks(325))] == [queued]
 
 
 def test_a_request_never_sent_is_failed_before_half_its_wait() -> None:
     # Told later, its client has no time for another try, and nothing was ever done for it.
     driver = Driver(settings(RequestClass(5000.0, 9000.0), proxy_count=4), *fleet(1))
     driver.arrive(wait=1000)
-    held = driver.arrive(wait=1000)
-    assert not of(Fail, driver.beats(400))
-    assert [f.request_id for f in of(Fail, driver.beats(75))] == [held]
+    queued = driver.arrive(wait=1000)
+    assert not of(Fail, driver.run_ticks(400))
+    assert [f.request_id for f in of(Fail, driver.run_ticks(75))] == [queued]
 
 
 def test_a_late_response_is_waited_for_only_without_overload() -> None:
     spec = RequestClass(300.0, 1000.0, late_weight=0.3)
     driver = Driver(settings(spec, proxy_count=4), *fleet(1))
-    first, held = driver.arrive(), driver.arrive()
+    first, queued = driver.arrive(), driver.arrive()
     driver.balancer.queues[0].overload_ratio = lambda now: 0.0  # type: ignore[method-assign]
-    assert not of(Fail, driver.beats(400))
+    assert not of(Fail, driver.run_ticks(400))
     driver.balancer.queues[0].overload_ratio = lambda now: 2.0  # type: ignore[method-assign]
-    assert [f.request_id for f in of(Fail, driver.beats(75))] == [held]
-    assert first in driver.sends
+    assert [f.request_id for f in of(Fail, driver.run_ticks(75))] == [queued]
+    assert first in driver.forwards
 
 
 def test_a_request_without_time_left_is_failed_at_once() -> None:
@@ -45,4 +45,4 @@
 def test_without_a_backend_a_request_is_failed_in_time() -> None:
     driver = Driver(settings())
     request = driver.arrive(wait=200)
-    assert [f.request_id for f in of(Fail, driver.beats(175))] == [request]
+    assert [f.request_id for f in of(Fail, driver.run_ticks(175))] == [request]
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -1,4 +1,4 @@
-"""After a trouble ends, what was learned from it wears off: limits, payoffs, rests and flags."""
+"""After a fault ends, what was learned from it wears off: limits, payoffs, ejections and verdicts."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from dunecove.policy.settings import RequestClass
 from tests.support import Driver, fleet, of, settings
 
-RECOVERY_MS = 12_000  # stated in docs/on-call.md: the longest rest (8 s and a quarter), then its trial
+RECOVERY_MS = 12_000  # stated in docs/on-call.md: the longest ejection (8 s and a quarter), then its trial
 STEP_MS = 10  # one arrival each
 USUAL_MS = 20.0
 
 
 class Script:
-    """Feeds one arrival each step and answers each send as told for its server; nothing is modelled."""
+    """Feeds one arrival each step and ends each attempt as set for its backend; nothing is modelled."""
 
-    def __init__(self, servers: int) -> None:
+    def __init__(self, backends: int) -> None:
         classes = (
             RequestClass(300.0, 1000.0, priority_weight=1.0),
             RequestClass(300.0, 1000.0, priority_weight=0.1),
         )
-        self.driver = Driver(settings(*classes), *fleet(servers))
+        self.driver = Driver(settings(*classes), *fleet(backends))
         self.due: list[tuple[float, str, int, AttemptResult, float]] = []
         self.tries: Counter[str] = Counter()
         self.sent: Counter[str] = Counter()
 
     def run(self, ms: int, answers: dict[str, tuple[AttemptResult, float]]) -> None:
-        """`answers` by server, others as usual; counts sends by server of this run."""
+        """`answers` by backend, others as usual; counts sends by backend of this run."""
         self.sent.clear()
         driver = self.driver
         for n in range(ms // STEP_MS):
-            self.take(driver.beat(STEP_MS) if n % 3 == 0 else driver.step(after=STEP_MS), answers)
+            self.take(driver.tick(STEP_MS) if n % 3 == 0 else driver.step(after=STEP_MS), answers)
             while self.due and self.due[0][0] <= driver.now:
                 _, request, attempt, result, delay = heappop(self.due)
                 self.take(
@@ -57,13 +57,13 @@
             self.tries[send.request_id] += 1
 
 
-def all_of(servers: int, result: AttemptResult, delay: float) -> dict[str, tuple[AttemptResult, float]]:
-    return {s.backend_id: (result, delay) for s in fleet(servers)}
+def all_of(backends: int, result: AttemptResult, delay: float) -> dict[str, tuple[AttemptResult, float]]:
+    return {s.backend_id: (result, delay) for s in fleet(backends)}
 
 
-TROUBLES = {
+FAULTS = {
     "all slow": all_of(4, AttemptResult.OK, 290.0),
-    "all beyond the aim": all_of(4, AttemptResult.OK, 600.0),
+    "all beyond the objective": all_of(4, AttemptResult.OK, 600.0),
     "all full": all_of(4, AttemptResult.REJECTED, 2.0),
     "all fail": all_of(4, AttemptResult.ERROR, 5.0),
     "none answers": all_of(4, AttemptResult.OK, 1e6),
@@ -74,25 +74,29 @@
 }
 
 
-@pytest.mark.parametrize("name", TROUBLES)
-def test_what_a_trouble_taught_wears_off(name: str) -> None:
+@pytest.mark.parametrize("name", FAULTS)
+def test_what_a_fault_taught_wears_off(name: str) -> None:
     script = Script(4)
     script.run(5_000, {})
-    script.run(8_000, TROUBLES[name])
+    script.run(8_000, FAULTS[name])
     script.run(RECOVERY_MS, {})
     script.run(2_000, {})
     balancer = script.driver.balancer
     assert [e.overload_ratio(script.driver.now) for e in balancer.queues] == [0.0]
-    assert sum(script.sent.values()) >= 0.98 * 2_000 / STEP_MS  # level 4 is let in again, nothing is held
+    assert sum(script.sent.values()) >= 0.98 * 2_000 / STEP_MS  # level 4 is admitted again, nothing is queued
     fair = sum(script.sent.values()) / 4
-    for server in balancer.backends.active:
-        assert server.consecutive_failures == 0 and server.ejected_until <= script.driver.now
-        assert server.payoff > 0.9, server.id
+    for backend in balancer.backends.active:
+        assert backend.consecutive_failures == 0 and backend.ejected_until <= script.driver.now
+        assert backend.payoff > 0.9, backend.id
         # Room for all of the traffic at the usual latency, and its part of it.
-        assert server.limit >= 2 and script.sent[server.id] > fair / 2, (server.id, server.limit, script.sent)
+        assert backend.limit >= 2 and script.sent[backend.id] > fair / 2, (
+            backend.id,
+            backend.limit,
+            script.sent,
+        )
 
 
-def test_servers_that_were_away_are_used_as_before() -> None:
+def test_backends_that_were_away_are_used_as_before() -> None:
     script = Script(4)
     script.run(5_000, {})
     gone = fleet(4, state=BackendState.REMOVED)
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -35,7 +35,7 @@
     driver = Driver(settings(NON_IDEMPOTENT), *fleet(3))
     request = driver.arrive()
     again = of(Forward, driver.end(request, result))
-    assert len(again) == 1 and again[0].backend_id != driver.sends[request][0]
+    assert len(again) == 1 and again[0].backend_id != driver.forwards[request][0]
 
 
 def test_attempts_are_limited() -> None:
@@ -52,23 +52,23 @@
 
 
 def test_a_late_attempt_is_neither_cancelled_nor_hedged() -> None:
-    """Servers go on with cancelled work: a second attempt beside it adds load where there is least room."""
+    """Backends go on with cancelled work: a second attempt adds load where there is least capacity."""
     driver = Driver(settings(), *fleet(2))
     request = driver.arrive()
-    assert not of(CancelAttempt, driver.beats(275)) and len(driver.sends[request]) == 1
+    assert not of(CancelAttempt, driver.run_ticks(275)) and len(driver.forwards[request]) == 1
 
 
 def test_a_bad_request_is_not_retried() -> None:
     driver = Driver(settings(), *fleet(2))
     request = driver.arrive()
-    assert of(Fail, driver.end(request, AttemptResult.BAD_REQUEST)) and len(driver.sends[request]) == 1
+    assert of(Fail, driver.end(request, AttemptResult.BAD_REQUEST)) and len(driver.forwards[request]) == 1
 
 
 def test_a_request_that_found_no_connection_is_retried_whatever_its_class() -> None:
     driver = Driver(settings(NON_IDEMPOTENT), *fleet(2))
     request = driver.arrive()
     driver.end(request, AttemptResult.NO_LOCAL_RESOURCE)
-    assert len(driver.sends[request]) == 2
+    assert len(driver.forwards[request]) == 2
 
 
 @pytest.mark.parametrize("effect", list(Idempotency))
@@ -80,11 +80,11 @@
     tried = 0
     while driver.now < begun + 200.0:
         actions = driver.step()
-        if len(driver.sends[request]) > tried:
+        if len(driver.forwards[request]) > tried:
             tried += 1
             actions += driver.end(request, AttemptResult.NO_LOCAL_RESOURCE, after=0.1)
-        actions += driver.beat()
+        actions += driver.tick()
         assert of(Fail, actions) == []
-    driver.beats(500.0)
-    assert len(driver.sends[request]) == tried + 1
+    driver.run_ticks(500.0)
+    assert len(driver.forwards[request]) == tried + 1
     assert of(Fail, driver.end(request)) == []
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""A cold server under the sum of what all proxies send it, as the acceptance counts it."""
+"""A cold backend gets no more than it can take from all proxies together."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 class Fleet:
-    """Proxies, each a module of its own, before warm servers that answer all they get after the same time."""
+    """Proxies, each a balancer of its own, before warm backends that respond to all after the same time."""
 
     def __init__(self, proxies: int, warm: int, each: float, shares: list[float], seed: int = 1) -> None:
-        self.proxies, self.each, self.shares = proxies, each, shares  # each: requests/s a warm server can do
+        self.proxies, self.each, self.shares = proxies, each, shares  # each: requests/s a warm backend can do
         self.random, self.ids, self.now = Random(seed), count(), 100_000.0
-        self.servers = [BackendInfo(f"10.0.0.{n}:80") for n in range(warm)]
+        self.backends = [BackendInfo(f"10.0.0.{n}:80") for n in range(warm)]
         self.modules: dict[int, Balancer] = {}
         self.due: list[tuple[float, int, int, object]] = []
         self.sent: dict[str, list[float]] = {}  # when something was sent to each cold one
@@ -52,7 +52,7 @@
             may_gossip=True,
         )
         self.modules[me] = Balancer(config, self.random.getrandbits(32))
-        self.tell(me, ListUpdateKind.CACHED, self.servers)
+        self.tell(me, ListUpdateKind.CACHED, self.backends)
 
     def tell(self, me: int, kind: ListUpdateKind, entries: list[BackendInfo]) -> None:
         self.step(me, BackendListUpdate(kind, tuple(entries)))
@@ -68,8 +68,8 @@
                 heappush(self.due, (self.now + queue_timeouts.TICK_MS, next(self.ids), me, TimerFired(0)))
 
     def run(self, ms: float, load: float) -> None:
-        """`load`: of what all servers can do together when warm, over all proxies by their shares."""
-        end, total = self.now + ms, load * self.each * len(self.servers) / 1000
+        """`load`: of what all backends can do together when warm, over all proxies by their shares."""
+        end, total = self.now + ms, load * self.each * len(self.backends) / 1000
         following = self.now + self.random.expovariate(total) if total else end
         while self.now < end:
             self.now = min(end, following, self.due[0][0])
@@ -82,15 +82,19 @@
                 following = self.now + self.random.expovariate(total)
 
     def join(self, cold: int, clock_off_ms: float = 0.0) -> None:
-        """Cold servers that all learn of at once, by a clock that may be off from that of the proxies."""
+        """Cold backends that all learn of at once, by a clock that may be off from that of the proxies."""
         started = self.now + clock_off_ms
         new = [BackendInfo(f"10.9.9.{n}:80", started_at=started) for n in range(cold)]
-        self.sent, self.born, self.servers = {s.backend_id: [] for s in new}, self.now, [*self.servers, *new]
+        self.sent, self.born, self.backends = (
+            {s.backend_id: [] for s in new},
+            self.now,
+            [*self.backends, *new],
+        )
         for me in self.modules:
             self.tell(me, ListUpdateKind.DELTA, new)
 
     def worst(self) -> float:
-        """The greatest part of its bound that any cold server got in any window; above 1 it falls over."""
+        """The greatest part of its bound that any cold backend got in any window; above 1 it falls over."""
         return max(self.part(sent) for sent in self.sent.values())
 
     def part(self, sent: list[float]) -> float:
@@ -111,7 +115,7 @@
 
 @pytest.mark.parametrize(("proxies", "shares"), [(3, harmonic), (20, None), (30, harmonic), (200, harmonic)])
 @pytest.mark.parametrize(("warm", "cold"), [(20, 20), (8, 12)])
-def test_a_burst_after_a_quiet_time_does_not_push_a_cold_server_over(
+def test_a_burst_after_a_quiet_time_does_not_push_a_cold_backend_over(
     proxies: int, shares: Callable[[int], list[float]] | None, warm: int, cold: int
 ) -> None:
     world = Fleet(proxies, warm, 2.0, shares(proxies) if shares else [1.0] * proxies)
@@ -123,7 +127,7 @@
 
 
 @pytest.mark.parametrize("proxies", [3, 20, 30, 200])
-def test_cold_servers_hold_where_no_proxy_knows_what_a_warm_one_does(proxies: int) -> None:
+def test_cold_backends_hold_where_no_proxy_knows_what_a_warm_one_does(proxies: int) -> None:
     world = Fleet(proxies, 0, 2.0, harmonic(proxies))
     world.join(20)
     world.run(3_000, 1.5)
@@ -131,7 +135,7 @@
 
 
 @pytest.mark.parametrize("proxies", [3, 20, 30, 200])
-def test_cold_servers_hold_where_half_of_the_proxies_started_later_than_they(proxies: int) -> None:
+def test_cold_backends_hold_where_half_of_the_proxies_started_later_than_they(proxies: int) -> None:
     world = Fleet(proxies, 8, 6.0, harmonic(proxies))
     world.run(3_000, 0.7)
     world.join(12)
@@ -147,7 +151,7 @@
 
 @pytest.mark.parametrize("clock_off_ms", [-HOUR_MS, -20_000.0, 20_000.0, HOUR_MS])
 @pytest.mark.parametrize("proxies", [3, 30])
-def test_cold_servers_hold_whatever_the_clock_says_that_dated_their_start(
+def test_cold_backends_hold_whatever_the_clock_says_that_dated_their_start(
     proxies: int, clock_off_ms: float
 ) -> None:
     world = Fleet(proxies, 8, 6.0, harmonic(proxies))
@@ -169,7 +173,7 @@
 
 @pytest.mark.parametrize("clock_off_ms", [-HOUR_MS, HOUR_MS])
 @pytest.mark.parametrize("proxies", [3, 30])
-def test_cold_servers_hold_where_all_proxies_start_anew_by_a_clock_that_is_off(
+def test_cold_backends_hold_where_all_proxies_start_anew_by_a_clock_that_is_off(
     proxies: int, clock_off_ms: float
 ) -> None:
     world = Fleet(proxies, 8, 6.0, harmonic(proxies))
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -30,20 +30,20 @@
     driver = Driver(settings(proxy_count=40, zone_count=2, zone=0, **cold), *two_zones(16))
     for _ in range(200):
         driver.end(driver.arrive(), after=10.0, delay=50.0)
-        driver.beat(after=40.0)
+        driver.tick(after=40.0)
     back = [s._replace(started_at=driver.now) for s in two_zones(16) if s.zone == 1]
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(back)))
-    driver.sends.clear()
+    driver.forwards.clear()
     for _ in range(200):
         driver.end(driver.arrive(), after=10.0, delay=50.0)
-        driver.beat(after=40.0)
-    cold_ones = sum(sent[0].split(".")[2] == "1" for sent in driver.sends.values())
-    assert 10 <= cold_ones <= 80  # of 200, half of the servers being at a sixth to a half of their capacity
+        driver.tick(after=40.0)
+    cold_ones = sum(sent[0].split(".")[2] == "1" for sent in driver.forwards.values())
+    assert 10 <= cold_ones <= 80  # of 200, half of the backends being at a sixth to a half of their capacity
 
 
 @pytest.mark.parametrize("proxies", [50, 400])
 def test_budgets_of_many_proxies_do_not_come_due_together(proxies: int) -> None:
-    """All hear of a new server at once; a first request of each at the same time would push it over."""
+    """All hear of a new backend at once; a first request of each at the same time would push it over."""
     cold = {
         "slow_start_capacity": 0.12,
         "slow_start_ms": 20_000.0,
@@ -58,21 +58,21 @@
             seed=me,
         )
         for _ in range(80):
-            if driver.sends:
+            if driver.forwards:
                 times.append(driver.now)
                 break
             driver.arrive(wait=100)
-            driver.beat(after=50.0)
+            driver.tick(after=50.0)
     assert len(times) <= proxies / 10 + 4
 
 
 def forwards_to(name: str, drivers: list[Driver]) -> int:
-    return sum(s == name for d in drivers for sends in d.sends.values() for s in sends)
+    return sum(s == name for d in drivers for sends in d.forwards.values() for s in sends)
 
 
 @pytest.mark.parametrize("split", [(1, 1, 1), (1, 0, 0), (4, 1, 1)])
 def test_the_budget_of_all_proxies_stays_under_the_capacity_for_any_split(split: tuple[int, ...]) -> None:
-    """Warm servers carry 10 a second each; a cold one's capacity is at least its part of that."""
+    """Warm backends carry 10 a second each; a cold one's capacity is at least its part of that."""
     config = settings(proxy_count=3, **COLD)
     drivers = [Driver(config, *fleet(4), seed=s) for s in range(3)]
     pause = 1000.0 / 40.0 * sum(split)
@@ -85,7 +85,7 @@
                 )
             for _ in range(weight):
                 driver.end(driver.arrive(), after=0.0, delay=20.0)
-            driver.beat(after=pause)
+            driver.tick(after=pause)
         sent.append((drivers[0].now, forwards_to("new:1", drivers)))
     start = sent[200][0]
     for now, count in sent[200:]:
@@ -99,18 +99,18 @@
     driver = Driver(settings(proxy_count=2, **COLD), BackendInfo("new:1", started_at=900.0))
     for _ in range(40):
         driver.arrive(wait=5000)
-        for request in list(driver.sends):
+        for request in list(driver.forwards):
             driver.end(request, after=0.0)
-        driver.beat(after=50.0)
+        driver.tick(after=50.0)
     assert forwards_to("new:1", [driver]) <= 3
 
 
 def test_a_restarted_backend_is_cold_and_its_limit_is_forgotten() -> None:
     driver = Driver(settings(**COLD), *fleet(2))
-    server = driver.balancer.backends.active[0]
-    server.limit, server.payoff = 9.0, 0.1
+    backend = driver.balancer.backends.active[0]
+    backend.limit, backend.payoff = 9.0, 0.1
     driver.step(
         BackendListUpdate(ListUpdateKind.DELTA, (BackendInfo("10.0.0.0:80", started_at=driver.now - 5),))
     )
-    assert server.limit <= 1 and server.payoff == 1.0
-    assert not server.has_capacity(driver.now)
+    assert backend.limit <= 1 and backend.payoff == 1.0
+    assert not backend.has_capacity(driver.now)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -30,12 +30,12 @@
 )
 from tests.support import Driver, fleet, settings
 
-MANY = {"proxy_count": 3400, "proxy_index": 17, "zone_count": 2}
+LARGE_TIER = {"proxy_count": 3400, "proxy_index": 17, "zone_count": 2}
 # Each of the first four names has the CRC-32 of one of the last four.
 NAMES = [f"{name}{i}" for name in ("plumless", "buckeroo") for i in range(4)] + [f"s{i}" for i in range(40)]
 
 
-def servers(n: int, first: int = 0, **more: float) -> tuple[BackendInfo, ...]:
+def make_backends(n: int, first: int = 0, **more: float) -> tuple[BackendInfo, ...]:
     return tuple(
         BackendInfo(f"s-{i:08x}", zone=i % 3, cell=i // 4, **more)  # type: ignore[arg-type]
         for i in range(first, first + n)
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def hashed() -> Iterator[list[int]]:
-    """Every server that is looked up, moved or compared by rank is hashed: how many were."""
+    """Every backend that is looked up, moved or compared by rank is hashed: how many were."""
     count = [0]
 
     def counting(key: int, number: int) -> int:
@@ -75,12 +75,12 @@
 
 @limits(max_examples=150, derandomize=True, deadline=None)
 @given(st.integers(0, 9), st.lists(LISTS, min_size=1, max_size=12))
-def test_it_keeps_to_the_same_servers_as_if_it_kept_all(
+def test_the_subset_is_the_same_as_if_all_were_kept(
     me: int, lists: list[tuple[ListUpdateKind, list[BackendInfo]]]
 ) -> None:
     listed: dict[str, BackendState] = {}
     with patch.multiple(subsetting, MIN_RESERVE=16, RESERVE_SLACK=2):
-        balancer = Balancer(settings(**MANY | {"proxy_index": me, "slow_start_ms": 5000.0}), 1)
+        balancer = Balancer(settings(**LARGE_TIER | {"proxy_index": me, "slow_start_ms": 5000.0}), 1)
         for number, (kind, entries) in enumerate(lists):
             if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
                 listed.clear()
@@ -88,11 +88,11 @@
             balancer.step(25.0 * number, [BackendListUpdate(kind, tuple(entries)), TimerFired(0)])
             active = [name for name, state in listed.items() if state is BackendState.ACTIVE]
             assert balancer.backends.listed_count == len(active)  # also of two that rank alike
-            held = [
+            names = [
                 *(s.id for s in balancer.backends.active),
                 *balancer.backends.unsubscribed.names(),
             ]
-            assert sorted(held) == sorted(active)
+            assert sorted(names) == sorted(active)
             assert [s.rank for s in balancer.backends.subset] == by_rank(active, me)[
                 : balancer.backends.subset_size
             ]
@@ -107,10 +107,10 @@
 
 
 def test_a_change_among_many_touches_few(hashed: list[int]) -> None:
-    driver = Driver(settings(**MANY), *servers(20_000))
+    driver = Driver(settings(**LARGE_TIER), *make_backends(20_000))
     hashed[0] = 0
     for n in range(50):
-        gone = servers(2, 400 * n)
+        gone = make_backends(2, 400 * n)
         driver.step(
             BackendListUpdate(
                 ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.DRAINING) for s in gone)
@@ -121,18 +121,18 @@
                 ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.REMOVED) for s in gone)
             )
         )
-        driver.step(BackendListUpdate(ListUpdateKind.DELTA, servers(2, 30_000 + 2 * n)))
+        driver.step(BackendListUpdate(ListUpdateKind.DELTA, make_backends(2, 30_000 + 2 * n)))
     assert hashed[0] / 150 < 30
     hashed[0] = 0
-    driver.beats(3000)
+    driver.run_ticks(3000)
     assert hashed[0] == 0 and len(driver.balancer.backends.by_id) <= 320
     assert driver.balancer.backends.listed_count == 20_000
 
 
-def test_new_weights_of_all_touch_only_what_the_list_told_of_them() -> None:
-    driver = Driver(settings(**MANY), *servers(5_000))
+def test_new_weights_of_all_touch_only_what_the_list_says_of_them() -> None:
+    driver = Driver(settings(**LARGE_TIER), *make_backends(5_000))
     kept = list(driver.balancer.backends.by_id.values())
-    driver.step(BackendListUpdate(ListUpdateKind.DELTA, servers(5_000, weight=0.5)))
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, make_backends(5_000, weight=0.5)))
     assert list(driver.balancer.backends.by_id.values()) == kept and {s.weight for s in kept} == {0.5}
     unsubscribed = driver.balancer.backends.unsubscribed
     weights = {traits.weight for name in unsubscribed.names() if (traits := unsubscribed.get(name))}
@@ -140,79 +140,81 @@
 
 
 def test_what_was_learned_is_kept_of_those_it_keeps_to() -> None:
-    driver = Driver(settings(**MANY), *servers(5_000))
+    driver = Driver(settings(**LARGE_TIER), *make_backends(5_000))
     bad = driver.balancer.backends.subset[0]
     bad.payoff = 0.1
-    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, servers(6_000)))
-    driver.beats(3000)
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, make_backends(6_000)))
+    driver.run_ticks(3000)
     assert driver.balancer.backends.by_id[bad.id] is bad and bad.payoff < 1.0
 
 
 def test_few_proxies_keep_to_few_of_a_long_list_and_to_more_under_load() -> None:
-    driver = Driver(settings(RequestClass(300.0, 5000.0), proxy_count=3), *servers(5_000))
+    driver = Driver(settings(RequestClass(300.0, 5000.0), proxy_count=3), *make_backends(5_000))
     assert len(driver.balancer.backends.subset) <= 320
     arrivals = [RequestArrived(f"q{n}", 0, 0, None, driver.now + 5000.0) for n in range(2_000)]
-    for n in range(0, 2_000, 50):  # none is answered: all are sent, since there are servers for all
+    for n in range(0, 2_000, 50):  # none ends: all are forwarded, since there are backends for all
         driver.step(*arrivals[n : n + 50])
-    assert len(driver.sends) == 2_000 and 1_000 < len(driver.balancer.backends.subset) < 4_500
-    for request in list(driver.sends):
+    assert len(driver.forwards) == 2_000 and 1_000 < len(driver.balancer.backends.subset) < 4_500
+    for request in list(driver.forwards):
         driver.end(request, after=0.0, delay=20.0)
-    driver.beats(40_000)
+    driver.run_ticks(40_000)
     assert len(driver.balancer.backends.by_id) <= 320 and driver.balancer.backends.listed_count == 5_000
 
 
-def test_few_proxies_find_ready_servers_beyond_those_that_are_all_cold() -> None:
+def test_few_proxies_find_ready_backends_beyond_those_that_are_all_cold() -> None:
     cold = {"slow_start_capacity": 0.1, "slow_start_ms": 60_000.0, "slow_start_window_ms": 10_000.0}
-    driver = Driver(settings(proxy_count=3, **cold), *servers(2_000))
+    driver = Driver(settings(proxy_count=3, **cold), *make_backends(2_000))
     restarted = tuple(BackendInfo(s.id, started_at=driver.now) for s in driver.balancer.backends.active)
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, restarted))
-    assert driver.arrive() in driver.sends
+    assert driver.arrive() in driver.forwards
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.CELL, DeduplicationScope.ZONE])
-def test_the_group_of_a_keyed_request_is_found_beyond_the_kept(scope: DeduplicationScope) -> None:
+def test_the_scope_of_a_keyed_request_is_found_among_the_unsubscribed(scope: DeduplicationScope) -> None:
     """Its repeats may go to the three others of its cell only, and of 1,250 cells few are kept whole."""
     spec = RequestClass(900.0, 5000.0, Idempotency.KEYED, scope, 4000.0)
-    driver = Driver(settings(spec, **MANY), *servers(5_000))
+    driver = Driver(settings(spec, **LARGE_TIER), *make_backends(5_000))
     request = driver.arrive(wait=5000)
-    first = driver.sends[request][0]
+    first = driver.forwards[request][0]
     gone = BackendInfo(first, BackendState.DRAINING)
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, (gone,)))
     driver.end(request, AttemptResult.ERROR, done=False)
-    assert len(driver.sends[request]) == 2
-    one, other = (int(name[2:], 16) for name in driver.sends[request])
+    assert len(driver.forwards[request]) == 2
+    one, other = (int(name[2:], 16) for name in driver.forwards[request])
     assert one != other and (
         one // 4 == other // 4 if scope is DeduplicationScope.CELL else one % 3 == other % 3
     )
 
 
-def test_a_drain_beyond_the_kept_is_known_at_once() -> None:
+def test_a_drain_of_an_unsubscribed_backend_is_known_at_once() -> None:
     spec = RequestClass(900.0, 5000.0, Idempotency.KEYED, DeduplicationScope.CELL, 4000.0)
-    driver = Driver(settings(spec, **MANY), *servers(5_000))
+    driver = Driver(settings(spec, **LARGE_TIER), *make_backends(5_000))
     request = driver.arrive(wait=5000)
-    number = int(driver.sends[request][0][2:], 16)
-    cell = servers(4, number - number % 4)
+    number = int(driver.forwards[request][0][2:], 16)
+    cell = make_backends(4, number - number % 4)
     drained = tuple(s._replace(state=BackendState.DRAINING) for s in cell)
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, drained))
     driver.end(request, AttemptResult.ERROR, done=False)
-    assert len(driver.sends[request]) == 1  # nobody is left who may see it again
+    assert len(driver.forwards[request]) == 1  # nobody is left who may see it again
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, cell[:1] if number % 4 else cell[1:2]))
-    assert len(driver.sends[request]) == 2
+    assert len(driver.forwards[request]) == 2
 
 
 def test_up_to_the_reserve_all_are_kept_in_the_order_of_the_list() -> None:
-    names = [s.backend_id for s in servers(256)]
+    names = [s.backend_id for s in make_backends(256)]
     for proxies in (3, 3400):
-        driver = Driver(settings(proxy_count=proxies), *servers(256))
-        driver.beats(2000)
+        driver = Driver(settings(proxy_count=proxies), *make_backends(256))
+        driver.run_ticks(2000)
         assert [
             s.id for s in driver.balancer.backends.active
         ] == names and not driver.balancer.backends.unsubscribed.count
 
 
-def test_a_beat_looks_at_cold_servers_only() -> None:
+def test_a_tick_looks_at_cold_backends_only() -> None:
     driver = Driver(
-        settings(slow_start_ms=60_000.0, **MANY), *servers(300), *servers(1, 300, started_at=900.0)
+        settings(slow_start_ms=60_000.0, **LARGE_TIER),
+        *make_backends(300),
+        *make_backends(1, 300, started_at=900.0),
     )
     looked = [0]
 
@@ -221,18 +223,19 @@
             looked[0] += 1
             return super().__iter__()
 
-    driver.beats(2_000)
+    driver.run_ticks(2_000)
     driver.balancer.backends.subset = Near(driver.balancer.backends.subset)
-    driver.beats(900)
+    driver.run_ticks(900)
     assert looked[0] == 0
 
 
 def test_one_that_arrives_ahead_of_those_moved_up_is_kept() -> None:
     ranked = sorted(
-        servers(60), key=lambda s: hash_pair(MANY["proxy_index"] + 1, crc32(s.backend_id.encode()))
+        make_backends(60),
+        key=lambda s: hash_pair(LARGE_TIER["proxy_index"] + 1, crc32(s.backend_id.encode())),
     )
     with patch.multiple(subsetting, MIN_RESERVE=16, RESERVE_SLACK=2):
-        driver = Driver(settings(**MANY), *ranked[:20], *ranked[30:])
+        driver = Driver(settings(**LARGE_TIER), *ranked[:20], *ranked[30:])
         gone = tuple(s._replace(state=BackendState.REMOVED) for s in ranked[:10])
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, gone))
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(ranked[20:22])))
@@ -241,16 +244,16 @@
 
 
 def used_backends(driver: Driver) -> set[str]:
-    return {server for sends in driver.sends.values() for server in sends}
+    return {backend for sends in driver.forwards.values() for backend in sends}
 
 
 def test_a_sparse_proxy_uses_a_few_backends_of_all_zones() -> None:
-    """Hundreds of proxies with a connection to each server would fill its table (incident i02567f); one
-    zone's proxies alone would carry too much for its servers or too little."""
+    """Hundreds of proxies with a connection to each backend would fill its table (incident i02567f); one
+    zone's proxies alone would carry too much for its backends or too little."""
     driver = Driver(settings(**SPARSE), *two_zones(40))
     for _ in range(200):
         driver.end(driver.arrive())
-        driver.beat()
+        driver.tick()
     assert len(used_backends(driver)) <= 13 and {s.split(".")[2] for s in used_backends(driver)} == {"0", "1"}
 
 
@@ -276,8 +279,8 @@
     )
     driver.arrive(1)
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(40))))
-    driver.beats(100)
-    assert driver.sends[driver.arrive()]
+    driver.run_ticks(100)
+    assert driver.forwards[driver.arrive()]
 
 
 def test_the_subset_of_a_sparse_proxy_grows_with_its_traffic() -> None:
@@ -285,5 +288,5 @@
     driver = Driver(settings(**SPARSE), *fleet(60))
     assert len(driver.balancer.backends.subset) <= 8
     driver.balancer.in_flight.limit = 9.0
-    driver.beats(1100)
+    driver.run_ticks(1100)
     assert len(driver.balancer.backends.subset) == 20
--- a/tests/policy/test_tenant_quotas.py
+++ b/tests/policy/test_tenant_quotas.py
@@ -19,7 +19,7 @@
         for slot in range(80):
             tenant = 0 if slot < 60 else 1 + slot % 3
             driver.step(RequestArrived(f"{second}.{slot}", 0, tenant, None, driver.now + 900))
-            driver.beat(after=12.5)
+            driver.tick(after=12.5)
     balancer, spec = driver.balancer, config.classes[0]
     assert balancer.admission.quotas.traffic_share > 0.4
     driver.now += 1000
@@ -33,7 +33,7 @@
     driver = Driver(config, *fleet(9))
     for count in range(800):
         driver.step(RequestArrived(f"{count}", 0, count % 3, None, driver.now + 900))
-        driver.beat(after=10)
+        driver.tick(after=10)
     assert driver.balancer.admission.quotas.traffic_share == pytest.approx(1 / 3)
 
 
@@ -41,7 +41,7 @@
     driver = Driver(settings(tenant_quotas=(10.0,), over_quota_weight=0.05, proxy_count=4), *fleet(9))
     for _ in range(200):
         driver.arrive()
-        driver.beat()
+        driver.tick()
     assert driver.balancer.admission.quotas.traffic_share == 0.25
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -22,19 +22,19 @@
 class Driver:
     """One Balancer, a clock that the test sets, and every send kept by attempt."""
 
-    def __init__(self, config: Settings, *servers: BackendInfo, seed: int = 1) -> None:
+    def __init__(self, config: Settings, *backends: BackendInfo, seed: int = 1) -> None:
         self.balancer = Balancer(config, seed)
         self.now = 1000.0
         self.ids = count()
-        self.sends: dict[str, list[str]] = {}
-        self.step(BackendListUpdate(ListUpdateKind.CACHED, servers))
+        self.forwards: dict[str, list[str]] = {}
+        self.step(BackendListUpdate(ListUpdateKind.CACHED, backends))
 
     def step(self, *events: Any, after: float = 0.0) -> list[Action]:
         self.now += after
         actions = self.balancer.step(self.now, list(events))
         for action in actions:
             if isinstance(action, Forward):
-                self.sends.setdefault(action.request_id, []).append(action.backend_id)
+                self.forwards.setdefault(action.request_id, []).append(action.backend_id)
         return actions
 
     def arrive(self, cls: int = 0, tenant: int = 0, key: int | None = None, wait: float = 1000.0) -> str:
@@ -50,18 +50,18 @@
         done: bool | None = None,
         delay: float | None = None,
     ) -> list[Action]:
-        attempt = len(self.sends[request]) - 1
+        attempt = len(self.forwards[request]) - 1
         finished = result is AttemptResult.OK if done is None else done
         delay = after if delay is None else delay
         return self.step(AttemptEnded(request, attempt, result, delay, finished), after=after)
 
-    def beat(self, after: float = 25.0) -> list[Action]:
+    def tick(self, after: float = 25.0) -> list[Action]:
         return self.step(TimerFired(0), after=after)
 
-    def beats(self, ms: float) -> list[Action]:
+    def run_ticks(self, ms: float) -> list[Action]:
         actions: list[Action] = []
         for _ in range(int(ms / 25)):
-            actions += self.beat()
+            actions += self.tick()
         return actions
 
 
