--- a/dunecove/policy/admission.py
+++ b/dunecove/policy/admission.py
@@ -27,7 +27,7 @@
 # Objectives: a longer release keeps the lowest level out also while nothing waits. After a single overload it
 # is admitted beside an empty queue: rejected there, it would leave backends idle.
 LONG_RELEASE_OBJECTIVES = 1.0
-SHED_ALL_RATIO = 3.0  # added to an overload ratio of 1 step by step: level 3 is shed in proportion
+SHED_FROM_RATIO = 3.0  # overload ratio above which level 3 is shed in proportion: all of it at twice this
 MAX_OVERLOAD_SHARE = 0.15  # of outcomes, above which a sparse proxy is overloaded: a few are always long
 
 
@@ -67,16 +67,16 @@
         detector = queue.detector
         ratio = self._overload_ratio(now, queue)
         detector.set_overloaded(now, ratio > 1)
-        # Level 3 goes in proportion to the wait beyond the threshold. Level 4 goes at once and comes back by
-        # degrees: admitted at once, it would fill the backends up to the next overload.
-        probability = ratio / SHED_ALL_RATIO - 1
+        # Level 4 is shed at once and admitted again by degrees, or it would fill the backends up to the next
+        # overload.
+        probability = ratio / SHED_FROM_RATIO - 1
         long_release = detector.release_objectives > LONG_RELEASE_OBJECTIVES
         if level == LOWEST_LEVEL and (ratio > 0 or long_release):
             probability = 1 - detector.released_part(now)
         return self._rng.random() < probability
 
     def retry_after_ms(self, queue: RequestQueue) -> float:
-        """Return when a client that was shed should come back: as low levels are admitted again."""
+        """Return when a client that was shed should retry: as low levels are admitted again."""
         return min(queue.detector.release_ms, self._max_retry_after_ms)
 
     def _overload_ratio(self, now: float, queue: RequestQueue) -> float:
--- a/dunecove/policy/backend.py
+++ b/dunecove/policy/backend.py
@@ -116,6 +116,10 @@
         if self.cold_until > now:
             self.slow_start_tokens -= 1
 
+    def end_attempt(self) -> None:
+        """Count an attempt that has ended, also one given up: its work stops as its connection closes."""
+        self.in_flight -= 1
+
     def record_response(self, now: float) -> None:
         """Count a response of it."""
         self.responsive_at = now
--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -44,7 +44,6 @@
 from dunecove.policy.in_flight_limit import InFlightLimit
 from dunecove.policy.latency_tracker import LatencyTracker
 from dunecove.policy.list_updates import CACHED_KINDS, ListUpdates
-from dunecove.policy.models import NEVER_EXECUTED
 from dunecove.policy.outlier_detection import OutlierDetector
 from dunecove.policy.pinned_retries import PinnedRetries
 from dunecove.policy.queue_timeouts import TICK_MS, QueueTimeouts
@@ -165,10 +164,9 @@
         attempt = request.attempts[event.attempt_index]
         if not attempt.is_open:
             return
-        attempt.is_open = False
-        attempt.may_have_executed = event.result not in NEVER_EXECUTED
+        attempt.end(event.result)
         request.open_attempts -= 1
-        attempt.backend.in_flight -= 1  # also of one given up: work stops when its connection closes
+        attempt.backend.end_attempt()
         self.in_flight.end_attempt(event)
         ejection = self._feedback.record(now, request, attempt.backend, event)
         if ejection is not None:
@@ -189,7 +187,7 @@
             self._timeouts.schedule(request.retry_at, request)
         else:
             executed = first_executed_attempt(request.attempts)
-            assert executed is not None
+            assert executed is not None  # or any backend might get it
             self.pinned_retries.add(request)
             self._timeouts.start_pinned(request, executed)
 
--- a/dunecove/policy/bandit.py
+++ b/dunecove/policy/bandit.py
@@ -45,7 +45,7 @@
         """Learn from an outcome that is the backend's doing."""
         backend.outcome_count = min(backend.outcome_count + 1, 1 / PAYOFF_WEIGHT)
         self.outcome_count += 1
-        # Of few outcomes each counts for more, or a sparse proxy would never tell backends apart.
+        # Of few outcomes each counts for more, or a sparse proxy would never distinguish backends.
         weight = max(PAYOFF_WEIGHT, self._is_sparse / (1 + backend.outcome_count))
         backend.payoff += ((1.0 if succeeded else 0.0) - backend.payoff) * weight
 
--- a/dunecove/policy/discovery_polling.py
+++ b/dunecove/policy/discovery_polling.py
@@ -1,4 +1,4 @@
-"""When this proxy polls discovery, whose server takes only so many calls of all proxies."""
+"""When this proxy polls discovery, whose service takes only so many calls of all proxies."""
 
 from __future__ import annotations
 
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -93,7 +93,7 @@
         return SendGossip(GOSSIP_PREFIX + hashes)
 
     def _is_suspect(self, now: float, backend: Backend) -> bool:
-        """Whether a success may stand between two failures; a sparse proxy sees too few to tell."""
+        """Whether a success may stand between two failures; a sparse proxy sees too few to know."""
         if not self._is_sparse:
             return False
         reports = backend.failure_reports
--- a/dunecove/policy/overload_detector.py
+++ b/dunecove/policy/overload_detector.py
@@ -40,8 +40,8 @@
     def set_overloaded(self, now: float, overloaded: bool) -> None:
         """Take over the verdict that holds from now on.
 
-        One overload may be chance, and its release is short. Where the next follows at once, clients ask for
-        more than there is: admitted as fast as before, they would bring it back again and again.
+        One overload may be chance, and its release is short. Where the next follows at once, clients send
+        more than there is capacity for: admitted as fast as before, they would bring it back again and again.
         """
         if overloaded and not self.overloaded:
             recent_ms = RECURRENCE_FACTOR * (self.release_objectives + 1) * self.objective_ms
--- a/dunecove/policy/queue_timeouts.py
+++ b/dunecove/policy/queue_timeouts.py
@@ -41,7 +41,7 @@
         """Set when a request that has just been queued has to be sent at the latest."""
         # An attempt that gets less than an ordinary one's time can't be useful.
         fair_ms = self._latencies.fair_ms(request)
-        answer_ms = TICK_MS + 2 * self._step_interval_ms  # to tell the client before it leaves
+        answer_ms = TICK_MS + 2 * self._step_interval_ms  # to answer the client before it leaves
         request.latest_send = min(request.useful_until - fair_ms, request.deadline - answer_ms)
         if not request.attempts:
             wait_ms = request.deadline - request.arrived_at
@@ -58,8 +58,8 @@
     def extend(self, now: float, request: Request) -> bool:
         """Whether a request whose time is up may wait on; if so its timer is set anew.
 
-        A late response, if worth something, is only for times with capacity to spare: under overload it costs
-        a request that is still in time.
+        A late response, if it earns something, is only for times with capacity to spare: under overload it
+        costs a request that is still in time.
         """
         if request.queue.overload_ratio(now) > 1 or now >= request.latest_send:
             return False
--- a/dunecove/policy/request.py
+++ b/dunecove/policy/request.py
@@ -6,6 +6,7 @@
 
 from dunecove.policy.backend import Backend
 from dunecove.policy.events import RequestArrived
+from dunecove.policy.models import NEVER_EXECUTED, AttemptResult
 from dunecove.policy.settings import RequestClass
 
 if TYPE_CHECKING:
@@ -24,6 +25,11 @@
         self.zone = backend.zone
         self.cell = backend.cell
 
+    def end(self, result: AttemptResult) -> None:
+        """Take over that it has ended so."""
+        self.is_open = False
+        self.may_have_executed = result not in NEVER_EXECUTED
+
 
 class Request:
     """A request that has no final response yet, or whose last attempt has not ended. Times are in ms."""
@@ -47,7 +53,7 @@
         # Where late responses earn something a late retry still does; failing it brings it back once more.
         counted_from = now if request_class.late_weight > 0 else first_try_at
         self.objective_end = counted_from + request_class.latency_objective_ms
-        # After this a response is worth nothing, or the client has left.
+        # After this a response earns nothing, or the client has left.
         self.useful_until = self.deadline
         if request_class.late_weight <= 0:
             self.useful_until = min(self.deadline, self.objective_end)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -10,7 +10,7 @@
 from dunecove.policy.balancer import Balancer
 from dunecove.policy.settings import RequestClass
 from tests.policy.helpers import SPARSE, arrive_with_hint, run_responses, run_timeouts, stuck_driver
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 
 def test_levels_come_from_priority_weight_and_quota() -> None:
@@ -27,35 +27,31 @@
     driver = stuck_driver(*classes, sends_retry_after=True, max_retry_after_ms=500)
     driver.now += 160  # stuck for longer than a window
     driver.arrive(cls)
-    rejected = of(Reject, driver.last)
+    rejected = of_type(Reject, driver.last)
     assert bool(rejected) == (answer is Reject)
     if rejected:
         assert 0 < rejected[0].retry_after_ms <= 500
 
 
+def rejections_after_waits(classes: tuple[RequestClass, ...], class_index: int, wait_ms: float) -> int:
+    """Return how many of 20 arrivals of a class are rejected while all requests wait as long."""
+    driver = stuck_driver(*classes)
+    detector = driver.balancer.queues[0].detector
+    for _ in range(9):
+        driver.now += 20
+        detector.record_send(driver.now, wait_ms)
+    return sum(bool(of_type(Reject, driver.last)) for _ in range(20) if driver.arrive(class_index))
+
+
 def test_level_three_is_shed_less_readily_than_four() -> None:
     classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (12.0, 4.0, 1.0))
-    counts = {}
-    for cls in (1, 2):
-        driver = stuck_driver(*classes)
-        queue = driver.balancer.queues[0]
-        for _ in range(9):
-            driver.now += 20
-            queue.detector.record_send(driver.now, 1.5 * 0.08 * 300)
-        counts[cls] = sum(bool(of(Reject, driver.last)) for _ in range(20) if driver.arrive(cls))
+    counts = {cls: rejections_after_waits(classes, cls, 1.5 * 0.08 * 300) for cls in (1, 2)}
     assert counts == {1: 0, 2: 20}
 
 
 def test_half_the_best_weight_is_shed_under_a_long_wait_and_the_best_is_not() -> None:
     classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (10.0, 5.0))
-    counts = {}
-    for cls in (0, 1):
-        driver = stuck_driver(*classes)
-        queue = driver.balancer.queues[0]
-        for _ in range(9):
-            driver.now += 20
-            queue.detector.record_send(driver.now, 6.5 * 0.08 * 300)
-        counts[cls] = sum(bool(of(Reject, driver.last)) for _ in range(20) if driver.arrive(cls))
+    counts = {cls: rejections_after_waits(classes, cls, 6.5 * 0.08 * 300) for cls in (0, 1)}
     assert counts == {0: 0, 1: 20}
 
 
@@ -67,7 +63,7 @@
     driver = stuck_driver(*classes)
     driver.now += 160
     driver.arrive(1)
-    assert not of(Reject, driver.last)
+    assert not of_type(Reject, driver.last)
 
 
 def test_level_four_is_admitted_to_an_empty_queue_unless_overload_keeps_returning() -> None:
@@ -80,7 +76,7 @@
         driver.balancer.queues[0].detector.overloaded_at = driver.now
         driver.balancer.queues[0].detector.release_objectives = release
         driver.arrive(1)
-        assert bool(of(Reject, driver.last)) is rejected
+        assert bool(of_type(Reject, driver.last)) is rejected
 
 
 def test_level_four_is_admitted_again_by_degrees_after_overload() -> None:
@@ -94,7 +90,7 @@
         driver.balancer.queues[0].detector.overloaded_at = driver.now
         driver.balancer.queues[0].detector.release_objectives = 4.0
         driver.now += since
-        rejected.append(sum(bool(of(Reject, driver.last)) for _ in range(40) if driver.arrive(1)))
+        rejected.append(sum(bool(of_type(Reject, driver.last)) for _ in range(40) if driver.arrive(1)))
     assert rejected[0] >= 38 and 8 < rejected[1] < 32 and rejected[2] == 0
 
 
@@ -126,7 +122,7 @@
     assert arrive_with_hint(driver, 400.0) in driver.forwards  # no overload: why not try
     run_timeouts(driver, 8, 10.0)
     late = arrive_with_hint(driver, 400.0)
-    assert late not in driver.forwards and of(Reject, driver.last)
+    assert late not in driver.forwards and of_type(Reject, driver.last)
     assert arrive_with_hint(driver, 10.0) in driver.forwards
 
 
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -18,7 +18,7 @@
 from dunecove.policy.models import AttemptResult
 from dunecove.policy.settings import RequestClass, Settings
 from tests.policy.helpers import NON_IDEMPOTENT
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
@@ -52,8 +52,8 @@
 def test_impossible_classes_are_named(bad: dict[str, object]) -> None:
     with pytest.raises(
         ValueError,
-        match="^(class 0: (latency_objective|deadline|priority_weight|idempotency|dedup_scope)"
-        "|classes|priority_weight)",
+        match=r"^(class 0: (latency_objective|deadline|priority_weight|idempotency|dedup_scope)"
+        r"|classes|priority_weight)",
     ):
         Balancer(Settings(**bad), 1)  # type: ignore[arg-type]
 
@@ -86,20 +86,22 @@
 def test_a_timeout_at_the_deadline_is_answered_in_the_same_step() -> None:
     driver = Driver(settings(NON_IDEMPOTENT), *fleet(1))
     request = driver.arrive()
-    assert [f.request_id for f in of(Fail, driver.end(request, AttemptResult.TIMEOUT, 299.0))] == [request]
+    assert [f.request_id for f in of_type(Fail, driver.end(request, AttemptResult.TIMEOUT, 299.0))] == [
+        request
+    ]
 
 
 def test_a_client_that_leaves_in_the_same_batch_as_the_end_is_ignored() -> None:
     driver = Driver(settings(), *fleet(1))
     request = driver.arrive()
     actions = driver.step(AttemptEnded(request, 0, AttemptResult.OK, 9.0, True), ClientDisconnected(request))
-    assert not of(Fail, actions) and not of(CancelAttempt, actions)
+    assert not of_type(Fail, actions) and not of_type(CancelAttempt, actions)
 
 
 def test_a_queued_request_whose_client_left_is_not_forwarded() -> None:
     driver = Driver(settings(proxy_count=4), *fleet(1))
     first, queued = driver.arrive(), driver.arrive()
-    assert not of(
+    assert not of_type(
         Forward, driver.step(ClientDisconnected(queued), AttemptEnded(first, 0, AttemptResult.OK, 5.0, True))
     )
 
@@ -108,14 +110,14 @@
     for allowed in (True, False):
         driver = Driver(settings(may_cancel=allowed), *fleet(1))
         request = driver.arrive()
-        assert bool(of(CancelAttempt, driver.step(ClientDisconnected(request)))) is allowed
+        assert bool(of_type(CancelAttempt, driver.step(ClientDisconnected(request)))) is allowed
 
 
 def test_a_started_stream_is_left_alone() -> None:
     driver = Driver(settings(RequestClass(100.0, 1000.0, streams_response=True)), *fleet(2))
     request = driver.arrive()
     driver.step(ResponseStarted(request, 0, 5.0))
-    assert not of(CancelAttempt, driver.run_ticks(500)) and not of(Fail, driver.run_ticks(1000))
+    assert not of_type(CancelAttempt, driver.run_ticks(500)) and not of_type(Fail, driver.run_ticks(1000))
 
 
 def test_an_attempt_given_up_is_no_longer_in_flight() -> None:
@@ -130,5 +132,5 @@
     request = driver.arrive()
     driver.end(request, AttemptResult.ERROR)
     driver.end(request, AttemptResult.OK)
-    assert not of(Forward, driver.run_ticks(2000))
+    assert not of_type(Forward, driver.run_ticks(2000))
     assert driver.balancer.requests == {}
--- a/tests/policy/test_client_retries.py
+++ b/tests/policy/test_client_retries.py
@@ -7,7 +7,7 @@
     Forward,
 )
 from dunecove.policy.settings import RequestClass
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 
 def test_a_retry_past_the_objective_of_its_first_try_is_not_sent() -> None:
@@ -15,10 +15,10 @@
         driver = Driver(settings(RequestClass(300.0, 1000.0, late_weight=late_worth)), *fleet(2))
         driver.end(driver.arrive(wait=1000))
         driver.arrive(wait=690)  # its client has waited 310 ms already
-        assert bool(of(Forward, driver.last)) is sent
-        assert bool(of(Fail, driver.last)) is not sent
+        assert bool(of_type(Forward, driver.last)) is sent
+        assert bool(of_type(Fail, driver.last)) is not sent
         driver.arrive(wait=900)
-        assert of(Forward, driver.last)
+        assert of_type(Forward, driver.last)
 
 
 def test_arrivals_with_less_time_are_no_retries_unless_some_were_rejected() -> None:
--- a/tests/policy/test_dispatcher.py
+++ b/tests/policy/test_dispatcher.py
@@ -6,20 +6,20 @@
     Forward,
 )
 from dunecove.policy.settings import RequestClass
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 
 def test_nothing_waits_beside_an_idle_warm_backend() -> None:
     driver = Driver(settings(), *fleet(1))
     driver.arrive()
-    assert [s.backend_id for s in of(Forward, driver.last)] == ["10.0.0.0:80"]
+    assert [s.backend_id for s in of_type(Forward, driver.last)] == ["10.0.0.0:80"]
 
 
 def test_requests_over_the_limit_wait_and_the_head_goes_when_one_ends() -> None:
     driver = Driver(settings(proxy_count=4), *fleet(1))
     first, second, third = driver.arrive(), driver.arrive(), driver.arrive()
     assert list(driver.forwards) == [first]
-    assert [s.request_id for s in of(Forward, driver.end(first))] == [second]
+    assert [s.request_id for s in of_type(Forward, driver.end(first))] == [second]
     assert third not in driver.forwards
 
 
@@ -31,7 +31,7 @@
     older = driver.arrive(0, wait=3000)
     driver.now += 10
     pressed = driver.arrive(1, wait=3000)
-    assert [s.request_id for s in of(Forward, driver.end(first))] == [pressed]
+    assert [s.request_id for s in of_type(Forward, driver.end(first))] == [pressed]
     assert older not in driver.forwards
 
 
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -65,24 +65,23 @@
 def test_the_program_tells_and_hears_peers_where_the_settings_allow_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    seen: list[Any] = []
-
     async def test() -> None:
+        gossip_seen = asyncio.Event()
         other, address = bound()
         config = with_peers(tmp_path, peer_listen="127.0.0.1:0", peers=[address], peers_all=address)
         engine, listener = start(config)
         assert engine.peers is not None
 
         def step(_: float, events: list[Any]) -> list[Any]:
-            seen.extend(events)
+            if GossipReceived(0, b"\x01efgh") in events:
+                gossip_seen.set()
             return []
 
         monkeypatch.setattr(engine.balancer, "step", step)
         engine._carry_out(SendGossip(b"\x01abcd"))
         assert other.recv(512) == b"\x01abcd"
         other.sendto(b"\x01efgh", address_of(engine.peers))
-        while GossipReceived(0, b"\x01efgh") not in seen:
-            await asyncio.sleep(0.001)
+        await gossip_seen.wait()
         await listener.finish_shutdown(0.0)
         engine.close()
         other.close()
@@ -105,7 +104,7 @@
 @pytest.mark.parametrize("bad", [{"peers": "x"}, {"peer_listen": "here"}, {"peers_all": 5}])
 def test_bad_addresses_of_peers_are_named(tmp_path: Path, bad: dict[str, Any]) -> None:
     good = {"peer_listen": "127.0.0.1:1", "peers": ["127.0.0.1:1"], "peers_all": "127.0.0.1:2"}
-    with pytest.raises(Malformed, match="peer|address"):
+    with pytest.raises(Malformed, match=r"peer|address"):
         with_peers(tmp_path, **(good | bad))
 
 
--- a/tests/policy/test_list_updates.py
+++ b/tests/policy/test_list_updates.py
@@ -12,7 +12,7 @@
     ListUpdateKind,
 )
 from dunecove.policy.models import BackendInfo, BackendState
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 
 def delta(name: str, state: BackendState) -> BackendListUpdate:
@@ -40,4 +40,4 @@
     driver.step(delta("10.0.0.0:80", BackendState.REMOVED))
     driver.end(request)
     driver.arrive()
-    assert not of(Forward, driver.last)
+    assert not of_type(Forward, driver.last)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -17,7 +17,7 @@
 )
 from dunecove.policy.models import AttemptResult
 from tests.policy.helpers import NON_IDEMPOTENT, two_zones
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 GOSSIPING: dict[str, Any] = {"proxy_count": 40, "may_gossip": True}
 
@@ -63,7 +63,7 @@
 
 def fail_one(driver: Driver, result: AttemptResult) -> tuple[str, list[SendGossip]]:
     request = driver.arrive()
-    return driver.forwards[request][0], of(SendGossip, driver.end(request, result, done=True))
+    return driver.forwards[request][0], of_type(SendGossip, driver.end(request, result, done=True))
 
 
 def test_a_failure_is_reported_and_one_that_may_be_load_is_not() -> None:
--- a/tests/policy/test_pinned_retries.py
+++ b/tests/policy/test_pinned_retries.py
@@ -17,7 +17,7 @@
 )
 from dunecove.policy.models import AttemptResult, BackendInfo, DeduplicationScope, Idempotency
 from dunecove.policy.settings import RequestClass
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 KEYED = RequestClass(
     300.0, 1000.0, idempotency=Idempotency.KEYED, dedup_scope=DeduplicationScope.CELL, dedup_window_ms=200.0
@@ -36,7 +36,7 @@
     for seed in range(10):
         driver = Driver(settings(spec), *three_cells(), seed=seed)
         request = driver.arrive()
-        assert len(of(Forward, driver.end(request, AttemptResult.ERROR))) == 1
+        assert len(of_type(Forward, driver.end(request, AttemptResult.ERROR))) == 1
         one, two = driver.forwards[request]
         assert one.split(".")[2] == two.split(".")[2] and one != two
 
@@ -44,7 +44,7 @@
 def test_a_keyed_retry_ends_with_the_deduplication_window() -> None:
     driver = Driver(settings(KEYED), *three_cells())
     actions = driver.end(driver.arrive(), AttemptResult.ERROR, after=201)
-    assert of(Fail, actions) and not of(Forward, actions)
+    assert of_type(Fail, actions) and not of_type(Forward, actions)
 
 
 @pytest.mark.parametrize(
@@ -54,8 +54,8 @@
     """Its connection may take longer to come up than is left of the window."""
     driver = Driver(settings(replace(KEYED, idempotency=effect)), *three_cells())
     request = driver.arrive()
-    (first,) = of(Forward, driver.last)
-    (again,) = of(Forward, driver.end(request, AttemptResult.ERROR, after=20.0))
+    (first,) = of_type(Forward, driver.last)
+    (again,) = of_type(Forward, driver.end(request, AttemptResult.ERROR, after=20.0))
     assert (first.write_within_ms, again.write_within_ms) == (inf, within)
 
 
@@ -68,7 +68,7 @@
             backend.ejected_until = driver.now + 10_000
     driver.end(request, AttemptResult.ERROR)
     actions = driver.run_ticks(250)
-    assert of(Fail, actions) and not of(Forward, actions)
+    assert of_type(Fail, actions) and not of_type(Forward, actions)
 
 
 def test_a_keyed_retry_waits_for_capacity_in_its_scope_within_its_window() -> None:
@@ -83,7 +83,7 @@
         driver.end(request, AttemptResult.ERROR)
         assert len(driver.forwards[request]) == 1
         actions = driver.run_ticks(250)
-        assert bool(of(Forward, actions)) is sent and bool(of(Fail, actions)) is not sent
+        assert bool(of_type(Forward, actions)) is sent and bool(of_type(Fail, actions)) is not sent
         assert {name.split(".")[2] for name in driver.forwards[request]} == {home}
         assert not driver.balancer.pinned_retries.waiting
 
@@ -100,7 +100,7 @@
     request = driver.arrive()
     driver.balancer.backends.active[0].ejected_until = driver.now + 150
     driver.end(request, AttemptResult.ERROR)
-    assert not of(Forward, driver.run_ticks(250))
+    assert not of_type(Forward, driver.run_ticks(250))
 
 
 def test_a_keyed_retry_goes_to_the_cell_of_its_first_attempt_though_the_backend_moves() -> None:
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -84,7 +84,7 @@
 
 
 @dataclass
-class Sent:
+class SentAttempt:
     backend: str
     at: float
     limit: float
@@ -94,11 +94,11 @@
 
 
 @dataclass
-class Asked:
-    cls: int
-    give_up: float
+class SentRequest:
+    class_index: int
+    deadline: float
     over: bool = False
-    attempts: list[Sent] = field(default_factory=list)
+    attempts: list[SentAttempt] = field(default_factory=list)
 
 
 class Oracle:
@@ -106,16 +106,16 @@
 
     def __init__(self, config: Settings, seed: int) -> None:
         self.config, self.balancer, self.now = config, Balancer(config, seed), 0.0
-        self.asked: dict[str, Asked] = {}
+        self.requests: dict[str, SentRequest] = {}
         self.listed: dict[str, BackendInfo] = {}
         self.timers: list[float] = []
 
     def step(self, events: list[Event]) -> None:
         for action in self.balancer.step(self.now, events):
             self.check(action)
-        for name, request in self.asked.items():
+        for name, request in self.requests.items():
             out = any(a.result is None for a in request.attempts)
-            assert request.over or out or self.now < request.give_up, f"{name} lost"
+            assert request.over or out or self.now < request.deadline, f"{name} lost"
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
@@ -123,44 +123,44 @@
         elif isinstance(action, Forward):
             self.check_send(action)
         elif isinstance(action, (Fail, Reject)):
-            request = self.asked[action.request_id]
+            request = self.requests[action.request_id]
             assert not request.over, "answered twice"
             request.over = True
             if isinstance(action, Reject):
                 assert (
-                    not self.may_have_run(request)
-                    or CLASSES[request.cls].idempotency is Idempotency.IDEMPOTENT
+                    not self.may_have_executed(request)
+                    or CLASSES[request.class_index].idempotency is Idempotency.IDEMPOTENT
                 )
                 assert action.retry_after_ms <= self.config.max_retry_after_ms
         elif isinstance(action, CancelAttempt):
             assert self.config.may_cancel
-            attempt = self.asked[action.request_id].attempts[action.attempt_index]
+            attempt = self.requests[action.request_id].attempts[action.attempt_index]
             attempt.cancelled = True
         elif isinstance(action, SendHealthCheck):
             assert self.config.may_health_check
 
-    def may_have_run(self, request: Asked) -> list[Sent]:
+    def may_have_executed(self, request: SentRequest) -> list[SentAttempt]:
         return [a for a in request.attempts if a.result not in NEVER_EXECUTED]
 
     def check_send(self, action: Forward) -> None:
-        request = self.asked[action.request_id]
-        spec = CLASSES[request.cls]
+        request = self.requests[action.request_id]
+        spec = CLASSES[request.class_index]
         assert not request.over, "sent after its end"
         entry = self.listed[action.backend_id]
         assert entry.state is BackendState.ACTIVE, "sent to a backend that drains or is gone"
         assert len(request.attempts) < self.config.max_attempts
-        ran = self.may_have_run(request)
+        executed = self.may_have_executed(request)
         if not self.config.may_hedge:
             assert all(a.result is not None for a in request.attempts), "two attempts at once"
-        if ran and spec.idempotency is Idempotency.NON_IDEMPOTENT:
-            raise AssertionError("unsafe sent again")
-        if ran and spec.idempotency is Idempotency.KEYED:
-            assert self.now <= ran[0].at + spec.dedup_window_ms, "repeat outside the window"
-            home = ran[0].home
+        if executed and spec.idempotency is Idempotency.NON_IDEMPOTENT:
+            raise AssertionError("non-idempotent sent again")
+        if executed and spec.idempotency is Idempotency.KEYED:
+            assert self.now <= executed[0].at + spec.dedup_window_ms, "repeat outside the window"
+            home = executed[0].home
             assert spec.dedup_scope is not DeduplicationScope.CELL or entry.cell == home.cell
             assert spec.dedup_scope is not DeduplicationScope.ZONE or entry.zone == home.zone
         assert action.timeout_ms > 0
-        request.attempts.append(Sent(action.backend_id, self.now, action.timeout_ms, entry))
+        request.attempts.append(SentAttempt(action.backend_id, self.now, action.timeout_ms, entry))
 
     def relist(self, kind: ListUpdateKind, entries: list[BackendInfo]) -> None:
         if kind is ListUpdateKind.FAILED:
@@ -178,17 +178,40 @@
         for when in [t for t in self.timers if t <= self.now]:
             self.timers.remove(when)
             events.append(TimerFired(0))
-        for name, request in self.asked.items():
+        for name, request in self.requests.items():
             for number, attempt in enumerate(request.attempts):
-                end = min(attempt.at + attempt.limit, request.give_up)
+                end = min(attempt.at + attempt.limit, request.deadline)
                 if attempt.result is None and attempt.cancelled:
                     events.append(self.end(name, number, AttemptResult.CANCELLED))
                 elif attempt.result is None and self.now >= end:
                     events.append(self.end(name, number, AttemptResult.TIMEOUT))
         return events
 
+    def arrive(self, count: int, class_index: int, wait: float) -> None:
+        name = f"r{count}"
+        deadline = self.now + wait + (0.001 if wait else 0)
+        self.requests[name] = SentRequest(class_index, deadline)
+        self.step([RequestArrived(name, class_index, count % 3, count % 4, deadline)])
+
+    def let_pass(self, steps: int) -> None:
+        for _ in range(steps):
+            self.now += 5
+            self.step(self.due())
+
+    def leave(self, name: str, times: int) -> None:
+        request = self.requests[name]
+        if not request.over:
+            request.over = True
+            self.step([ClientDisconnected(name)] * times)
+
+    def end_first_open(self, name: str, result: AttemptResult) -> None:
+        attempts = self.requests[name].attempts
+        waiting = [number for number, attempt in enumerate(attempts) if attempt.result is None]
+        if waiting and (result is not AttemptResult.CANCELLED or attempts[waiting[0]].cancelled):
+            self.step([self.end(name, waiting[0], result)])
+
     def end(self, name: str, number: int, result: AttemptResult) -> AttemptEnded:
-        request = self.asked[name]
+        request = self.requests[name]
         attempt = request.attempts[number]
         attempt.result = result
         if result is AttemptResult.OK:
@@ -254,36 +277,22 @@
     for count, (what, a, b) in enumerate(moves):
         if what == "arrive":
             assert isinstance(a, int) and isinstance(b, float)
-            name = f"r{count}"
-            oracle.asked[name] = Asked(a, oracle.now + b + (0.001 if b else 0))
-            oracle.step([RequestArrived(name, a, count % 3, count % 4, oracle.asked[name].give_up)])
+            oracle.arrive(count, a, b)
         elif what == "pass":
             assert isinstance(a, float)
-            for _ in range(int(a / 5)):
-                oracle.now += 5
-                oracle.step(oracle.due())
+            oracle.let_pass(int(a / 5))
         elif what == "list":
             assert isinstance(a, ListUpdateKind) and isinstance(b, list)
             oracle.relist(a, b)
-        else:
+        elif oracle.requests:
             assert isinstance(a, int)
-            names = list(oracle.asked)
-            if not names:
-                continue
-            name = names[a % len(names)]
-            request = oracle.asked[name]
+            name = list(oracle.requests)[a % len(oracle.requests)]
             if what == "leave":
-                if not request.over:
-                    request.over = True
-                    oracle.step([ClientDisconnected(name)] * (2 if b else 1))
-                continue
-            assert isinstance(b, AttemptResult)
-            waiting = [n for n, x in enumerate(request.attempts) if x.result is None]
-            if waiting and (b is not AttemptResult.CANCELLED or request.attempts[waiting[0]].cancelled):
-                oracle.step([oracle.end(name, waiting[0], b)])
-    for _ in range(500):  # all that is left comes to its end
-        oracle.now += 5
-        oracle.step(oracle.due())
-    assert all(r.over for r in oracle.asked.values())
+                oracle.leave(name, 2 if b else 1)
+            else:
+                assert isinstance(b, AttemptResult)
+                oracle.end_first_open(name, b)
+    oracle.let_pass(500)  # all that is left comes to its end
+    assert all(r.over for r in oracle.requests.values())
     assert oracle.balancer.requests == {}
     assert all(s.in_flight == 0 for s in oracle.balancer.backends.by_id.values())
--- a/tests/policy/test_queue_timeouts.py
+++ b/tests/policy/test_queue_timeouts.py
@@ -6,14 +6,14 @@
     Fail,
 )
 from dunecove.policy.settings import RequestClass
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 
 def test_a_request_that_cannot_be_useful_is_failed_while_queued() -> None:
     driver = Driver(settings(proxy_count=4), *fleet(1))
     driver.arrive()
     queued = driver.arrive()
-    assert [f.request_id for f in of(Fail, driver.run_ticks(325))] == [queued]
+    assert [f.request_id for f in of_type(Fail, driver.run_ticks(325))] == [queued]
 
 
 def test_a_request_never_sent_is_failed_before_half_its_wait() -> None:
@@ -21,8 +21,8 @@
     driver = Driver(settings(RequestClass(5000.0, 9000.0), proxy_count=4), *fleet(1))
     driver.arrive(wait=1000)
     queued = driver.arrive(wait=1000)
-    assert not of(Fail, driver.run_ticks(400))
-    assert [f.request_id for f in of(Fail, driver.run_ticks(75))] == [queued]
+    assert not of_type(Fail, driver.run_ticks(400))
+    assert [f.request_id for f in of_type(Fail, driver.run_ticks(75))] == [queued]
 
 
 def test_a_late_response_is_waited_for_only_without_overload() -> None:
@@ -30,19 +30,19 @@
     driver = Driver(settings(spec, proxy_count=4), *fleet(1))
     first, queued = driver.arrive(), driver.arrive()
     driver.balancer.queues[0].overload_ratio = lambda now: 0.0  # type: ignore[method-assign]
-    assert not of(Fail, driver.run_ticks(400))
+    assert not of_type(Fail, driver.run_ticks(400))
     driver.balancer.queues[0].overload_ratio = lambda now: 2.0  # type: ignore[method-assign]
-    assert [f.request_id for f in of(Fail, driver.run_ticks(75))] == [queued]
+    assert [f.request_id for f in of_type(Fail, driver.run_ticks(75))] == [queued]
     assert first in driver.forwards
 
 
 def test_a_request_without_time_left_is_failed_at_once() -> None:
     driver = Driver(settings(), *fleet(1))
     request = driver.arrive(wait=0.0)
-    assert [f.request_id for f in of(Fail, driver.last)] == [request]
+    assert [f.request_id for f in of_type(Fail, driver.last)] == [request]
 
 
 def test_without_a_backend_a_request_is_failed_in_time() -> None:
     driver = Driver(settings())
     request = driver.arrive(wait=200)
-    assert [f.request_id for f in of(Fail, driver.run_ticks(175))] == [request]
+    assert [f.request_id for f in of_type(Fail, driver.run_ticks(175))] == [request]
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -11,7 +11,7 @@
 from dunecove.policy.events import AttemptEnded, BackendListUpdate, ListUpdateKind
 from dunecove.policy.models import AttemptResult, BackendState
 from dunecove.policy.settings import RequestClass
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 RECOVERY_MS = 12_000  # stated in docs/on-call.md: the longest ejection (8 s and a quarter), then its trial
 STEP_MS = 10  # one arrival each
@@ -48,7 +48,7 @@
 
     def take(self, actions: list[Action], answers: dict[str, tuple[AttemptResult, float]]) -> None:
         now = self.driver.now
-        for send in of(Forward, actions):
+        for send in of_type(Forward, actions):
             self.sent[send.backend_id] += 1
             result, delay = answers.get(send.backend_id, (AttemptResult.OK, USUAL_MS))
             if delay > send.timeout_ms:
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -13,12 +13,12 @@
 from dunecove.policy.models import AttemptResult, Idempotency
 from dunecove.policy.settings import RequestClass
 from tests.policy.helpers import NON_IDEMPOTENT
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 
 def test_a_withdrawn_attempt_ends_in_a_failure() -> None:
     driver = Driver(settings(), *fleet(1))
-    assert of(Fail, driver.end(driver.arrive(), AttemptResult.WITHDRAWN, 0.0))
+    assert of_type(Fail, driver.end(driver.arrive(), AttemptResult.WITHDRAWN, 0.0))
 
 
 @pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.TIMEOUT])
@@ -27,14 +27,14 @@
 ) -> None:
     driver = Driver(settings(NON_IDEMPOTENT), *fleet(3))
     actions = driver.end(driver.arrive(), result)
-    assert of(Fail, actions) and not of(Forward, actions) and not of(Reject, actions)
+    assert of_type(Fail, actions) and not of_type(Forward, actions) and not of_type(Reject, actions)
 
 
 @pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED])
 def test_non_idempotent_that_never_executed_goes_to_another_backend(result: AttemptResult) -> None:
     driver = Driver(settings(NON_IDEMPOTENT), *fleet(3))
     request = driver.arrive()
-    again = of(Forward, driver.end(request, result))
+    again = of_type(Forward, driver.end(request, result))
     assert len(again) == 1 and again[0].backend_id != driver.forwards[request][0]
 
 
@@ -42,12 +42,12 @@
     driver = Driver(settings(max_attempts=2), *fleet(4))
     request = driver.arrive()
     driver.end(request, AttemptResult.REJECTED)
-    assert of(Fail, driver.end(request, AttemptResult.REJECTED))
+    assert of_type(Fail, driver.end(request, AttemptResult.REJECTED))
 
 
 def test_retries_of_what_may_have_executed_are_budgeted() -> None:
     driver = Driver(settings(), *fleet(40))
-    resent = sum(len(of(Forward, driver.end(driver.arrive(), AttemptResult.ERROR))) for _ in range(100))
+    resent = sum(len(of_type(Forward, driver.end(driver.arrive(), AttemptResult.ERROR))) for _ in range(100))
     assert resent <= 10 + 0.1 * 100 + 1
 
 
@@ -55,13 +55,15 @@
     """Backends go on with cancelled work: a second attempt adds load where there is least capacity."""
     driver = Driver(settings(), *fleet(2))
     request = driver.arrive()
-    assert not of(CancelAttempt, driver.run_ticks(275)) and len(driver.forwards[request]) == 1
+    assert not of_type(CancelAttempt, driver.run_ticks(275)) and len(driver.forwards[request]) == 1
 
 
 def test_a_bad_request_is_not_retried() -> None:
     driver = Driver(settings(), *fleet(2))
     request = driver.arrive()
-    assert of(Fail, driver.end(request, AttemptResult.BAD_REQUEST)) and len(driver.forwards[request]) == 1
+    assert (
+        of_type(Fail, driver.end(request, AttemptResult.BAD_REQUEST)) and len(driver.forwards[request]) == 1
+    )
 
 
 def test_a_request_that_found_no_connection_is_retried_whatever_its_class() -> None:
@@ -84,7 +86,7 @@
             tried += 1
             actions += driver.end(request, AttemptResult.NO_LOCAL_RESOURCE, after=0.1)
         actions += driver.tick()
-        assert of(Fail, actions) == []
+        assert of_type(Fail, actions) == []
     driver.run_ticks(500.0)
     assert len(driver.forwards[request]) == tried + 1
-    assert of(Fail, driver.end(request)) == []
+    assert of_type(Fail, driver.end(request)) == []
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -21,7 +21,7 @@
 from dunecove.proxy.discovery_client import MIB, Discovery, Listing
 from dunecove.settings import Wire
 from tests.loopback import ReceivedRequest, ScriptedServer, listing, proxy, run, target
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 ADDRESS = "127.0.0.9:80"
 
@@ -186,7 +186,7 @@
 
 def until_called(driver: Driver) -> float:
     start = driver.now
-    while not of(PollDiscovery, driver.tick()):
+    while not of_type(PollDiscovery, driver.tick()):
         pass
     return driver.now - start
 
@@ -220,7 +220,7 @@
     config = settings(polls_discovery=not pushed, proxy_count=proxies, max_poll_interval_ms=must_ask_ms)
     driver = Driver(config, *fleet(2))
     if not pushed:
-        assert of(PollDiscovery, driver.run_ticks(2_525))  # as is a new process that has not asked yet
+        assert of_type(PollDiscovery, driver.run_ticks(2_525))  # as is a new process that has not asked yet
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(2))))
     discovery = times(pushed, 300.0)
     silent = discovery.wait_ms + discovery.silent_ms
@@ -265,7 +265,7 @@
     served: set[int] = set()
     for tick in range(400):
         for me, driver in enumerate(drivers):
-            if of(PollDiscovery, driver.tick()) and me not in due and me not in served:
+            if of_type(PollDiscovery, driver.tick()) and me not in due and me not in served:
                 calls[me] += 1
                 line.append((me, calls[me]))
                 due[me] = driver.now + call_ms
--- a/tests/support.py
+++ b/tests/support.py
@@ -65,7 +65,7 @@
         return actions
 
 
-def of(kind: type[A], actions: list[Action]) -> list[A]:
+def of_type(kind: type[A], actions: list[Action]) -> list[A]:
     return [a for a in actions if isinstance(a, kind)]
 
 
