--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -97,7 +97,10 @@
         self._is_started = False
         self._slow_tick_at = 0.0  # the last one
         self._actions: list[Action] = []
-        self._handlers: dict[type, Callable[[float, Any], None]] = {
+        self._handlers = self._handlers_by_event()
+
+    def _handlers_by_event(self) -> dict[type, Callable[[float, Any], None]]:
+        return {
             RequestArrived: self._on_arrival,
             AttemptEnded: self._on_attempt_ended,
             ResponseStarted: self._on_response_started,
@@ -213,7 +216,7 @@
             if request.is_queued:
                 if not self._timeouts.extend(now, request):
                     self._fail(request, EndReason.QUEUE_TIMEOUT)
-            elif not request.is_finished and 0 < request.retry_at <= now:
+            elif request.has_backoff_ended(now):
                 self._continue(request, self.retry_policy.after_backoff(now, request))
 
     def _fail(self, request: Request, reason: EndReason) -> None:
--- a/dunecove/policy/request.py
+++ b/dunecove/policy/request.py
@@ -64,3 +64,7 @@
         self.is_finished = False
         self.local_failures = 0  # attempts for which this proxy lacked a connection or another resource
         self.retry_at = 0.0  # when it is sent again after a local failure; 0: not waiting for that
+
+    def has_backoff_ended(self, now: float) -> bool:
+        """Whether it has waited long enough after a local failure."""
+        return not self.is_finished and 0 < self.retry_at <= now
