--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,8 +16,10 @@
 import uvloop
 
 from dunecove.__main__ import Config, start
+from dunecove.proxy.client_connection import ClientConnection
 from dunecove.proxy.connection_pool import Backends
 from dunecove.proxy.engine import Engine
+from dunecove.proxy.http1 import unread
 from dunecove.proxy.listener import Listener
 
 TEST_TIMEOUT_S = 60.0  # only a hang comes near it
@@ -170,6 +172,13 @@
         self.writer.close()
 
 
+async def send_unread(client: Client, connection: ClientConnection, x_call_id: str = "c1") -> None:
+    """Send a request that stays in the kernel, as if the event loop had not read it yet."""
+    connection.transport.pause_reading()
+    client.send(x_call_id=x_call_id)
+    await until(lambda: unread(connection.transport))
+
+
 def target(uid: str, address: str, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
     return {
         "uid": uid,
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -21,6 +21,7 @@
     request,
     reset,
     run,
+    send_unread,
     until,
 )
 
@@ -54,21 +55,19 @@
     run(test())
 
 
-@pytest.mark.parametrize("place", ["idle", "full"])
+@pytest.mark.parametrize("timeout", ["idle", "crowded"])
 def test_idle_connection_with_an_unread_request_is_not_swept(
-    place: str, monkeypatch: pytest.MonkeyPatch
+    timeout: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             assert (await client.ask("/health/ready", "GET")).status == 200
             (connection,) = p.listener.slots.connections
-            connection.transport.pause_reading()  # as if the event loop had not read yet
-            client.send()
-            await until(lambda: unread(connection.transport))
-            p.listener.slots.limit = 1 if place == "full" else 100
+            await send_unread(client, connection)
+            p.listener.slots.limit = 1 if timeout == "crowded" else 100
             monkeypatch.setattr(
-                slots_module, "CROWDED_IDLE_TIMEOUT_S" if place == "full" else "IDLE_TIMEOUT_S", -1.0
+                slots_module, "CROWDED_IDLE_TIMEOUT_S" if timeout == "crowded" else "IDLE_TIMEOUT_S", -1.0
             )
             assert connection in p.listener.slots.idle
             p.listener.sweep()
@@ -97,9 +96,9 @@
     run(test())
 
 
-async def slow_reader(p: Proxy, sends: int = 4096, stops: bool = True) -> Client:
+async def slow_reader(p: Proxy, send_buffer_bytes: int = 4096, shutting_down: bool = True) -> Client:
     """Connect a client of which most of the last response is unsent, unless the kernel buffers it all."""
-    if stops:
+    if shutting_down:
         p.listener.begin_shutdown()
     host, port = p.listener.address.split(":")
     sock = socket.socket()
@@ -108,23 +107,25 @@
     client = Client(*await asyncio.open_connection(sock=sock, limit=1000))
     await until(lambda: p.listener.slots.connections)
     (connection,) = p.listener.slots.connections
-    connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, sends)
+    connection.transport.get_extra_info("socket").setsockopt(
+        socket.SOL_SOCKET, socket.SO_SNDBUF, send_buffer_bytes
+    )
     client.send()
     (await p.backends[0].calls.get()).reply(b"r" * 65536)
-    await until(lambda: p.listener.slots.lingering if stops else p.listener.slots.idle)
-    assert sends > 4096 or connection.transport.get_write_buffer_size()
+    await until(lambda: p.listener.slots.lingering if shutting_down else p.listener.slots.idle)
+    assert send_buffer_bytes > 4096 or connection.transport.get_write_buffer_size()
     return client
 
 
-@pytest.mark.parametrize("at", ["sweep", "cap"])
-def test_slow_reader_gets_its_last_response_complete(at: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("occasion", ["sweep", "eviction"])
+def test_slow_reader_gets_its_last_response_complete(occasion: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", -1.0)
     monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", -1000.0)
 
     async def test() -> None:
         async with proxy() as p:
             client = await slow_reader(p)
-            if at == "sweep":
+            if occasion == "sweep":
                 p.listener.sweep()
             else:
                 assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
@@ -136,7 +137,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", ["idle", "full", "half-close"])
+@pytest.mark.parametrize("how", ["idle", "crowded", "half-close"])
 def test_client_that_never_reads_holds_no_slot_after_the_close(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -144,29 +145,26 @@
 
     async def test() -> None:
         async with proxy() as p:
-            client = await slow_reader(p, stops=False)
+            client = await slow_reader(p, shutting_down=False)
             (connection,) = p.listener.slots.idle
             if how == "idle":
                 monkeypatch.setattr(slots_module, "IDLE_TIMEOUT_S", -1.0)
                 p.listener.sweep()
-            elif how == "full":
+            elif how == "crowded":
                 monkeypatch.setattr(slots_module, "CROWDED_IDLE_TIMEOUT_S", -1.0)
                 p.listener.slots.limit = 1
                 other = await p.client()
                 other.send("/health/ready", "GET")
-                await until(
-                    lambda: not p.listener.is_accepting
-                )  # no slot is free while its response may still be read
-                assert (
-                    p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
-                    and p.listener.slots.used == 1
-                )
+                # No slot is free while its response may still be read.
+                await until(lambda: not p.listener.is_accepting)
+                assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
+                assert p.listener.slots.used == 1
                 p.engine.longest_ms = -1000.0
                 assert (await other.reply()).status == 200
             else:
                 client.writer.write_eof()
             await until(lambda: connection.transport.is_closing())
-            assert how == "full" or connection in p.listener.slots.connections
+            assert how == "crowded" or connection in p.listener.slots.connections
             monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", -1.0)
             monkeypatch.setattr(connection_module, "LINGER_READ_TIMEOUT_S", -1.0)
             p.listener.sweep()
@@ -175,22 +173,20 @@
     run(test())
 
 
-@pytest.mark.parametrize("at", ["sweep", "cap"])
+@pytest.mark.parametrize("occasion", ["sweep", "eviction"])
 def test_bytes_received_at_the_close_do_not_reset_the_last_response(
-    at: str, monkeypatch: pytest.MonkeyPatch
+    occasion: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Failure: closed with unread bytes, it is reset together with what the kernel has yet to send."""
     monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", -1000.0)
 
     async def test() -> None:
         async with proxy() as p:
-            client = await slow_reader(p, sends=4_000_000)
+            client = await slow_reader(p, send_buffer_bytes=4_000_000)
             (connection,) = p.listener.slots.lingering
             assert not connection.transport.get_write_buffer_size()  # the kernel has it
-            connection.transport.pause_reading()  # as if the event loop had not read yet
-            client.send(x_call_id="c2")
-            await until(lambda: unread(connection.transport))
-            if at == "sweep":
+            await send_unread(client, connection, x_call_id="c2")
+            if occasion == "sweep":
                 monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", -1.0)
                 p.listener.sweep()
             else:
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -11,8 +11,7 @@
 from dunecove.proxy import client_connection as connection_module
 from dunecove.proxy import connection_slots as slots_module
 from dunecove.proxy import engine as engine_module
-from dunecove.proxy.http1 import unread
-from tests.loopback import Client, Proxy, proxy, request, run, until
+from tests.loopback import Client, Proxy, proxy, request, run, send_unread, until
 
 
 def test_request_is_forwarded_unchanged_and_its_response_returned() -> None:
@@ -657,9 +656,7 @@
             received = await p.backends[0].calls.get()
             p.listener.begin_shutdown()
             (connection,) = p.listener.slots.connections
-            connection.transport.pause_reading()  # as if the event loop had not read yet
-            client.send(x_call_id="c2")
-            await until(lambda: unread(connection.transport))
+            await send_unread(client, connection, x_call_id="c2")
             received.reply(b"first")
             reply = await client.reply()
             assert reply.body == b"first" and "connection" not in reply.headers
@@ -696,9 +693,7 @@
             client = await p.client()
             await until(lambda: p.listener.slots.awaiting_request)
             (connection,) = p.listener.slots.connections
-            connection.transport.pause_reading()  # as if the event loop had not read yet
-            client.send()
-            await until(lambda: unread(connection.transport))
+            await send_unread(client, connection)
             p.listener.slots.awaiting_request[connection] -= 10_000.0
             if closes == "late":
                 connection.time_out_request()
@@ -720,9 +715,7 @@
             (connection,) = p.listener.slots.connections
             p.listener.slots.idle[connection] -= 100_000.0
             assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is connection
-            connection.transport.pause_reading()  # as if the event loop had not read yet
-            client.send()
-            await until(lambda: unread(connection.transport))
+            await send_unread(client, connection)
             assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
             connection.transport.resume_reading()
             (await p.backends[0].calls.get()).reply()
