--- a/dunecove/__main__.py
+++ b/dunecove/__main__.py
@@ -20,11 +20,11 @@
 import uvloop
 
 from dunecove.policy.settings import Settings
+from dunecove.proxy.addresses import check_ip, split_address
 from dunecove.proxy.connection_pool import OWN_LACK
-from dunecove.proxy.discovery_client import Discovery, Saved, check_ip, read_saved
+from dunecove.proxy.discovery_client import Discovery, Saved, read_saved
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.gossip import Peers, Tier
-from dunecove.proxy.http1 import split_address
 from dunecove.proxy.incremental_json import in_pieces, read, without
 from dunecove.proxy.listener import Frontend
 from dunecove.proxy.request_parser import Reader
--- a/dunecove/proxy/connection_pool.py
+++ b/dunecove/proxy/connection_pool.py
@@ -11,8 +11,9 @@
 from dunecove.policy.request_rules import Denial
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.discovery_client import Target, pack, place_of, unpack
-from dunecove.proxy.http1 import Exchange, Response, unread
+from dunecove.proxy.http_exchange import HttpExchange, Response
 from dunecove.proxy.sharded_table import Table
+from dunecove.proxy.socket_probe import has_unread_input
 
 IDLE_PART = 0.6  # part of the backend's idle limit after which we close first: a late reuse ends as a reset
 # A second answer, noise, or the server's close may come right behind an answer: lent out later than this, the
@@ -102,7 +103,7 @@
         self.idle.clear()
 
 
-class Connection(Exchange):
+class Connection(HttpExchange):
     def __init__(self, pool: Backends, backend: Backend, address: tuple[str, int]) -> None:
         super().__init__()
         self.pool, self.backend, self.generation = pool, backend, backend.generation
@@ -124,7 +125,7 @@
     def carry(self, attempt: Attempt) -> None:
         self.attempt, attempt.connection, attempt.sent_at = attempt, self, now_ms()
         budget = max(1, int(attempt.deadline - now_ms()))
-        self.ask(b"%bx-budget-ms: %d\r\n\r\n%b" % (attempt.head, budget, attempt.body))
+        self.send_request(b"%bx-budget-ms: %d\r\n\r\n%b" % (attempt.head, budget, attempt.body))
 
     def close(self) -> None:
         super().close()
@@ -133,7 +134,7 @@
 
     def never_ran(self) -> bool:
         """The last byte of the request was surely not written."""
-        return self.transport is None or self.unsent
+        return self.transport is None or self.has_unsent_bytes
 
     def on_response(self, response: Response) -> None:
         attempt, self.attempt = self.attempt, None
@@ -150,7 +151,7 @@
         else:
             attempt.end(AttemptResult.ERROR)
 
-    def on_broken(self) -> None:
+    def on_failed(self) -> None:
         if self in self.backend.idle:
             self.backend.idle.remove(self)
         if self.attempt is not None:
@@ -245,7 +246,7 @@
             if connection.idle_since <= rested:
                 del backend.idle[place]
                 assert connection.transport is not None
-                if not connection.transport.is_closing() and not unread(connection.transport):
+                if not connection.transport.is_closing() and not has_unread_input(connection.transport):
                     return connection
                 connection.close()
         return None
@@ -325,7 +326,7 @@
 
     def put_back(self, connection: Connection) -> None:
         backend = connection.backend
-        if not connection.usable or connection.generation != backend.generation:
+        if not connection.is_reusable or connection.generation != backend.generation:
             connection.close()
             return
         connection.idle_since = now_ms()
--- a/dunecove/proxy/discovery_client.py
+++ b/dunecove/proxy/discovery_client.py
@@ -3,11 +3,9 @@
 from __future__ import annotations
 
 import asyncio
-import socket
 from collections import deque
 from collections.abc import Callable, Iterable
 from contextlib import suppress
-from ipaddress import ip_address
 from itertools import chain
 from marshal import dumps, loads
 from math import inf
@@ -16,7 +14,8 @@
 import orjson
 
 from dunecove.policy.models import BackendInfo, BackendState
-from dunecove.proxy.http1 import Exchange, Response, split_address
+from dunecove.proxy.addresses import check_ip, split_address
+from dunecove.proxy.http_exchange import HttpExchange, Response
 from dunecove.proxy.incremental_json import consumed, in_pieces
 from dunecove.proxy.sharded_table import Table
 from dunecove.settings import Malformed, Wire, choice, listing, mapping, number, text, whole
@@ -88,14 +87,6 @@
     return value if type(value) is int else names.setdefault(text(value, member), len(names))
 
 
-def check_ip(host: str) -> None:
-    """ValueError unless it is an IP address: a name would have to be looked up, and there is no DNS."""
-    try:  # what nearly all are, told by the C library in a tenth of the time
-        socket.inet_pton(socket.AF_INET, host)
-    except (OSError, ValueError):
-        ip_address(host)
-
-
 def read_target(raw: object, wire: Wire) -> Target:
     entry = mapping(raw, "targets")
     uid, started = text(entry["uid"], "uid"), entry.get("boot_ms")
@@ -154,7 +145,7 @@
         raise Malformed(f"list: {error}") from None
 
 
-class Call(Exchange):
+class Call(HttpExchange):
     """A kept connection to the list service; each answer is awaited."""
 
     def __init__(self, most: int) -> None:
@@ -164,16 +155,20 @@
 
     async def get(self, request: bytes) -> Response:
         self.answer = asyncio.get_running_loop().create_future()
-        self.ask(request)
+        self.send_request(request)
         try:
             return await self.answer
         finally:
             self.answer = None
 
     def data_received(self, data: bytes) -> None:
-        before = self._size if self.waiting else 0
+        before = self._received_bytes if self.is_awaiting_response else 0
         super().data_received(data)
-        if self.waiting and self.transport is not None and self._size // MIB > before // MIB:
+        if (
+            self.is_awaiting_response
+            and self.transport is not None
+            and self._received_bytes // MIB > before // MIB
+        ):
             self.on_more()
             # Else the loop would read on for as long as bytes come, and serve nobody.
             self.transport.pause_reading()
@@ -187,7 +182,7 @@
         if self.answer is not None and not self.answer.done():
             self.answer.set_result(response)
 
-    def on_broken(self) -> None:
+    def on_failed(self) -> None:
         if self.answer is not None and not self.answer.done():
             self.answer.set_exception(ConnectionError("connection broken"))
 
@@ -259,7 +254,7 @@
             while True:
                 self.rev = await self._take(parts)
                 async with asyncio.timeout((self.wait_ms + self.silent_ms) / 1000) as limit:
-                    if self.call is None or not self.call.usable:
+                    if self.call is None or not self.call.is_reusable:
                         self._hang_up()
                         self.call = Call(self.most)  # known before it comes up: it may be hung up just then
                     self.call.on_more = self._longer(limit)
@@ -326,7 +321,7 @@
         response = await call.get(f"GET {path} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode())
         if response.status != 200:
             raise Malformed(f"status {response.status}")
-        return [response.body, *response.rest]
+        return list(response.body_parts)
 
     async def _take(self, parts: Parts) -> int:
         """Tell of the list; its version."""
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -46,7 +46,7 @@
 from dunecove.proxy.connection_pool import Attempt, Backends
 from dunecove.proxy.discovery_client import PIECE, Discovery, Listing, Saved
 from dunecove.proxy.gossip import Peers
-from dunecove.proxy.http1 import Response
+from dunecove.proxy.http_exchange import Response
 from dunecove.proxy.telemetry import Telemetry, log
 from dunecove.settings import Wire
 
--- a/dunecove/proxy/gossip.py
+++ b/dunecove/proxy/gossip.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dunecove.proxy.http1 import split_address
+from dunecove.proxy.addresses import split_address
 
 MAX_DATAGRAM = 256  # bytes; a longer one is not allowed
 READ_AT_ONCE = 64  # datagrams a turn: requests must not wait for a flood of them
--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -12,20 +12,13 @@
 import httptools
 
 from dunecove.policy.request_rules import RESPONSE_GRACE_MS, Violation, may_close_connection
+from dunecove.proxy.addresses import split_address
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.engine import Answer, Engine
-from dunecove.proxy.http1 import (
-    MAX_BODY,
-    MAX_HEAD,
-    Headers,
-    all_hung_up,
-    hung_up,
-    last_arrival_ms,
-    split_address,
-    unread,
-)
+from dunecove.proxy.http_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
 from dunecove.proxy.receive_buffer import ReadAhead
 from dunecove.proxy.request_parser import Bad, Message, Reader, check_framing
+from dunecove.proxy.socket_probe import closed_by_peer, has_unread_input, is_closed_by_peer, last_arrival_ms
 from dunecove.proxy.telemetry import log
 
 BACKLOG = 512
@@ -34,7 +27,7 @@
 # Short ones are parsed further ahead, so that the time of each is known: the one before must not outlast it.
 PIPELINED_SHORT, PIPELINED_BYTES = 64, 16 * 1024
 PIECE = 4096  # bytes parsed before the requests in them are looked at: hundreds sent at once must not be
-MAX_MESSAGE = MAX_HEAD + 4 * MAX_BODY  # bytes of one request as sent, so many for the framing of chunks
+MAX_MESSAGE = MAX_HEAD_BYTES + 4 * MAX_BODY_BYTES  # bytes of one request as sent, with chunk framing
 BAD_IN_A_ROW = 8  # refused requests after which a connection closes: one that only errs must come anew
 WHOLE_S = 2.0  # s from connecting, or from its first byte, in which a request must be here whole: 3 are owed
 SWEEP_S = 0.25  # s between looks at what is late
@@ -50,7 +43,7 @@
 RETRY_ACCEPT_S = 0.05  # s until the next try when there was no descriptor to give
 DRAIN_ACCEPT_S = 0.005  # s between looks at the kernel's queue before it goes: those accepted are served, too
 LAST_WORDS_S = 0.1  # s in which the last answers reach their clients before the program ends
-UNREAD_ANSWERS = 2 * MAX_BODY  # bytes of answers that a client may leave unread
+UNREAD_ANSWERS = 2 * MAX_BODY_BYTES  # bytes of answers that a client may leave unread
 UNREAD_MS = 500.0  # ms after a request's time in which its answer may yet be read: then it is lost
 # ms after its time by which a request behind another gets its answer: half of the time in which an
 # answer only earns nothing.
@@ -125,7 +118,7 @@
 
     def gone(self) -> bool:
         """Asks the kernel whether the client has left: the loop tells late, or never while it is paused."""
-        if not hung_up(self.transport):
+        if not is_closed_by_peer(self.transport):
             return False
         self._leave()
         self.close(CloseReason.CLIENT)
@@ -133,7 +126,7 @@
 
     def may_close(self) -> bool:
         """Whether nothing is owed on it, and nothing has just been asked."""
-        return may_close_connection(self._owes_answers(), unread(self.transport))
+        return may_close_connection(self._owes_answers(), has_unread_input(self.transport))
 
     def _owes_answers(self) -> bool:
         return self.request_id is not None or bool(self.queue)
@@ -212,7 +205,7 @@
                 self.frontend.watch_paused(self)
             else:
                 self.frontend.paused.discard(self)
-                if self.paused_at and not unread(self.transport):
+                if self.paused_at and not has_unread_input(self.transport):
                     self.paused_at = 0.0
                 self.transport.resume_reading()
 
@@ -241,7 +234,7 @@
             if len(self.queue) > before and isinstance(self.queue[-1], Message):
                 self.queue.pop()
             self._bad(400)
-        if not self._head_done and self._size > MAX_HEAD:
+        if not self._head_done and self._size > MAX_HEAD_BYTES:
             self._bad(400)
         elif self._size > MAX_MESSAGE:
             self._bad(413)
@@ -282,7 +275,7 @@
         except Bad as bad:
             self._bad(bad.status)
             return
-        if sum(len(name) + len(value) for name, value in self._headers) + len(self._target) > MAX_HEAD:
+        if sum(len(name) + len(value) for name, value in self._headers) + len(self._target) > MAX_HEAD_BYTES:
             self._bad(400)
         elif (b"expect", b"100-continue") in self._headers and self.request_id is None and not self.queue:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -290,7 +283,7 @@
     def on_body(self, body: bytes) -> None:
         if self.closing:
             return
-        if len(self._body) + len(body) > MAX_BODY:
+        if len(self._body) + len(body) > MAX_BODY_BYTES:
             self._bad(413)
         else:
             self._body += body
@@ -367,10 +360,10 @@
         just come, and a close over them would reset the connection with what the kernel has yet to send."""
         if now_ms() - self.frontend.ending[self] > READ_S * 1000:
             return False
-        return self.transport.get_write_buffer_size() > 0 or unread(self.transport)
+        return self.transport.get_write_buffer_size() > 0 or has_unread_input(self.transport)
 
     def _asked_ahead(self) -> bool:
-        return bool(self.queue or self.rest) or unread(self.transport)
+        return bool(self.queue or self.rest) or has_unread_input(self.transport)
 
     def finish(self) -> None:
         """Close after what is written. Closed at once with bytes unread, the kernel would reset the
@@ -551,7 +544,7 @@
 
     def _look_at_paused(self) -> None:
         self.looker = None
-        for transport in all_hung_up(client.transport for client in self.paused):
+        for transport in closed_by_peer(client.transport for client in self.paused):
             transport.abort()
         if self.paused:
             self.looker = self.loop.call_later(PAUSED_LOOK_S, self._look_at_paused)
--- a/dunecove/proxy/request_parser.py
+++ b/dunecove/proxy/request_parser.py
@@ -12,7 +12,7 @@
 from dunecove.policy.settings import Settings
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.engine import Answer, Taken
-from dunecove.proxy.http1 import MAX_BODY, Headers
+from dunecove.proxy.http_limits import MAX_BODY_BYTES, Headers
 from dunecove.settings import Wire
 
 # What goes on to a backend. Anything else is the client's own affair, and one way less to make a backend
@@ -78,7 +78,7 @@
     if lengths:
         if not lengths[0].isdigit():
             raise Bad(400)
-        if len(lengths[0]) > 18 or int(lengths[0]) > MAX_BODY:
+        if len(lengths[0]) > 18 or int(lengths[0]) > MAX_BODY_BYTES:
             raise Bad(413)
 
 
--- a/scale/load.py
+++ b/scale/load.py
@@ -10,7 +10,7 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from dunecove.proxy.http1 import split_address
+from dunecove.proxy.addresses import split_address
 from scale import made, report
 from scale.clients import histogram
 from scale.measures import Trouble, child, child_json, end
--- a/scale/memory.py
+++ b/scale/memory.py
@@ -6,7 +6,7 @@
 import socket
 import subprocess
 
-from dunecove.proxy.http1 import split_address
+from dunecove.proxy.addresses import split_address
 from scale.measures import Plan, Series, Trouble, Values, child, child_json, end, measure
 
 HOW = ("traced", "resident")
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -8,7 +8,7 @@
 import pytest
 
 from dunecove.proxy import listener as listener_module
-from dunecove.proxy.http1 import hung_up, unread
+from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer
 from tests.loopback import PURCHASE, Call, Client, Proxy, Reply, proxy, request, reset, run, until
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -52,7 +52,7 @@
             (inside,) = p.frontend.clients
             inside.transport.pause_reading()  # as if no turn had come yet in which to read
             client.send()
-            await until(lambda: unread(inside.transport))
+            await until(lambda: has_unread_input(inside.transport))
             p.frontend.most = 1 if place == "full" else 100
             monkeypatch.setattr(listener_module, "IDLE_FULL_S" if place == "full" else "IDLE_S", -1.0)
             assert inside in p.frontend.idle
@@ -170,7 +170,7 @@
             assert not inside.transport.get_write_buffer_size()  # the kernel has it
             inside.transport.pause_reading()  # as if no turn had come yet in which to read
             client.send(x_call_id="c2")
-            await until(lambda: unread(inside.transport))
+            await until(lambda: has_unread_input(inside.transport))
             if at == "sweep":
                 monkeypatch.setattr(listener_module, "LINGER_S", -1.0)
                 p.frontend._sweep()
@@ -258,7 +258,7 @@
             client.writer.write(b"\x16\x03 no request\r\n\r\n")
             await until(lambda: inside.closing)
             client.writer.write(b"x" * 100_000)
-            await until(lambda: unread(inside.transport) or inside not in p.frontend.clients)
+            await until(lambda: has_unread_input(inside.transport) or inside not in p.frontend.clients)
             call.reply(b"owed")
             assert (await client.reply()).body == b"owed"
             assert (await client.reply()).status == 400
@@ -330,9 +330,9 @@
     assert transport is not None
     transport.pause_reading()
     call.writer.write(sent)
-    await until(lambda: unread(transport))
+    await until(lambda: has_unread_input(transport))
     reset(call.writer) if how == "reset" else call.writer.close()
-    await until(lambda: hung_up(transport))
+    await until(lambda: is_closed_by_peer(transport))
     transport.resume_reading()
     reply = await client.reply()
     assert all(peer.calls.empty() for peer in p.backends)
@@ -386,10 +386,10 @@
             answer += OK + b"transfer-encoding: chunked\r\n\r\n4\r\nslow\r\n3;x=y\r\nly.\r\n0\r\nt: u\r\n\r\n"
             (connection,) = p.engine.backends.connections
             for byte in answer:
-                assert connection.waiting and client.reader._buffer == b""  # type: ignore[attr-defined]
-                size = connection._size
+                assert connection.is_awaiting_response and client.reader._buffer == b""  # type: ignore[attr-defined]
+                size = connection._received_bytes
                 call.writer.write(bytes([byte]))
-                await until(lambda size=size: connection._size != size)  # type: ignore[misc]
+                await until(lambda size=size: connection._received_bytes != size)  # type: ignore[misc]
             reply = await client.reply()
             assert (reply.status, reply.body) == (200, b"slowly.")
 
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -17,7 +17,8 @@
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.connection_pool import Attempt, Backends
 from dunecove.proxy.discovery_client import Target
-from dunecove.proxy.http1 import Response, unread
+from dunecove.proxy.http_exchange import Response
+from dunecove.proxy.socket_probe import has_unread_input
 from tests.loopback import Gate, Peer, reset, run
 
 HEAD = b"POST /answer HTTP/1.1\r\nhost: b\r\n"
@@ -272,7 +273,7 @@
             assert kept.transport is not None
             kept.transport.pause_reading()
             peer.writers[0].write(more)
-            while not unread(kept.transport):
+            while not has_unread_input(kept.transport):
                 await asyncio.sleep(0.001)
             assert await attempts.served(peer) == 2
 
@@ -288,7 +289,7 @@
             assert kept.transport is not None
             kept.transport.pause_reading()
             peer.writers[0].close()
-            while not unread(kept.transport):
+            while not has_unread_input(kept.transport):
                 await asyncio.sleep(0.001)
             assert await attempts.served(peer) == 2
 
@@ -507,7 +508,7 @@
             await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)
             attempt = attempts.start()  # written whole at once; the server's close was on its way
             connection = attempt.connection
-            assert connection is not None and connection.waiting
+            assert connection is not None and connection.is_awaiting_response
             connection.connection_lost(ConnectionResetError())
             assert await attempts.result() is AttemptResult.RESET
 
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -37,7 +37,7 @@
 from dunecove.proxy import request_parser as request_parser_module
 from dunecove.proxy import telemetry as telemetry_module
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.http1 import hung_up, unread
+from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer
 from tests.loopback import Client, Gate, Proxy, proxy, request, reset, run, until
 
 Step = Callable[[list[Any]], list[Action]]
@@ -281,7 +281,7 @@
             for client in clients[::3]:
                 client.writer.transport.abort()
             inside = list(p.frontend.paused)
-            await until(lambda: sum(hung_up(one.transport) for one in inside) == 100)
+            await until(lambda: sum(is_closed_by_peer(one.transport) for one in inside) == 100)
             with monkeypatch.context() as patch:
                 patch.setattr(select, "poll", counted)
                 p.frontend._look_at_paused()
@@ -309,7 +309,7 @@
             await until(lambda: p.frontend.paused)
             (inside,) = p.frontend.clients
             client.close()
-            await until(lambda: hung_up(inside.transport))
+            await until(lambda: is_closed_by_peer(inside.transport))
             call.reply()
             await until(lambda: not p.frontend.clients)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
@@ -407,7 +407,7 @@
         reset(client.writer)
     else:
         client.writer.transport.abort()
-    await until(lambda: hung_up(inside.transport))
+    await until(lambda: is_closed_by_peer(inside.transport))
     assert not events(ClientDisconnected)
 
 
@@ -592,7 +592,7 @@
             await until(lambda: p.frontend.paused)
             (inside,) = p.frontend.clients
             client.send(x_call_id="late", x_budget_ms="9000")
-            await until(lambda: unread(inside.transport))
+            await until(lambda: has_unread_input(inside.transport))
             clock[0] = 5000.0
             call.reply()
             await until(lambda: len(events(RequestArrived)) == 2)
--- a/tests/proxy/test_incremental_json.py
+++ b/tests/proxy/test_incremental_json.py
@@ -18,7 +18,8 @@
 from dunecove.__main__ import Config
 from dunecove.policy.models import BackendState
 from dunecove.proxy import incremental_json
-from dunecove.proxy.discovery_client import LONG_BYTES, PIECE, Discovery, Listing, check_ip, pack, unpack
+from dunecove.proxy.addresses import check_ip
+from dunecove.proxy.discovery_client import LONG_BYTES, PIECE, Discovery, Listing, pack, unpack
 from dunecove.proxy.incremental_json import consumed, in_pieces
 from dunecove.settings import Malformed, Wire
 from tests.loopback import Proxy, configuration, listing, proxy, run, target
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -10,7 +10,7 @@
 
 from dunecove.proxy import engine as engine_module
 from dunecove.proxy import listener as listener_module
-from dunecove.proxy.http1 import unread
+from dunecove.proxy.socket_probe import has_unread_input
 from tests.loopback import Client, Proxy, proxy, request, run
 
 
@@ -664,7 +664,7 @@
             (inside,) = p.frontend.clients
             inside.transport.pause_reading()  # as if no turn had come yet in which to read
             client.send(x_call_id="c2")
-            while not unread(inside.transport):
+            while not has_unread_input(inside.transport):
                 await asyncio.sleep(0.001)
             call.reply(b"first")
             reply = await client.reply()
@@ -705,7 +705,7 @@
             (inside,) = p.frontend.clients
             inside.transport.pause_reading()  # as if no turn had come yet in which to read
             client.send()
-            while not unread(inside.transport):
+            while not has_unread_input(inside.transport):
                 await asyncio.sleep(0.001)
             p.frontend.waiting[inside] -= 10_000.0
             if closes == "late":
@@ -730,7 +730,7 @@
             assert p.frontend._victim() is inside
             inside.transport.pause_reading()  # as if no turn had come yet in which to read
             client.send()
-            while not unread(inside.transport):
+            while not has_unread_input(inside.transport):
                 await asyncio.sleep(0.001)
             assert p.frontend._victim() is None
             inside.transport.resume_reading()
