--- a/dunecove/__main__.py
+++ b/dunecove/__main__.py
@@ -22,10 +22,12 @@
 from dunecove.policy.settings import Settings
 from dunecove.proxy.addresses import check_ip, split_address
 from dunecove.proxy.connection_pool import OWN_LACK
-from dunecove.proxy.discovery_client import Discovery, Saved, read_saved
+from dunecove.proxy.discovery_client import DiscoveryClient
+from dunecove.proxy.endpoint_json import read_cached_list
+from dunecove.proxy.endpoint_list import CachedEndpointList
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.gossip import Peers, Tier
-from dunecove.proxy.incremental_json import in_pieces, read, without
+from dunecove.proxy.incremental_json import ArraySlices, read_file
 from dunecove.proxy.listener import Frontend
 from dunecove.proxy.request_parser import Reader
 from dunecove.proxy.telemetry import Telemetry, log, take_library_logs
@@ -86,7 +88,7 @@
         if not path:
             raise Malformed("LB_CONFIG is not set")
         try:
-            outline, is_long = without(in_pieces(read(path), "known"))
+            outline, is_long = ArraySlices(read_file(path), "known").read_remainder()
             raw = mapping(outline, "configuration")
         except OSError as error:
             raise Unreadable(path, error) from None
@@ -98,8 +100,8 @@
             self.settings: Settings = replace(read_settings(info), sends_retry_after=True)
             self.settings.check()
             self.wire: Wire = read_wire(info)
-            ahead = in_pieces(read(path), "known") if is_long and not again else ()
-            self.known: Saved = read_saved(raw["known"], self.wire, ahead)
+            slices = ArraySlices(read_file(path), "known") if is_long and not again else ()
+            self.known: CachedEndpointList = read_cached_list(raw["known"], self.wire, slices)
             self.name = env.get("LB_NAME") or text(raw["name"], "name")
             self.listen = env.get("LB_LISTEN") or text(raw["listen"], "listen")
             self.discovery = env.get("LB_DISCOVERY") or text(raw["discovery"], "discovery")
@@ -133,15 +135,15 @@
     of_clients, to_backends = places(config.sockets)
     engine = Engine(config.settings, config.wire, config.seed, to_backends)
     engine.take_saved(config.known)
-    engine.discovery = Discovery(
+    engine.discovery = DiscoveryClient(
         config.discovery,
         config.wire,
-        config.known.rev,
+        config.known.revision,
         engine.on_list,
         engine.on_list_failure,
         pushed=not config.settings.polls_discovery,
         memory_mb=config.memory_mb,
-        held=engine.backends.targets,
+        endpoints=engine.backends.targets,
     )
     if config.tier is not None:
         open_peers(engine, config.tier)
--- a/dunecove/proxy/connection_pool.py
+++ b/dunecove/proxy/connection_pool.py
@@ -10,9 +10,9 @@
 from dunecove.policy.models import NEVER_EXECUTED, AttemptResult, BackendInfo, BackendState
 from dunecove.policy.request_rules import Denial
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.discovery_client import Target, pack, place_of, unpack
+from dunecove.proxy.endpoint_list import Endpoint, decode_endpoint, decode_location, encode_endpoint
 from dunecove.proxy.http_exchange import HttpExchange, Response
-from dunecove.proxy.sharded_table import Table
+from dunecove.proxy.sharded_table import ShardedTable
 from dunecove.proxy.socket_probe import has_unread_input
 
 IDLE_PART = 0.6  # part of the backend's idle limit after which we close first: a late reuse ends as a reset
@@ -167,32 +167,32 @@
         self.connect_timeout_s, self.idle_ms = connect_timeout_ms / 1000, conn_idle_ms * IDLE_PART
         self.most = most  # connections, those being opened included
         self.connections: set[Connection] = set()
-        self.targets = Table()  # all that are active
+        self.targets = ShardedTable()  # all that are active
         self.backends: dict[str, Backend] = {}  # those with connections, and some that had them a moment ago
         self.loop = asyncio.get_running_loop()
         self.sweeper = self.loop.call_later(self.idle_ms / 1000 / SWEEPS, self._sweep)
 
-    def update(self, targets: tuple[Target, ...], whole: bool) -> None:
+    def update(self, targets: tuple[Endpoint, ...], whole: bool) -> None:
         if whole:
-            listed = {target.uid for target in targets}
+            listed = {target.backend_id for target in targets}
             for uid in [uid for uid in self.targets if uid not in listed]:
                 self._remove(uid)
         for target in targets:
             if target.info.state is not BackendState.ACTIVE:
-                self._remove(target.uid)
+                self._remove(target.backend_id)
                 continue
-            held, new = self.targets.of(target.uid), pack(target)
-            old, held[target.uid] = held.get(target.uid), new
-            backend = self.backends.get(target.uid)
+            held, new = self.targets.shard_of(target.backend_id), encode_endpoint(target)
+            old, held[target.backend_id] = held.get(target.backend_id), new
+            backend = self.backends.get(target.backend_id)
             if backend is not None and old is not None and old != new:
-                before = unpack(target.uid, old)
+                before = decode_endpoint(target.backend_id, old)
                 if before[1:3] != target[1:3]:  # it has moved
                     self._retire(backend)
                 elif before.info.started_at != target.info.started_at:
                     backend.renew()
 
     def _remove(self, uid: str) -> None:
-        self.targets.of(uid).pop(uid, None)
+        self.targets.shard_of(uid).pop(uid, None)
         if uid in self.backends:
             self._retire(self.backends.pop(uid))
 
@@ -211,12 +211,12 @@
     def infos(self, uids: list[str]) -> tuple[BackendInfo, ...]:
         """Of those that are still active."""
         known = ((uid, self.targets.get(uid)) for uid in uids)
-        return tuple(unpack(uid, k).info for uid, k in known if k is not None)
+        return tuple(decode_endpoint(uid, k).info for uid, k in known if k is not None)
 
     def start(self, attempt: Attempt) -> None:
         known = self.targets.get(attempt.uid)
         if known is not None:
-            attempt.zone, attempt.cell = place_of(known)
+            attempt.zone, attempt.cell = decode_location(known)
         denial = self._denial(attempt)
         if denial is not None or known is None:
             attempt.end(DENIED.get(denial or Denial.BACKEND_REMOVED, AttemptResult.WITHDRAWN))
@@ -230,7 +230,7 @@
         if not self._make_room():
             attempt.end(AttemptResult.NO_LOCAL_RESOURCE)
             return
-        target = unpack(attempt.uid, known)
+        target = decode_endpoint(attempt.uid, known)
         connection = Connection(self, backend, (target.host, target.port))
         connection.attempt, attempt.connection = attempt, connection
         self.connections.add(connection)
--- a/dunecove/proxy/discovery_client.py
+++ b/dunecove/proxy/discovery_client.py
@@ -1,401 +1,249 @@
-"""The list of backends: reading it, and the watch that keeps it fresh."""
+"""The watch on the discovery service that keeps the endpoint list up to date."""
 
 from __future__ import annotations
 
 import asyncio
-from collections import deque
-from collections.abc import Callable, Iterable
-from contextlib import suppress
-from itertools import chain
-from marshal import dumps, loads
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager, suppress
 from math import inf
-from typing import Any, NamedTuple
 
 import orjson
 
-from dunecove.policy.models import BackendInfo, BackendState
-from dunecove.proxy.addresses import check_ip, split_address
-from dunecove.proxy.http_exchange import HttpExchange, Response
-from dunecove.proxy.incremental_json import consumed, in_pieces
-from dunecove.proxy.sharded_table import Table
-from dunecove.settings import Malformed, Wire, choice, listing, mapping, number, text, whole
-
-STATES = {"active": BackendState.ACTIVE, "leaving": BackendState.DRAINING, "left": BackendState.REMOVED}
-FIRST_WAIT_MS = 1  # a new watch asks for what is known now, so that success shows at once
-# What a silent watch misses counts as told 6 s after it fell silent. By then it must have been found silent,
-# opened anew, and once more if connecting hangs; so it waits for a second and is given a second to answer.
-WAIT_MS = 1000.0
-SILENT_MS = 1000.0
-# A call that opens a watch may hang, or wait its turn where many ask at once. So after this time another is
-# made, and those before it keep their places in the line, so many in all: asking anew at its end each time,
-# nobody might ever be served.
-CALL_MS = 2000.0
-PLACES = 3
-# A pushed list counts as told in the moment its service is back: a watch left open then, and the next call,
-# may use up so much of the drain grace each. The agent is on this machine, and slow only when that is.
-GRACE_PART = 0.4
-LEAST_MS = 200.0
-# A list may be as long as the memory bears: one that replaces another takes under three times its bytes for a
-# moment, beside the program. What is longer would end the program.
-LIST_PART = 0.3
-PROGRAM_MB = 32.0
-LEAST_LIST = 1024 * 1024
-LONG_BYTES = 64 * 1024  # a list longer than this is read in pieces
-LONG_HELD = 1000  # and so is any whole list where more than so many are held
-# Bytes of a list read in one turn of the loop; for each as many its service may take the time of its silence
-# once more.
-MIB = 1024 * 1024
-PIECE = 100  # entries told the module in one turn of the loop: 1 or 2 ms
-
-
-class Target(NamedTuple):
-    uid: str
-    host: str
-    port: int
-    info: BackendInfo
-
-
-Parts = list[bytes | bytearray]  # of an answer's body
-Known = bytes  # what is kept of an active one: small, with its values in it, and nothing for the collector
-
-
-def pack(target: Target) -> Known:
-    return dumps((target.host.encode(), target.port, *target.info[2:]), 2)
-
-
-def unpack(uid: str, known: Known) -> Target:
-    host, port, *traits = loads(known)
-    return Target(uid, host.decode(), port, BackendInfo(uid, BackendState.ACTIVE, *traits))
-
-
-def place_of(known: Known) -> tuple[int, int]:
-    """Zone and cell, without the rest."""
-    traits = loads(known)
-    return traits[2], traits[4]
-
-
-class Listing(NamedTuple):
-    rev: int
-    whole: bool
-    targets: tuple[Target, ...]
-
-
-def place(names: dict[str, int], value: object, member: str) -> int:
-    """The number of a zone or kind; one that the settings do not name gets the next."""
-    if value is None:
-        return 0
-    return value if type(value) is int else names.setdefault(text(value, member), len(names))
-
-
-def read_target(raw: object, wire: Wire) -> Target:
-    entry = mapping(raw, "targets")
-    uid, started = text(entry["uid"], "uid"), entry.get("boot_ms")
-    host, port = split_address(text(entry["endpoint"], "endpoint"))
-    check_ip(host)
-    info = BackendInfo(
-        uid,
-        choice(STATES, entry["state"], "state"),
-        place(wire.zones, entry.get("az"), "az"),
-        place(wire.kinds, entry.get("model"), "model"),
-        whole(entry.get("pod_group") or 0, "pod_group"),
-        number(started, "boot_ms") if started else None,
-        number(entry.get("capacity_hint") or 1, "capacity_hint"),
-    )
-    return Target(uid, host, port, info)
-
-
-def read_listing(raw: object, wire: Wire) -> Listing:
-    try:
-        data = mapping(raw, "list")
-        targets = tuple(read_target(entry, wire) for entry in listing(data["targets"], "targets"))
-        return Listing(whole(data["rev"], "rev"), data["all"] is True, targets)
-    except KeyError as error:
-        raise Malformed(f"list: {error.args[0]} is missing") from None
-    except ValueError as error:
-        raise Malformed(f"list: {error}") from None
-
-
-class Saved(NamedTuple):
-    """A list that the proxy had before it started, its active backends in their order."""
-
-    rev: int
-    uids: list[str]
-    table: Table
-
-
-def read_saved(raw: object, wire: Wire, ahead: Iterable[list[Any]]) -> Saved:
-    """`ahead` has the entries that are not in `raw`; of a long list no more than some are there at a time."""
+from dunecove.proxy.addresses import split_address
+from dunecove.proxy.discovery_connection import DiscoveryConnection
+from dunecove.proxy.discovery_errors import (
+    DiscoveryStatusError,
+    DiscoveryTimeoutError,
+    malformed_list_errors,
+)
+from dunecove.proxy.endpoint_json import read_list_update
+from dunecove.proxy.endpoint_list import EndpointListUpdate
+from dunecove.proxy.long_list import LongListReader
+from dunecove.proxy.sharded_table import ShardedTable
+from dunecove.settings import Wire
+
+FIRST_LONG_POLL_MS = 1  # a new watch asks for what there is now, so that success shows at once
+# What an unresponsive watch misses counts as known 6 s after it fell silent. By then that must have been
+# noticed, and the watch opened again, once more if connecting hangs: hence a second to wait, one to respond.
+LONG_POLL_MS = 1000.0
+RESPONSE_TIMEOUT_MS = 1000.0
+# A call that opens a watch may hang, or wait its turn where many proxies ask at once. After this time another
+# is made while those before it keep their places in the service's queue, up to this number in all: if each
+# try began at the end of the queue, some proxies might never be served.
+OPENING_TIMEOUT_MS = 2000.0
+MAX_OPENING_CALLS = 3
+# A pushed list counts as known once its service is back: a watch left open before that, and the next call,
+# may use this fraction of the drain grace each. The agent is on this machine, and slow only when that is.
+DRAIN_GRACE_FRACTION = 0.4
+MIN_PUSHED_TIMEOUT_MS = 200.0
+# A list may be as long as memory allows: one that replaces another takes less than three times its bytes for
+# a moment, beside the process itself. A longer one would end the process.
+LIST_MEMORY_FRACTION = 0.3
+PROCESS_MEMORY_MB = 32.0
+MIN_LIST_LIMIT_BYTES = 1024 * 1024
+BYTES_PER_MB = 1024 * 1024
+LONG_LIST_BYTES = 64 * 1024  # a longer list is read in slices
+LONG_LIST_ENDPOINTS = 1000  # and so is any snapshot while more endpoints than these are known
+LIST_PATH = "/registry/instances"
+
+BodyParts = list[bytes | bytearray]
+
+
+@asynccontextmanager
+async def _response_timeout(timeout_ms: float) -> AsyncIterator[asyncio.Timeout]:
+    """Raise DiscoveryTimeoutError when the time is up."""
+    timeout = asyncio.timeout(timeout_ms / 1000)
     try:
-        data, saved = mapping(raw, "list"), Table()
-        uids: list[str] = []
-        for entries in chain(ahead, [listing(data["targets"], "targets")]):
-            for entry in entries:
-                target = read_target(entry, wire)
-                held = saved.of(target.uid)
-                if target.info.state is BackendState.ACTIVE:
-                    if target.uid not in held:
-                        uids.append(target.uid)
-                    held[target.uid] = pack(target)
-                else:
-                    held.pop(target.uid, None)
-        return Saved(whole(data["rev"], "rev"), uids, saved)
-    except KeyError as error:
-        raise Malformed(f"list: {error.args[0]} is missing") from None
-    except ValueError as error:
-        raise Malformed(f"list: {error}") from None
-
-
-class Call(HttpExchange):
-    """A kept connection to the list service; each answer is awaited."""
-
-    def __init__(self, most: int) -> None:
-        super().__init__(most)
-        self.answer: asyncio.Future[Response] | None = None
-        self.on_more: Callable[[], None] = lambda: None  # much of a long answer has come
-
-    async def get(self, request: bytes) -> Response:
-        self.answer = asyncio.get_running_loop().create_future()
-        self.send_request(request)
-        try:
-            return await self.answer
-        finally:
-            self.answer = None
-
-    def data_received(self, data: bytes) -> None:
-        before = self._received_bytes if self.is_awaiting_response else 0
-        super().data_received(data)
-        if (
-            self.is_awaiting_response
-            and self.transport is not None
-            and self._received_bytes // MIB > before // MIB
-        ):
-            self.on_more()
-            # Else the loop would read on for as long as bytes come, and serve nobody.
-            self.transport.pause_reading()
-            asyncio.get_running_loop().call_soon(self._read_on)
-
-    def _read_on(self) -> None:
-        if self.transport is not None and not self.transport.is_closing():
-            self.transport.resume_reading()
-
-    def on_response(self, response: Response) -> None:
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_result(response)
+        async with timeout:
+            yield timeout
+    except TimeoutError:
+        if not timeout.expired():
+            raise  # of the socket: how the connection failed
+        raise DiscoveryTimeoutError("no response in time") from None
 
-    def on_failed(self) -> None:
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(ConnectionError("connection broken"))
 
-
-class Discovery:
-    """Watches back to back from `watch` on, until a call fails."""
+class DiscoveryClient:
+    """Polls the list back to back from `watch` on, until a call fails."""
 
     def __init__(
         self,
         address: str,
         wire: Wire,
-        rev: int | None,
-        on_list: Callable[[Listing], None],
+        revision: int | None,
+        on_update: Callable[[EndpointListUpdate], None],
         on_failure: Callable[[str], None],
         pushed: bool = False,
-        memory_mb: float = PROGRAM_MB,
-        held: Table | None = None,
+        memory_mb: float = PROCESS_MEMORY_MB,
+        endpoints: ShardedTable | None = None,
     ) -> None:
-        self.most = max(int((memory_mb - PROGRAM_MB) * 1024 * 1024 * LIST_PART), LEAST_LIST)
-        self.held = Table() if held is None else held  # what `on_list` has made of the news
-        most = max(wire.drain_grace_ms * GRACE_PART, LEAST_MS) if pushed else inf
-        self.wait_ms, self.silent_ms = int(min(WAIT_MS, most)), min(SILENT_MS, most)
-        self.call_ms = min(CALL_MS, most)
-        self.address, self.wire, self.rev = address, wire, rev
-        self.on_list, self.on_failure = on_list, on_failure
-        self.call: Call | None = None  # that of the watch that stands
-        self.task: asyncio.Task[None] | None = None
-        self.asked: dict[asyncio.Task[Parts], Call] = {}  # calls that open a watch, the latest last
-        self.places = 1 if pushed else PLACES
+        """Ask the service at `address` for what has changed since `revision`, if there is one.
+
+        `on_failure` gets a text for the log. `pushed` tells that the service is an agent on this machine to
+        which the list is pushed. `endpoints` is the table that `on_update` keeps up to date.
+        """
+        self.address = address
+        self.wire = wire
+        self.revision = revision
+        self.on_update = on_update
+        self.on_failure = on_failure
+        self.endpoints = ShardedTable() if endpoints is None else endpoints
+        max_list_bytes = int((memory_mb - PROCESS_MEMORY_MB) * BYTES_PER_MB * LIST_MEMORY_FRACTION)
+        self.max_list_bytes = max(max_list_bytes, MIN_LIST_LIMIT_BYTES)
+        max_timeout_ms = inf
+        if pushed:
+            max_timeout_ms = max(wire.drain_grace_ms * DRAIN_GRACE_FRACTION, MIN_PUSHED_TIMEOUT_MS)
+        self.long_poll_ms = int(min(LONG_POLL_MS, max_timeout_ms))
+        self.response_timeout_ms = min(RESPONSE_TIMEOUT_MS, max_timeout_ms)
+        self.opening_timeout_ms = min(OPENING_TIMEOUT_MS, max_timeout_ms)
+        self.max_opening_calls = 1 if pushed else MAX_OPENING_CALLS
+        self.connection: DiscoveryConnection | None = None  # that of the watch
+        # Calls that open a watch and are in flight, the latest last.
+        self.opening_calls: dict[asyncio.Task[BodyParts], DiscoveryConnection] = {}
+        self._watch_task: asyncio.Task[None] | None = None
+
+    @property
+    def is_watching(self) -> bool:
+        """Whether a watch is on."""
+        return self._watch_task is not None and not self._watch_task.done()
 
     def watch(self) -> None:
-        if self.task is None or self.task.done():
-            self.task = asyncio.get_running_loop().create_task(self._run())
+        """Start to watch, unless a watch is on."""
+        if not self.is_watching:
+            self._watch_task = asyncio.get_running_loop().create_task(self._run())
 
-    def move(self, address: str) -> bool:
-        """Ask the service at `address` from the next watch on; False if that is the one asked already."""
+    def move_to(self, address: str) -> bool:
+        """Ask the service at `address` from the next watch on; False if that is the present one."""
         if address == self.address:
             return False
-        self.close()  # a watch called off is no failed one
-        self.task = None
-        self.address, self.rev = address, None  # its versions are its own: `since` would skip news
+        self.close()  # a watch that is cancelled is not reported as failed
+        self._watch_task = None
+        self.address = address
+        self.revision = None  # revisions are a service's own: asking since this one would skip changes
         return True
 
     def close(self) -> None:
-        if self.task is not None:
-            self.task.cancel()
-        self._hang_up()
-        self._give_up(0)
-
-    def _hang_up(self) -> None:
-        if self.call is not None:
-            self.call.close()
-        self.call = None
-
-    def _give_up(self, places: int) -> None:
-        """Leave so many of the calls that open a watch out, the latest."""
-        while len(self.asked) > places:
-            task = next(iter(self.asked))
-            self.asked.pop(task).close()
+        """Stop to watch, without a callback."""
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+        self._close_connection()
+        self._close_opening_calls(keep=0)
+
+    def _close_connection(self) -> None:
+        if self.connection is not None:
+            self.connection.close()
+        self.connection = None
+
+    def _close_opening_calls(self, keep: int) -> None:
+        """Close the oldest calls that open a watch, all but so many."""
+        while len(self.opening_calls) > keep:
+            task = next(iter(self.opening_calls))
+            self.opening_calls.pop(task).close()
             task.cancel()
 
-    async def _connect(self, call: Call) -> None:
+    async def _connect(self, connection: DiscoveryConnection) -> None:
         host, port = split_address(self.address)
-        await asyncio.get_running_loop().create_connection(lambda: call, host, port)
+        await asyncio.get_running_loop().create_connection(lambda: connection, host, port)
 
     async def _run(self) -> None:
         try:
-            parts = await self._open()
+            parts = await self._open_watch()
             while True:
-                self.rev = await self._take(parts)
-                async with asyncio.timeout((self.wait_ms + self.silent_ms) / 1000) as limit:
-                    if self.call is None or not self.call.is_reusable:
-                        self._hang_up()
-                        self.call = Call(self.most)  # known before it comes up: it may be hung up just then
-                    self.call.on_more = self._longer(limit)
-                    parts = await self._fetch(self.call, self.wait_ms)
+                self.revision = await self._process_list(parts)
+                parts = await self._long_poll()
         except Exception as error:
-            # Whatever went wrong here, the module must hear of it: with a watch that has died unseen it
-            # would believe its list for good and send to what drains.
-            self._hang_up()
+            # The decision module must hear of any failure: if a watch died unnoticed, it would trust its list
+            # for good and forward requests to backends that drain.
+            self._close_connection()
             self.on_failure(f"{type(error).__name__}: {error}")
 
-    async def _open(self) -> Parts:
-        """The first answer to any call that opens a watch, those of earlier tries that are still out too."""
-        latest = self._answered()
-        if latest is None:
-            self.call = call = Call(self.most)
-            latest = asyncio.get_running_loop().create_task(self._fetch(call, FIRST_WAIT_MS))
-            self.asked[latest] = call
-            latest.add_done_callback(self._on_asked)
-            self._give_up(self.places)
+    async def _long_poll(self) -> BodyParts:
+        """Wait for the next change, on the connection at hand if it is still usable."""
+        async with _response_timeout(self.long_poll_ms + self.response_timeout_ms) as timeout:
+            if self.connection is None or not self.connection.is_reusable:
+                self._close_connection()
+                # Assigned before it is connected: `close` may have to end it while it connects.
+                self.connection = DiscoveryConnection(self.max_list_bytes)
+            self.connection.on_progress = self._extend_on_progress(timeout)
+            return await self._fetch(self.connection, self.long_poll_ms)
+
+    async def _open_watch(self) -> BodyParts:
+        """Return the first response to any call that opens a watch, be it one of an earlier try."""
+        latest = self._answered_call() or self._start_opening_call()
         try:
-            async with asyncio.timeout(self.call_ms / 1000) as limit:
-                for call in self.asked.values():
-                    call.on_more = self._longer(limit)
-                while not latest.done() and self._answered() is None:
-                    await asyncio.wait(self.asked, return_when=asyncio.FIRST_COMPLETED)
-        except TimeoutError:
-            self.call = None  # it goes on by itself
-            self._give_up(self.places if self.places > 1 else 0)
+            async with _response_timeout(self.opening_timeout_ms) as timeout:
+                for connection in self.opening_calls.values():
+                    connection.on_progress = self._extend_on_progress(timeout)
+                while not latest.done() and self._answered_call() is None:
+                    await asyncio.wait(self.opening_calls, return_when=asyncio.FIRST_COMPLETED)
+        except DiscoveryTimeoutError:
+            self.connection = None  # the call stays in flight among the opening calls
+            self._close_opening_calls(keep=self.max_opening_calls if self.max_opening_calls > 1 else 0)
             raise
-        answered = self._answered() or latest
-        self.call = self.asked.pop(answered)
-        parts = answered.result()  # or why it failed
-        self._give_up(0)
+        answered = self._answered_call() or latest
+        self.connection = self.opening_calls.pop(answered)
+        parts = answered.result()  # raises if it failed
+        self._close_opening_calls(keep=0)
         return parts
 
-    def _longer(self, limit: asyncio.Timeout) -> Callable[[], None]:
-        """Much of a long answer has come: the service has not fallen silent."""
+    def _start_opening_call(self) -> asyncio.Task[BodyParts]:
+        connection = DiscoveryConnection(self.max_list_bytes)
+        self.connection = connection
+        task = asyncio.get_running_loop().create_task(self._fetch(connection, FIRST_LONG_POLL_MS))
+        self.opening_calls[task] = connection
+        task.add_done_callback(self._on_opening_call_done)
+        self._close_opening_calls(keep=self.max_opening_calls)
+        return task
+
+    def _extend_on_progress(self, timeout: asyncio.Timeout) -> Callable[[], None]:
+        """Return a callback that puts a timeout off: the service is sending a long response."""
         loop = asyncio.get_running_loop()
 
-        def more() -> None:
-            with suppress(RuntimeError):  # it is not waited for any more
-                limit.reschedule(loop.time() + self.silent_ms / 1000)
+        def extend() -> None:
+            with suppress(RuntimeError):  # nothing waits for the response any more
+                timeout.reschedule(loop.time() + self.response_timeout_ms / 1000)
 
-        return more
+        return extend
 
-    def _answered(self) -> asyncio.Task[Parts] | None:
-        return next((t for t in self.asked if t.done() and not t.cancelled() and not t.exception()), None)
+    def _answered_call(self) -> asyncio.Task[BodyParts] | None:
+        for task in self.opening_calls:
+            if task.done() and not task.cancelled() and not task.exception():
+                return task
+        return None
 
-    def _on_asked(self, task: asyncio.Task[Parts]) -> None:
-        """One of the calls that are out has ended, maybe after this proxy had stopped waiting for it."""
-        if task.cancelled() or task not in self.asked:
+    def _on_opening_call_done(self, task: asyncio.Task[BodyParts]) -> None:
+        """Use the response to a call, also if it comes after this client had stopped waiting for it."""
+        if task.cancelled() or task not in self.opening_calls:
             return
         if task.exception() is None:
             self.watch()
-        elif self.task is None or self.task.done() or task is not next(reversed(self.asked)):
-            self.asked.pop(task).close()  # that the latest one failed is told where it is waited for
-
-    async def _fetch(self, call: Call, wait: int) -> Parts:
-        if call.transport is None:
-            await self._connect(call)
-        path = "/registry/instances"
-        if self.rev is not None:
-            path += f"?since={self.rev}&timeout_ms={wait}"
-        response = await call.get(f"GET {path} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode())
+        elif not self.is_watching or task is not next(reversed(self.opening_calls)):
+            # The failure of the latest call is reported by the watch that waits for it.
+            self.opening_calls.pop(task).close()
+
+    async def _fetch(self, connection: DiscoveryConnection, long_poll_ms: int) -> BodyParts:
+        """Ask for the list, or for what has changed; the service may wait so long for a change."""
+        if connection.transport is None:
+            await self._connect(connection)
+        path = LIST_PATH
+        if self.revision is not None:
+            path += f"?since={self.revision}&timeout_ms={long_poll_ms}"
+        request = f"GET {path} HTTP/1.1\r\nHost: {self.address}\r\n\r\n"
+        response = await connection.request(request.encode())
         if response.status != 200:
-            raise Malformed(f"status {response.status}")
+            raise DiscoveryStatusError(f"status {response.status}")
         return list(response.body_parts)
 
-    async def _take(self, parts: Parts) -> int:
-        """Tell of the list; its version."""
-        try:
-            if sum(map(len, parts)) > LONG_BYTES:
-                return await self._take_long(parts)
-            news = read_listing(orjson.loads(b"".join(parts)), self.wire)
-            if news.whole and len(self.held) > LONG_HELD:
-                return await self._take_long(parts)
-        except orjson.JSONDecodeError as error:
-            raise Malformed(f"not JSON: {error}") from None
-        self.on_list(news)
-        return news.rev
-
-    async def _take_long(self, parts: Parts) -> int:
-        """Requests are served between its pieces. It counts once all of it has been read, but what drains
-        counts at once. A whole one is told as what differs from the list held: that keeps all else from
-        being looked at again, and what it does not name goes last."""
-        news: deque[dict[str, Known]] = deque()
-        unseen = Table()
-        for at, part in enumerate(self.held.parts):
-            unseen.parts[at] = dict(part)
-            if at % 8 == 0:
-                await asyncio.sleep(0)
-
-        def look(entries: list[Any]) -> None:
-            targets = [read_target(entry, self.wire) for entry in entries]
-            drains = [t for t in targets if t.info.state is not BackendState.ACTIVE]
-            if drains := [t for t in drains if self.held.get(t.uid) is not None]:
-                self.on_list(Listing(self.rev or 0, False, tuple(drains)))
-            changed: dict[str, Known] = {}
-            for target in targets:
-                unseen.of(target.uid).pop(target.uid, None)
-                if target.info.state is BackendState.ACTIVE:
-                    known = pack(target)
-                    if self.held.get(target.uid) != known:
-                        changed[target.uid] = known
-            if changed:
-                news.append(changed)
-
-        reading = in_pieces(consumed(parts))
-        try:
-            while True:
-                try:
-                    look(next(reading))
-                except StopIteration as end:
-                    rest = mapping(end.value, "list")
-                    break
-                await asyncio.sleep(0)
-            last = listing(rest["targets"], "targets")
-            for at in range(0, len(last), PIECE):
-                look(last[at : at + PIECE])
-                await asyncio.sleep(0)
-            rev, is_whole = whole(rest["rev"], "rev"), rest["all"] is True
-        except KeyError as error:
-            raise Malformed(f"list: {error.args[0]} is missing") from None
-        except orjson.JSONDecodeError:
-            raise
-        except ValueError as error:
-            raise Malformed(f"list: {error}") from None
-        while news:
-            self.on_list(Listing(rev, False, tuple(unpack(*pair) for pair in news.popleft().items())))
-            await asyncio.sleep(0)
-            await asyncio.sleep(0)  # in the turn before, the module heard of the last ones
-        while unseen.parts and is_whole:
-            left = list(unseen.parts[-1])[:PIECE]
-            for uid in left:
-                del unseen.parts[-1][uid]
-            if not left:
-                unseen.parts.pop()
-                continue
-            gone = (Target(uid, "", 0, BackendInfo(uid, BackendState.REMOVED)) for uid in left)
-            self.on_list(Listing(rev, False, tuple(gone)))
-            await asyncio.sleep(0)
-            await asyncio.sleep(0)
-        self.on_list(Listing(rev, False, ()))  # that it is read is news in any case
-        return rev
+    async def _process_list(self, parts: BodyParts) -> int:
+        """Publish the list; return its revision."""
+        if sum(map(len, parts)) > LONG_LIST_BYTES:
+            return await self._process_long_list(parts)
+        with malformed_list_errors():
+            update = read_list_update(orjson.loads(b"".join(parts)), self.wire)
+        if update.is_snapshot and len(self.endpoints) > LONG_LIST_ENDPOINTS:
+            return await self._process_long_list(parts)
+        self.on_update(update)
+        return update.revision
+
+    async def _process_long_list(self, parts: BodyParts) -> int:
+        reader = LongListReader(self.endpoints, self.wire, self.revision or 0, self.on_update)
+        return await reader.read(parts)
--- /dev/null
+++ b/dunecove/proxy/endpoint_json.py
@@ -0,0 +1,87 @@
+"""Endpoint lists as JSON: the form of the discovery service and of the configuration's cached list."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from itertools import chain
+from typing import Any
+
+from dunecove.policy.models import BackendInfo, BackendState
+from dunecove.proxy.addresses import check_ip, split_address
+from dunecove.proxy.discovery_errors import malformed_list_errors
+from dunecove.proxy.endpoint_list import (
+    CachedEndpointList,
+    Endpoint,
+    EndpointListUpdate,
+    encode_endpoint,
+)
+from dunecove.proxy.sharded_table import ShardedTable
+from dunecove.settings import Wire, choice, listing, mapping, number, text, whole
+
+STATES = {"active": BackendState.ACTIVE, "leaving": BackendState.DRAINING, "left": BackendState.REMOVED}
+
+
+def _index_of(names: dict[str, int], value: object, member: str) -> int:
+    """Return the index of a zone or kind; a name that the settings lack gets the next one."""
+    if value is None:
+        return 0
+    return value if type(value) is int else names.setdefault(text(value, member), len(names))
+
+
+def read_endpoint(raw: object, wire: Wire) -> Endpoint:
+    """Read one entry; raises KeyError, ValueError or Malformed."""
+    entry = mapping(raw, "targets")
+    backend_id = text(entry["uid"], "uid")
+    started_at = entry.get("boot_ms")
+    host, port = split_address(text(entry["endpoint"], "endpoint"))
+    check_ip(host)
+    info = BackendInfo(
+        backend_id,
+        choice(STATES, entry["state"], "state"),
+        _index_of(wire.zones, entry.get("az"), "az"),
+        _index_of(wire.kinds, entry.get("model"), "model"),
+        whole(entry.get("pod_group") or 0, "pod_group"),
+        number(started_at, "boot_ms") if started_at else None,
+        number(entry.get("capacity_hint") or 1, "capacity_hint"),
+    )
+    return Endpoint(backend_id, host, port, info)
+
+
+def read_list_update(raw: object, wire: Wire) -> EndpointListUpdate:
+    """Read a list as the discovery service sends it; raises Malformed."""
+    with malformed_list_errors():
+        data = mapping(raw, "list")
+        endpoints = tuple(read_endpoint(entry, wire) for entry in listing(data["targets"], "targets"))
+        return EndpointListUpdate(read_revision(data), read_is_snapshot(data), endpoints)
+
+
+def read_revision(data: dict[str, Any]) -> int:
+    """Read the revision of a list."""
+    return whole(data["rev"], "rev")
+
+
+def read_is_snapshot(data: dict[str, Any]) -> bool:
+    """Read whether a list names all backends, and not only those that have changed."""
+    return data["all"] is True
+
+
+def read_cached_list(raw: object, wire: Wire, slices: Iterable[list[Any]]) -> CachedEndpointList:
+    """Read the list that the configuration holds; raises Malformed.
+
+    `slices` are the first entries of a long list, which `raw` lacks; few of them are decoded at a time.
+    """
+    with malformed_list_errors():
+        data = mapping(raw, "list")
+        table = ShardedTable()
+        backend_ids: list[str] = []
+        for entries in chain(slices, [listing(data["targets"], "targets")]):
+            for entry in entries:
+                endpoint = read_endpoint(entry, wire)
+                shard = table.shard_of(endpoint.backend_id)
+                if not endpoint.is_active:
+                    shard.pop(endpoint.backend_id, None)
+                    continue
+                if endpoint.backend_id not in shard:
+                    backend_ids.append(endpoint.backend_id)
+                shard[endpoint.backend_id] = encode_endpoint(endpoint)
+        return CachedEndpointList(read_revision(data), backend_ids, table)
--- /dev/null
+++ b/dunecove/proxy/endpoint_list.py
@@ -0,0 +1,66 @@
+"""The list of backends and their addresses, and the compact encoding in which it is kept."""
+
+from __future__ import annotations
+
+from marshal import dumps, loads
+from typing import NamedTuple
+
+from dunecove.policy.models import BackendInfo, BackendState
+from dunecove.proxy.sharded_table import ShardedTable
+
+MARSHAL_VERSION = 2  # the last one that writes no references, so that equal endpoints have equal encodings
+
+# An active endpoint as it is kept: small, and nothing that the garbage collector has to traverse.
+EncodedEndpoint = bytes
+
+
+class Endpoint(NamedTuple):
+    """A backend and where it listens."""
+
+    backend_id: str
+    host: str
+    port: int
+    info: BackendInfo
+
+    @property
+    def address(self) -> tuple[str, int]:
+        """Host and port."""
+        return self.host, self.port
+
+    @property
+    def is_active(self) -> bool:
+        """Whether requests may be forwarded to it."""
+        return self.info.state is BackendState.ACTIVE
+
+
+class EndpointListUpdate(NamedTuple):
+    """A snapshot of the list, or a delta with the endpoints that have changed."""
+
+    revision: int
+    is_snapshot: bool
+    endpoints: tuple[Endpoint, ...]
+
+
+class CachedEndpointList(NamedTuple):
+    """The active endpoints known before the proxy started, and their ids in the order of the list."""
+
+    revision: int
+    backend_ids: list[str]
+    table: ShardedTable
+
+
+def encode_endpoint(endpoint: Endpoint) -> EncodedEndpoint:
+    """Encode an active endpoint without its id and state."""
+    return dumps((endpoint.host.encode(), endpoint.port, *endpoint.info[2:]), MARSHAL_VERSION)
+
+
+def decode_endpoint(backend_id: str, encoded: EncodedEndpoint) -> Endpoint:
+    """Decode what `encode_endpoint` returned."""
+    host, port, *traits = loads(encoded)
+    return Endpoint(backend_id, host.decode(), port, BackendInfo(backend_id, BackendState.ACTIVE, *traits))
+
+
+def decode_location(encoded: EncodedEndpoint) -> tuple[int, int]:
+    """Decode zone and cell alone."""
+    fields = loads(encoded)
+    return fields[2], fields[4]
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -44,9 +44,11 @@
 from dunecove.policy.settings import Settings
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.connection_pool import Attempt, Backends
-from dunecove.proxy.discovery_client import PIECE, Discovery, Listing, Saved
+from dunecove.proxy.discovery_client import DiscoveryClient
+from dunecove.proxy.endpoint_list import CachedEndpointList, EndpointListUpdate
 from dunecove.proxy.gossip import Peers
 from dunecove.proxy.http_exchange import Response
+from dunecove.proxy.long_list import ENDPOINTS_PER_SLICE
 from dunecove.proxy.telemetry import Telemetry, log
 from dunecove.settings import Wire
 
@@ -98,7 +100,7 @@
         self.balancer = Balancer(settings, seed)
         self.backends = Backends(wire.connect_timeout_ms, wire.conn_idle_ms, most_connections)
         self.probe_limit_ms = wire.connect_timeout_ms
-        self.discovery: Discovery | None = None
+        self.discovery: DiscoveryClient | None = None
         self.peers: Peers | None = None
         self.requests: dict[str, Held] = {}
         self.known: dict[str, float] = {}  # ids of late, with the time at which they came, oldest first
@@ -115,21 +117,21 @@
 
     # What happens outside
 
-    def on_list(self, listing: Listing, kind: ListUpdateKind | None = None) -> None:
+    def on_list(self, listing: EndpointListUpdate, kind: ListUpdateKind | None = None) -> None:
         # The pools hear of a drain here and now, before anything else of this turn can be written.
-        self.backends.update(listing.targets, listing.whole)
-        kind = kind or (ListUpdateKind.SNAPSHOT if listing.whole else ListUpdateKind.DELTA)
+        self.backends.update(listing.endpoints, listing.is_snapshot)
+        kind = kind or (ListUpdateKind.SNAPSHOT if listing.is_snapshot else ListUpdateKind.DELTA)
         self.telemetry.count(f"list.{kind.value}")
         if kind is ListUpdateKind.CACHED:
-            self._tell_held([target.uid for target in listing.targets])
+            self._tell_held([target.backend_id for target in listing.endpoints])
         else:
-            self.news.append(BackendListUpdate(kind, tuple(target.info for target in listing.targets)))
+            self.news.append(BackendListUpdate(kind, tuple(target.info for target in listing.endpoints)))
         self._wake()
 
-    def take_saved(self, saved: Saved) -> None:
+    def take_saved(self, saved: CachedEndpointList) -> None:
         """Before all else; the table is the pools' from now on."""
         self.backends.targets = saved.table
-        self._tell_held(saved.uids)
+        self._tell_held(saved.backend_ids)
         self._wake()
 
     def _tell_held(self, uids: list[str]) -> None:
@@ -138,8 +140,8 @@
         self.news = [BackendListUpdate(ListUpdateKind.CACHED, self._next_held())]
 
     def _next_held(self) -> tuple[BackendInfo, ...]:
-        piece = self.untold[-PIECE:][::-1]
-        del self.untold[-PIECE:]
+        piece = self.untold[-ENDPOINTS_PER_SLICE:][::-1]
+        del self.untold[-ENDPOINTS_PER_SLICE:]
         return self.backends.infos(piece)
 
     def on_list_failure(self, reason: str) -> None:
@@ -153,7 +155,7 @@
 
     def move_list(self, address: str) -> None:
         """The list comes from another service from now on; the one held stands until that has answered."""
-        if self.discovery is not None and self.discovery.move(address):
+        if self.discovery is not None and self.discovery.move_to(address):
             self.telemetry.count("list.moved")
             log(f"list: now from {address}")
             self._raise(DiscoveryMoved())
--- a/dunecove/proxy/incremental_json.py
+++ b/dunecove/proxy/incremental_json.py
@@ -1,85 +1,113 @@
-"""Long lists as JSON, read piece by piece: decoded at once, one would hold up requests and fill memory."""
+"""Long endpoint lists as JSON, decoded slice by slice.
+
+Decoded at once, a long list would hold up requests and fill memory with objects.
+"""
 
 from __future__ import annotations
 
 import re
-from collections.abc import Generator, Iterator
+from collections.abc import Iterator
 from typing import Any
 
 import orjson
 
-PIECE_BYTES = 16 * 1024  # of the text, decoded at once: some 100 entries
-PART_BYTES = 64 * 1024  # of a file, read at once
-HEAD_MOST = 1024 * 1024  # within which the array begins
-NEXT_CUTS = 16  # cuts tried one by one, where entries hold objects; then each time twice as much
-ARRAY = re.compile(rb'"targets"\s*:\s*\[')
-CUT = re.compile(rb"\}\s*,")
+SLICE_BYTES = 16 * 1024  # JSON text decoded at once: about 100 entries
+FILE_READ_BYTES = 64 * 1024
+MAX_PREFIX_BYTES = 1024 * 1024  # the array has to begin within these, else the text is decoded at once
+# Cuts tried one after the other where entries hold objects; from then on each lies twice as far away, so that
+# the number of tries grows with the logarithm of the size.
+MAX_CONSECUTIVE_CUTS = 16
+ARRAY_MEMBER = "targets"
+_ARRAY_START = re.compile(rb'"targets"\s*:\s*\[')
+_ENTRY_END = re.compile(rb"\}\s*,")
 
 
-def read(path: str) -> Iterator[bytes]:
+def read_file(path: str) -> Iterator[bytes]:
+    """Read a file in chunks; it is opened for the first one, and raises OSError as `open` does."""
     with open(path, "rb") as file:
-        while part := file.read(PART_BYTES):
-            yield part
+        while chunk := file.read(FILE_READ_BYTES):
+            yield chunk
 
 
-def without(reading: Generator[list[Any], None, Any]) -> tuple[Any, bool]:
-    """All but the entries that come in pieces, and whether there are such."""
-    some = False
-    while True:
-        try:
-            next(reading)
-        except StopIteration as end:
-            return end.value, some
-        some = True
+def drain(chunks: list[bytes | bytearray]) -> Iterator[bytes | bytearray]:
+    """Yield the chunks in order and free each as soon as it has been used; the list is empty afterwards."""
+    chunks.reverse()
+    while chunks:
+        yield chunks.pop()
 
 
-def consumed(parts: list[bytes | bytearray]) -> Iterator[bytes | bytearray]:
-    """Each is freed once it has been read."""
-    parts.reverse()
-    while parts:
-        yield parts.pop()
+class ArraySlices:
+    """Iterates once over the entries of an array in JSON text, some of them at a time.
 
+    The array is the member `targets` of the object at `path`. When the iteration has ended, `remainder` is
+    the rest of the document, decoded, with those entries in the array that were in no slice. Iterating
+    raises `orjson.JSONDecodeError`, a ValueError, if the text is not JSON.
+    """
 
-def in_pieces(parts: Iterator[bytes | bytearray], *path: str) -> Generator[list[Any], None, Any]:
-    """Yields entries of the array `targets`, which is a member of the object at `path`, as they come. Returns
-    all else, decoded, with the entries not yielded in their place; ValueError if it is not JSON.
+    def __init__(self, chunks: Iterator[bytes | bytearray], *path: str) -> None:
+        self.remainder: Any = None
+        self._chunks = chunks
+        self._path = path
 
-    The text is cut where a brace closes and a comma follows. A piece that ends inside an entry, or in a
-    string, never decodes, since the entry's own brace is open still; then it goes on to the next cut.
-    """
-    text = bytearray()
-    while (start := ARRAY.search(text)) is None and len(text) < HEAD_MOST and (part := next(parts, b"")):
-        text += part
-    head = bytes(text[: start.end()]) if start else b""
-    if not leads_to(head, path):  # nothing that we know how to cut
-        return orjson.loads(text + b"".join(parts))
-    del text[: len(head)]
-    size, tries = PIECE_BYTES, 0
-    while True:
-        cut = CUT.search(text, size)
-        if cut is None:
-            if part := next(parts, b""):
-                text += part
+    def __iter__(self) -> Iterator[list[Any]]:
+        text = bytearray()
+        prefix = self._read_prefix(text)
+        if not _is_before_array(prefix, self._path):  # an unknown layout, which can't be cut
+            self.remainder = orjson.loads(text + b"".join(self._chunks))
+            return
+        del text[: len(prefix)]
+        while (entries := self._next_slice(text)) is not None:
+            yield entries
+        self.remainder = orjson.loads(prefix + text)
+
+    def read_remainder(self) -> tuple[Any, bool]:
+        """Skip all slices; return the rest of the document, and whether there was any slice."""
+        has_slices = False
+        for _ in self:
+            has_slices = True
+        return self.remainder, has_slices
+
+    def _read_prefix(self, text: bytearray) -> bytes:
+        """Read into `text` until the array starts; return all up to its bracket, or nothing without one."""
+        while (start := _ARRAY_START.search(text)) is None and len(text) < MAX_PREFIX_BYTES:
+            chunk = next(self._chunks, b"")
+            if not chunk:
+                return b""
+            text += chunk
+        return bytes(text[: start.end()]) if start else b""
+
+    def _next_slice(self, text: bytearray) -> list[Any] | None:
+        """Cut the next entries off `text`, reading on as needed; None if no more can be cut.
+
+        The cut is where a brace closes and a comma follows. Text that ends inside an entry, or in a string,
+        never decodes, since the entry's own brace is still open; then the next cut is tried.
+        """
+        min_bytes = SLICE_BYTES
+        failed_cuts = 0
+        while True:
+            cut = _ENTRY_END.search(text, min_bytes)
+            if cut is None:
+                chunk = next(self._chunks, b"")
+                if not chunk:
+                    return None
+                text += chunk
+                continue
+            try:
+                entries: list[Any] = orjson.loads(b"[" + text[: cut.start() + 1] + b"]")
+            except orjson.JSONDecodeError:
+                failed_cuts += 1
+                min_bytes = cut.end() if failed_cuts < MAX_CONSECUTIVE_CUTS else 2 * cut.end()
                 continue
-            return orjson.loads(head + text)
-        try:
-            entries = orjson.loads(b"[" + text[: cut.start() + 1] + b"]")
-        except orjson.JSONDecodeError:
-            tries += 1
-            size = cut.end() if tries < NEXT_CUTS else 2 * cut.end()
-            continue
-        del text[: cut.end()]
-        size, tries = PIECE_BYTES, 0
-        yield entries
-
-
-def leads_to(head: bytes, path: tuple[str, ...]) -> bool:
-    """Whether the text up to the bracket is that before the array, not before one of the same name elsewhere
-    or in a string."""
+            del text[: cut.end()]
+            return entries
+
+
+def _is_before_array(prefix: bytes, path: tuple[str, ...]) -> bool:
+    """Whether the text ends at the array's bracket, not at one of the same name elsewhere or in a string."""
     try:
-        data = orjson.loads(head + b"]" + b"}" * (len(path) + 1))
+        data = orjson.loads(prefix + b"]" + b"}" * (len(path) + 1))
     except orjson.JSONDecodeError:
         return False
     for member in path:
         data = data.get(member) if isinstance(data, dict) else None
-    return isinstance(data, dict) and data.get("targets") == []
+    return isinstance(data, dict) and data.get(ARRAY_MEMBER) == []
--- a/dunecove/proxy/sharded_table.py
+++ b/dunecove/proxy/sharded_table.py
@@ -1,29 +1,34 @@
-"""What is held of all backends, by uid."""
+"""A table of all backends by id that stays cheap to grow."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from zlib import crc32
 
-PARTS = 256
+SHARD_COUNT = 256
 
 
-class Table:
-    """One mapping made of many small ones: a single one of so many entries copies them all at once as it
-    grows, and holds up requests for that. Its values are bytes, so the collector has no work with it."""
+class ShardedTable:
+    """A mapping from backend ids to encoded entries that is made of many small ones.
+
+    A single dict of so many entries copies all of them at once as it grows, which holds up requests. The
+    values are bytes, which the garbage collector does not traverse.
+    """
 
     def __init__(self) -> None:
-        self.parts: list[dict[str, bytes]] = [{} for _ in range(PARTS)]
+        self.shards: list[dict[str, bytes]] = [{} for _ in range(SHARD_COUNT)]
 
-    def of(self, uid: str) -> dict[str, bytes]:
-        return self.parts[crc32(uid.encode()) % PARTS]
+    def shard_of(self, backend_id: str) -> dict[str, bytes]:
+        """The shard that has, or would have, the entry of this backend."""
+        return self.shards[crc32(backend_id.encode()) % SHARD_COUNT]
 
-    def get(self, uid: str) -> bytes | None:
-        return self.parts[crc32(uid.encode()) % PARTS].get(uid)
+    def get(self, backend_id: str) -> bytes | None:
+        """The entry of this backend; None if there is none."""
+        return self.shards[crc32(backend_id.encode()) % SHARD_COUNT].get(backend_id)
 
     def __iter__(self) -> Iterator[str]:
-        for part in self.parts:
-            yield from part
+        for shard in self.shards:
+            yield from shard
 
     def __len__(self) -> int:
-        return sum(map(len, self.parts))
+        return sum(map(len, self.shards))
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -23,7 +23,9 @@
 )
 from dunecove.policy.models import AttemptResult
 from dunecove.proxy.connection_pool import Backends
-from dunecove.proxy.discovery_client import Discovery, Listing, read_listing
+from dunecove.proxy.discovery_client import DiscoveryClient
+from dunecove.proxy.endpoint_json import read_list_update
+from dunecove.proxy.endpoint_list import EndpointListUpdate
 from dunecove.settings import read_settings, read_wire
 from scale.fleet.account import ACCOUNT, Account
 from scale.fleet.world import LEAVING, LEFT, REGIONS, ZONES, Rules, World, region_of, zone_name
@@ -78,7 +80,7 @@
         self.context = copy_context()
         self.context.run(ACCOUNT.set, self.account)
         self.life = self.arrivals = 0
-        self.discovery: Discovery | None = None
+        self.discovery: DiscoveryClient | None = None
 
     def start(self, known: bytes) -> None:
         """A new process with this saved list, as its configuration would hold it."""
@@ -96,22 +98,22 @@
         self.account.start(self.loop.time())
         # The program reads its configuration at the start only; a whole list is not shared between proxies.
         self.settings, self.wire = read_settings(self.info), read_wire(self.info)
-        listing = read_listing(orjson.loads(known), self.wire)
+        listing = read_list_update(orjson.loads(known), self.wire)
         self.backends = Backends(self.wire.connect_timeout_ms, self.wire.conn_idle_ms, 1)
         self.balancer = Balancer(self.settings, self.seed * 100_003 + self.number)
         self.news: list[BackendListUpdate] = []
         self.events: list[Event] = []
         self.requests: dict[str, Open] = {}
         self.waking = False
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             address(self.region),
             self.wire,
-            listing.rev,
+            listing.revision,
             self.on_list,
             self.on_failure,
             self.pushed,
             memory_mb=MEMORY_MB,
-            held=self.backends.targets,
+            endpoints=self.backends.targets,
         )
         self._take(listing, ListUpdateKind.CACHED)
         if self.pushed:
@@ -121,14 +123,14 @@
 
     # The list
 
-    def on_list(self, listing: Listing) -> None:
+    def on_list(self, listing: EndpointListUpdate) -> None:
         if not self.frozen:
-            self._take(listing, ListUpdateKind.SNAPSHOT if listing.whole else ListUpdateKind.DELTA)
+            self._take(listing, ListUpdateKind.SNAPSHOT if listing.is_snapshot else ListUpdateKind.DELTA)
 
-    def _take(self, listing: Listing, kind: ListUpdateKind) -> None:
-        self.backends.update(listing.targets, listing.whole)
-        self.news.append(BackendListUpdate(kind, tuple(target.info for target in listing.targets)))
-        self.account.held.add(self.loop.time(), listing.rev)
+    def _take(self, listing: EndpointListUpdate, kind: ListUpdateKind) -> None:
+        self.backends.update(listing.endpoints, listing.is_snapshot)
+        self.news.append(BackendListUpdate(kind, tuple(target.info for target in listing.endpoints)))
+        self.account.held.add(self.loop.time(), listing.revision)
         self.wake()
 
     def on_failure(self, reason: str) -> None:
--- a/scale/held.py
+++ b/scale/held.py
@@ -22,7 +22,7 @@
 
 from dunecove.policy.balancer import Balancer
 from dunecove.policy.events import ListUpdateKind
-from dunecove.proxy.discovery_client import read_listing
+from dunecove.proxy.endpoint_json import read_list_update
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.gossip import Peers, Tier
 from dunecove.proxy.listener import Frontend
@@ -41,7 +41,7 @@
 async def backends(count: int, seed: int) -> object:
     info = made.settings(PROXIES)
     engine = engine_with(info, seed)
-    listing = read_listing(orjson.loads(made.list_bytes(1, count)), read_wire(info))
+    listing = read_list_update(orjson.loads(made.list_bytes(1, count)), read_wire(info))
     engine.on_list(listing, ListUpdateKind.SNAPSHOT)
     return engine
 
@@ -68,7 +68,7 @@
     engine = engine_with(info, seed, 2000)
     at = os.environ["SCALE_BACKEND"]
     listing = made.listing(1, [made.entry(number, endpoint=at) for number in range(POOLS)])
-    engine.on_list(read_listing(listing, read_wire(info)), ListUpdateKind.SNAPSHOT)
+    engine.on_list(read_list_update(listing, read_wire(info)), ListUpdateKind.SNAPSHOT)
     frontend = Frontend(engine, Reader(read_settings(info), read_wire(info)), 2000)
     frontend.listen("127.0.0.1:0")
     return engine, frontend, frontend.address
--- a/scale/wire.py
+++ b/scale/wire.py
@@ -7,7 +7,9 @@
 import orjson
 
 from dunecove.proxy.connection_pool import Backends
-from dunecove.proxy.discovery_client import Discovery, Listing, read_listing
+from dunecove.proxy.discovery_client import DiscoveryClient
+from dunecove.proxy.endpoint_json import read_list_update
+from dunecove.proxy.endpoint_list import EndpointListUpdate
 from dunecove.settings import read_wire
 from scale import made
 from scale.measures import Plan, Series, Trouble, Values, measure, spent_ms
@@ -20,13 +22,13 @@
     "parse",
     "backend",
     Series("parse-json", "ms", "the bytes of a whole list become objects: orjson alone"),
-    Series("parse", "ms", "the bytes of a whole list become a Listing: orjson and read_listing"),
+    Series("parse", "ms", "the bytes of a whole list become an EndpointListUpdate"),
 )
 def parse(plan: Plan, size: int) -> Values:
     body, wire = made.list_bytes(1, size), read_wire(made.settings(plan.proxies))
     return {
         "parse-json": spent_ms(lambda: orjson.loads(body)),
-        "parse": spent_ms(lambda: read_listing(orjson.loads(body), wire)),
+        "parse": spent_ms(lambda: read_list_update(orjson.loads(body), wire)),
     }
 
 
@@ -39,15 +41,15 @@
 )
 def pools(plan: Plan, size: int) -> Values:
     wire = read_wire(made.settings(plan.proxies))
-    known = read_listing(orjson.loads(made.list_bytes(1, size)), wire)
-    again = read_listing(orjson.loads(made.list_bytes(1, size)), wire)
-    news = read_listing(orjson.loads(change(2, 2)), wire)
+    known = read_list_update(orjson.loads(made.list_bytes(1, size)), wire)
+    again = read_list_update(orjson.loads(made.list_bytes(1, size)), wire)
+    news = read_list_update(orjson.loads(change(2, 2)), wire)
 
     async def run() -> Values:
         backends = Backends(250.0, 15000.0, 100)
         values: Values = {}
         for name, taken in (("pools-list", known), ("pools-again", again), ("pools-change", news)):
-            values[name] = spent_ms(lambda taken=taken: backends.update(taken.targets, taken.whole))  # type: ignore[misc]
+            values[name] = spent_ms(lambda taken=taken: backends.update(taken.endpoints, taken.is_snapshot))  # type: ignore[misc]
         backends.close()
         return values
 
@@ -62,7 +64,7 @@
         async def run() -> None:
             wire = read_wire(made.settings(plan.proxies))
             failures: list[str] = []
-            discovery = Discovery(registry.address, wire, rev, taken, failures.append)
+            discovery = DiscoveryClient(registry.address, wire, rev, taken, failures.append)
             discovery.watch()
             try:
                 async with asyncio.timeout(WITHIN_S):
@@ -74,7 +76,7 @@
             if failures:
                 raise Trouble(f"discovery: {failures[0]}")
 
-        def taken(_: Listing) -> None:
+        def taken(_: EndpointListUpdate) -> None:
             pass
 
         asyncio.run(run())
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -16,7 +16,7 @@
 from dunecove.proxy import connection_pool as connection_pool_module
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.connection_pool import Attempt, Backends
-from dunecove.proxy.discovery_client import Target
+from dunecove.proxy.endpoint_list import Endpoint
 from dunecove.proxy.http_exchange import Response
 from dunecove.proxy.socket_probe import has_unread_input
 from tests.loopback import Gate, Peer, reset, run
@@ -32,7 +32,7 @@
         self.outcomes: asyncio.Queue[tuple[AttemptResult, Response | None]] = asyncio.Queue()
         self.list(target("s", peer.address))
 
-    def list(self, *targets: Target) -> None:
+    def list(self, *targets: Endpoint) -> None:
         self.pool.update(targets, True)
 
     def start(
@@ -60,9 +60,9 @@
 
 def target(
     uid: str, address: str, state: BackendState = BackendState.ACTIVE, started: float | None = None
-) -> Target:
+) -> Endpoint:
     host, port = address.split(":")
-    return Target(uid, host, int(port), BackendInfo(uid, state, started_at=started))
+    return Endpoint(uid, host, int(port), BackendInfo(uid, state, started_at=started))
 
 
 @asynccontextmanager
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -18,7 +18,9 @@
 from dunecove.policy.events import BackendListUpdate, ListUpdateKind
 from dunecove.policy.models import BackendState
 from dunecove.proxy import discovery_client as discovery_client_module
-from dunecove.proxy.discovery_client import MIB, Discovery, Listing
+from dunecove.proxy.discovery_client import BYTES_PER_MB, DiscoveryClient
+from dunecove.proxy.discovery_connection import DiscoveryConnection
+from dunecove.proxy.endpoint_list import EndpointListUpdate
 from dunecove.settings import Wire
 from tests.loopback import Call, Peer, listing, proxy, run, target
 from tests.support import Driver, fleet, of, settings
@@ -29,9 +31,9 @@
 class Heard:
     def __init__(self, address: str) -> None:
         wire = Wire({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
-        self.lists: asyncio.Queue[Listing] = asyncio.Queue()
+        self.lists: asyncio.Queue[EndpointListUpdate] = asyncio.Queue()
         self.failures: asyncio.Queue[str] = asyncio.Queue()
-        self.discovery = Discovery(address, wire, 41, self.lists.put_nowait, self.failures.put_nowait)
+        self.discovery = DiscoveryClient(address, wire, 41, self.lists.put_nowait, self.failures.put_nowait)
 
 
 @asynccontextmanager
@@ -56,14 +58,14 @@
             first = await peer.calls.get()
             assert first.line == "GET /registry/instances?since=41&timeout_ms=1 HTTP/1.1"
             reply(first, listing(41, whole=False))
-            assert (await heard.lists.get()).targets == ()
+            assert (await heard.lists.get()).endpoints == ()
             second = await peer.calls.get()
             assert second.line == "GET /registry/instances?since=41&timeout_ms=1000 HTTP/1.1"
             heard.discovery.watch()  # one watch is on: no second one
             reply(second, listing(43, target("s", ADDRESS, "leaving", 7), whole=False))
             news = await heard.lists.get()
-            assert (news.rev, news.whole) == (43, False)
-            (info,) = (t.info for t in news.targets)
+            assert (news.revision, news.is_snapshot) == (43, False)
+            (info,) = (t.info for t in news.endpoints)
             assert (info.backend_id, info.state, info.started_at, info.cell) == (
                 "s",
                 BackendState.DRAINING,
@@ -103,7 +105,7 @@
             call = await peer.calls.get()
             assert call.line.startswith("GET /registry/instances?since=41&")
             reply(call, listing(44))
-            assert (await heard.lists.get()).rev == 44
+            assert (await heard.lists.get()).revision == 44
 
     run(test())
 
@@ -111,8 +113,8 @@
 @pytest.mark.parametrize("how", ["503", "reset", "refused", "silent"])
 def test_each_failed_call_is_told_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if how == "silent":
-        monkeypatch.setattr(discovery_client_module, "CALL_MS", 50)
-        monkeypatch.setattr(discovery_client_module, "PLACES", 1)
+        monkeypatch.setattr(discovery_client_module, "OPENING_TIMEOUT_MS", 50)
+        monkeypatch.setattr(discovery_client_module, "MAX_OPENING_CALLS", 1)
 
     async def test() -> None:
         if how == "refused":
@@ -139,10 +141,10 @@
 def test_a_watch_that_meets_a_bug_is_a_failed_call() -> None:
     async def test() -> None:
         async with watching() as (heard, peer):
-            heard.discovery.on_list = lambda _: None if 1 / 0 else None
+            heard.discovery.on_update = lambda _: None if 1 / 0 else None
             reply(await peer.calls.get(), listing(42))
             assert "ZeroDivisionError" in await heard.failures.get()
-            assert heard.discovery.rev == 41  # that news is asked for again
+            assert heard.discovery.revision == 41  # that news is asked for again
 
     run(test())
 
@@ -203,9 +205,9 @@
     return until_called(driver)
 
 
-def times(pushed: bool, grace_ms: float) -> Discovery:
+def times(pushed: bool, grace_ms: float) -> DiscoveryClient:
     wire = Wire({}, {}, {}, {}, 1000.0, 1000.0, grace_ms)
-    return Discovery(ADDRESS, wire, 1, lambda _: None, lambda _: None, pushed)
+    return DiscoveryClient(ADDRESS, wire, 1, lambda _: None, lambda _: None, pushed)
 
 
 @pytest.mark.parametrize("must_ask_ms", [5_000.0, 10_000.0, 60_000.0])
@@ -223,8 +225,8 @@
         assert of(PollDiscovery, driver.beats(2_525))  # as is a new process that has not asked yet
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(2))))
     discovery = times(pushed, 300.0)
-    silent = discovery.wait_ms + discovery.silent_ms
-    assert silent + until_asked(driver) + discovery.call_ms + until_asked(driver) < 6_000
+    silent = discovery.long_poll_ms + discovery.response_timeout_ms
+    assert silent + until_asked(driver) + discovery.opening_timeout_ms + until_asked(driver) < 6_000
 
 
 @pytest.mark.parametrize("failures", [1, 2, 3, 4, 8, 50])
@@ -238,7 +240,7 @@
         until_called(driver)
         driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     until_called(driver)
-    call = times(False, 300.0).call_ms
+    call = times(False, 300.0).opening_timeout_ms
     driver.beats(call)
     assert call + until_asked(driver) + call < 6_000
 
@@ -246,7 +248,7 @@
 @pytest.mark.parametrize("proxies", [200, 3_400])
 def test_a_new_process_whose_first_call_hangs_has_the_list_within_6_s(proxies: int) -> None:
     driver = Driver(settings(polls_discovery=True, proxy_count=proxies, proxy_index=proxies - 1), *fleet(2))
-    assert until_called(driver) + times(False, 300.0).call_ms + until_asked(driver) < 6_000
+    assert until_called(driver) + times(False, 300.0).opening_timeout_ms + until_asked(driver) < 6_000
 
 
 def test_all_get_the_list_from_a_service_that_answers_so_many_calls_in_turn() -> None:
@@ -254,7 +256,7 @@
     config, each_ms, call_ms = (
         settings(polls_discovery=True, proxy_count=32),
         250.0,
-        times(False, 300.0).call_ms,
+        times(False, 300.0).opening_timeout_ms,
     )
     drivers = [Driver(replace(config, proxy_index=me), *fleet(2), seed=me) for me in range(32)]
     line: deque[tuple[int, int]] = deque()  # number of the proxy, of its call
@@ -274,7 +276,7 @@
                 driver.step(BackendListUpdate(ListUpdateKind.FAILED))
         if line and tick % int(each_ms / 25) == 0:
             me, number = line.popleft()
-            if number > calls[me] - discovery_client_module.PLACES and me not in served:
+            if number > calls[me] - discovery_client_module.MAX_OPENING_CALLS and me not in served:
                 served.add(me)
                 due.pop(me, None)
                 drivers[me].step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(2))))
@@ -282,7 +284,7 @@
 
 
 def test_a_call_given_up_keeps_its_place_in_the_line(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_client_module, "CALL_MS", 50)
+    monkeypatch.setattr(discovery_client_module, "OPENING_TIMEOUT_MS", 50)
 
     async def test() -> None:
         async with watching() as (heard, peer):
@@ -292,7 +294,7 @@
             second = await peer.calls.get()
             await heard.failures.get()
             reply(first, listing(42))  # nobody waits for it just now
-            assert (await heard.lists.get()).rev == 42
+            assert (await heard.lists.get()).revision == 42
             await second.closed.wait()
             third = await peer.calls.get()  # the watch stands, on the connection that was answered
             assert third.connection == first.connection and "since=42&" in third.line
@@ -302,7 +304,7 @@
 
 
 def test_so_many_calls_are_out_at_once_and_a_failed_one_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_client_module, "CALL_MS", 50)
+    monkeypatch.setattr(discovery_client_module, "OPENING_TIMEOUT_MS", 50)
 
     async def test() -> None:
         async with watching() as (heard, peer):
@@ -312,20 +314,20 @@
                 calls.append(await peer.calls.get())
                 await heard.failures.get()
             await calls[0].closed.wait()
-            assert len(heard.discovery.asked) == discovery_client_module.PLACES
+            assert len(heard.discovery.opening_calls) == discovery_client_module.MAX_OPENING_CALLS
             calls[1].reply(status=503)
             await calls[1].closed.wait()
-            assert len(heard.discovery.asked) == 2 and heard.failures.empty()
-            heard.discovery.call_ms = 1e6
+            assert len(heard.discovery.opening_calls) == 2 and heard.failures.empty()
+            heard.discovery.opening_timeout_ms = 1e6
             heard.discovery.watch()
             latest = await peer.calls.get()
             calls[2].reply(status=503)  # while the latest is waited for
             await calls[2].closed.wait()
-            while len(heard.discovery.asked) > 2:
+            while len(heard.discovery.opening_calls) > 2:
                 await asyncio.sleep(0.001)
             assert heard.failures.empty()
             reply(latest, listing(42))
-            assert (await heard.lists.get()).rev == 42
+            assert (await heard.lists.get()).revision == 42
             await calls[3].closed.wait()
 
     run(test())
@@ -336,7 +338,7 @@
     # What it holds then counts as told at once. An open watch may have been left silent, or a call since.
     discovery = times(True, grace_ms)
     again = until_asked(Driver(settings(), *fleet(2)))
-    assert discovery.wait_ms + discovery.silent_ms + again <= grace_ms + 50
+    assert discovery.long_poll_ms + discovery.response_timeout_ms + again <= grace_ms + 50
 
 
 def test_a_list_in_pieces_is_one_list() -> None:
@@ -349,7 +351,7 @@
                 call.writer.write(whole[place : place + 40])
                 await call.writer.drain()
                 await asyncio.sleep(0)
-            assert (await heard.lists.get()).rev == 42
+            assert (await heard.lists.get()).revision == 42
 
     run(test())
 
@@ -357,7 +359,7 @@
 def test_a_list_of_20000_is_taken_within_192_mb_and_one_without_end_is_cut_off(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for limit in ("SILENT_MS", "CALL_MS"):  # not by the time that it takes
+    for limit in ("RESPONSE_TIMEOUT_MS", "OPENING_TIMEOUT_MS"):  # not by the time that it takes
         monkeypatch.setattr(discovery_client_module, limit, 60_000)
 
     async def test() -> None:
@@ -368,14 +370,16 @@
             call = await p.registry.calls.get()
             assert "?since=2&" in call.line and p.engine.backends.active() == 20_000
             assert p.engine.discovery is not None
-            most = p.engine.discovery.most
-            assert discovery_client_module.PROGRAM_MB + 3 * most / MIB < 192  # it takes three times its bytes
+            most = p.engine.discovery.max_list_bytes
+            assert (
+                discovery_client_module.PROCESS_MEMORY_MB + 3 * most / BYTES_PER_MB < 192
+            )  # it takes three times its bytes
             call.writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
             sent, piece = 0, b" " * 65_536
             while not call.closed.is_set():
                 call.writer.write(b"10000\r\n%b\r\n" % piece)
                 sent += len(piece)
-                assert sent < most + 16 * MIB  # what is on the way
+                assert sent < most + 16 * BYTES_PER_MB  # what is on the way
                 with suppress(ConnectionError):
                     await call.writer.drain()
                 await asyncio.sleep(0)
@@ -390,16 +394,16 @@
     async def test() -> None:
         async with watching() as (heard, peer):
 
-            def between(news: Listing) -> None:
+            def between(news: EndpointListUpdate) -> None:
                 heard.lists.put_nowait(news)
-                call = heard.discovery.call
+                call = heard.discovery.connection
                 assert call is not None
                 if how == "noise":
                     call.data_received(b"x")
                 else:
                     call.connection_lost(ConnectionResetError())
 
-            heard.discovery.on_list = between
+            heard.discovery.on_update = between
             reply(await peer.calls.get(), listing(42))
             second = await peer.calls.get()
             assert second.line.startswith("GET /registry/instances?since=42&")
@@ -418,7 +422,7 @@
         connect = heard.discovery._connect
         comes_up = asyncio.Event()
 
-        async def late(call: discovery_client_module.Call) -> None:
+        async def late(call: DiscoveryConnection) -> None:
             if heard.discovery.address == other.address:
                 await connect(call)
                 return
@@ -437,10 +441,10 @@
             assert "TimeoutError" in await heard.failures.get()
         else:
             await comes_up.wait()
-            assert heard.discovery.move(other.address)
+            assert heard.discovery.move_to(other.address)
             heard.discovery.watch()
             reply(await other.calls.get(), listing(7))
-            assert (await heard.lists.get()).rev == 7
+            assert (await heard.lists.get()).revision == 7
         while not peer.writers:
             await asyncio.sleep(0.001)
         while not peer.writers[0].is_closing():  # its reader has found the end
@@ -458,16 +462,16 @@
         other = await Peer().open()
         async with watching() as (heard, peer):
             await peer.calls.get()
-            call = heard.discovery.call
+            call = heard.discovery.connection
             assert call is not None
             body = json.dumps(listing(42, target("old", ADDRESS))).encode()
             call.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
-            assert heard.discovery.move(other.address)  # before the watch could look at it
+            assert heard.discovery.move_to(other.address)  # before the watch could look at it
             heard.discovery.watch()
             first = await other.calls.get()
             assert first.line == "GET /registry/instances HTTP/1.1"
             reply(first, listing(7))
-            assert (await heard.lists.get()).rev == 7
+            assert (await heard.lists.get()).revision == 7
             assert heard.lists.empty() and heard.failures.empty()
         other.close()
 
@@ -481,8 +485,8 @@
             (await peer.calls.get()).reply(json.dumps(listing(42)).encode())
             await heard.lists.get()
             old = await peer.calls.get()
-            assert heard.discovery.move(other.address) and heard.discovery.move(peer.address)
-            assert not heard.discovery.move(peer.address)
+            assert heard.discovery.move_to(other.address) and heard.discovery.move_to(peer.address)
+            assert not heard.discovery.move_to(peer.address)
             heard.discovery.watch()
             await old.closed.wait()
             again = await peer.calls.get()
--- a/tests/proxy/test_incremental_json.py
+++ b/tests/proxy/test_incremental_json.py
@@ -19,8 +19,10 @@
 from dunecove.policy.models import BackendState
 from dunecove.proxy import incremental_json
 from dunecove.proxy.addresses import check_ip
-from dunecove.proxy.discovery_client import LONG_BYTES, PIECE, Discovery, Listing, pack, unpack
-from dunecove.proxy.incremental_json import consumed, in_pieces
+from dunecove.proxy.discovery_client import LONG_LIST_BYTES, DiscoveryClient
+from dunecove.proxy.endpoint_list import EndpointListUpdate, decode_endpoint, encode_endpoint
+from dunecove.proxy.incremental_json import ArraySlices, drain
+from dunecove.proxy.long_list import ENDPOINTS_PER_SLICE
 from dunecove.settings import Malformed, Wire
 from tests.loopback import Proxy, configuration, listing, proxy, run, target
 
@@ -40,13 +42,9 @@
 
 
 def read(text: bytes, size: int, *path: str) -> tuple[list[Any], Any]:
-    reading = in_pieces(consumed([text[at : at + size] for at in range(0, len(text), size)]), *path)
-    entries: list[Any] = []
-    while True:
-        try:
-            entries += next(reading)
-        except StopIteration as end:
-            return entries, end.value
+    slices = ArraySlices(drain([text[at : at + size] for at in range(0, len(text), size)]), *path)
+    entries = [entry for some in slices for entry in some]
+    return entries, slices.remainder
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
@@ -55,11 +53,11 @@
     data: dict[str, Any], size: int, indent: int | None, path: tuple[str, ...]
 ) -> None:
     text = json.dumps({"a": {"targets": [1]}, "known": data} if path else data, indent=indent).encode()
-    old, incremental_json.PIECE_BYTES = incremental_json.PIECE_BYTES, size
+    old, incremental_json.SLICE_BYTES = incremental_json.SLICE_BYTES, size
     try:
         entries, rest = read(text, size, *path)
     finally:
-        incremental_json.PIECE_BYTES = old
+        incremental_json.SLICE_BYTES = old
     inner = rest["known"] if path else rest
     inner["targets"] = entries + inner["targets"]
     assert rest == orjson.loads(text)
@@ -120,17 +118,17 @@
 
     def __init__(self) -> None:
         wire = Wire({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
-        self.told: list[tuple[int, Listing]] = []
+        self.told: list[tuple[int, EndpointListUpdate]] = []
         self.turns = 0
-        self.discovery = Discovery("127.0.0.1:9", wire, 1, self.on_list, lambda _: None)
+        self.discovery = DiscoveryClient("127.0.0.1:9", wire, 1, self.on_list, lambda _: None)
 
-    def on_list(self, news: Listing) -> None:
+    def on_list(self, news: EndpointListUpdate) -> None:
         self.told.append((self.turns, news))
-        for t in news.targets:
-            held = self.discovery.held.of(t.uid)
-            held.pop(t.uid, None)
+        for t in news.endpoints:
+            held = self.discovery.endpoints.shard_of(t.backend_id)
+            held.pop(t.backend_id, None)
             if t.info.state is BackendState.ACTIVE:
-                held[t.uid] = pack(t)
+                held[t.backend_id] = encode_endpoint(t)
 
     async def count(self) -> None:
         while True:
@@ -141,24 +139,29 @@
         text = json.dumps(what).encode()
         counting = asyncio.create_task(self.count())
         try:
-            return await self.discovery._take([text[at : at + 65536] for at in range(0, len(text), 65536)])
+            return await self.discovery._process_list(
+                [text[at : at + 65536] for at in range(0, len(text), 65536)]
+            )
         finally:
             counting.cancel()
 
     def held(self) -> set[str]:
-        return set(self.discovery.held)
+        return set(self.discovery.endpoints)
 
 
 def test_a_long_list_leaves_the_loop_to_others_between_its_pieces() -> None:
     async def test() -> None:
         watched = Watched()
-        assert await watched.take(listing(2, *entries(30 * PIECE))) == 2
-        assert len(watched.held()) == 30 * PIECE
-        assert watched.turns > 2 * 20 and max(len(news.targets) for _, news in watched.told) < 2 * PIECE
+        assert await watched.take(listing(2, *entries(30 * ENDPOINTS_PER_SLICE))) == 2
+        assert len(watched.held()) == 30 * ENDPOINTS_PER_SLICE
+        assert (
+            watched.turns > 2 * 20
+            and max(len(news.endpoints) for _, news in watched.told) < 2 * ENDPOINTS_PER_SLICE
+        )
         turns = [turn for turn, _ in watched.told]
         assert len(set(turns)) == len(turns) > 20  # never two pieces in one turn
         first = watched.told[0][1]
-        assert not first.whole and first.rev == 2
+        assert not first.is_snapshot and first.revision == 2
 
     run(test())
 
@@ -169,15 +172,17 @@
         await watched.take(listing(2, *entries(1000)))
         watched.told.clear()
         await watched.take(listing(3, *entries(20, 30, weight=0.5), *entries(900, 50), *entries(5, 2000)))
-        told = {t.uid: t.info.state for _, news in watched.told for t in news.targets}
+        told = {t.backend_id: t.info.state for _, news in watched.told for t in news.endpoints}
         gone = [uid for uid, state in told.items() if state is BackendState.REMOVED]
         assert len(told) == 20 + 5 + 30 + 50 and len(gone) == 30 + 50
         assert watched.held() == {e["uid"] for e in (*entries(920, 30), *entries(5, 2000))}
-        known = watched.discovery.held.get("s-00000020")
-        assert known is not None and unpack("s", known).info.weight == 0.5
+        known = watched.discovery.endpoints.get("s-00000020")
+        assert known is not None and decode_endpoint("s", known).info.weight == 0.5
         watched.told.clear()
         await watched.take(listing(4, whole=False))
-        assert [news for _, news in watched.told] == [Listing(4, False, ())]  # that it was read is news
+        assert [news for _, news in watched.told] == [
+            EndpointListUpdate(4, False, ())
+        ]  # that it was read is news
 
     run(test())
 
@@ -192,7 +197,9 @@
         with pytest.raises(Malformed):
             await watched.take(listing(3, *bad))
         assert watched.held() == before - {"s-00000007"}
-        assert [news.rev for _, news in watched.told] == [1]  # nothing newer is held: it is asked for again
+        assert [news.revision for _, news in watched.told] == [
+            1
+        ]  # nothing newer is held: it is asked for again
         assert watched.told[0][0] < watched.turns - 5  # long before the fault was met
         with pytest.raises(Malformed):
             await watched.take({"rev": 3, "targets": entries(900)})
@@ -229,7 +236,7 @@
 def test_a_list_of_megabytes_is_read_from_its_service_bit_by_bit() -> None:
     async def test() -> None:
         async with proxy(settings={}) as p:
-            p.engine.discovery.most = 2**25  # type: ignore[union-attr]
+            p.engine.discovery.max_list_bytes = 2**25  # type: ignore[union-attr]
             call = await p.registry.calls.get()
             body = json.dumps(listing(2, *entries(2)) | {"pad": "x" * 5 * 2**20}).encode()
             call.reply(body)
@@ -241,10 +248,10 @@
 def test_a_list_beyond_what_memory_bears_is_a_failed_call() -> None:
     wire = Wire({}, {}, {}, {}, 1000.0, 1000.0)
     most = [
-        Discovery("127.0.0.1:9", wire, 1, lambda _: None, lambda _: None, memory_mb=mb).most
+        DiscoveryClient("127.0.0.1:9", wire, 1, lambda _: None, lambda _: None, memory_mb=mb).max_list_bytes
         for mb in (16.0, 192.0)
     ]
-    assert most[0] == 2**20 > LONG_BYTES and most[1] > 150_000 * 170
+    assert most[0] == 2**20 > LONG_LIST_BYTES and most[1] > 150_000 * 170
 
 
 def test_a_long_saved_list_is_read_in_pieces_and_its_order_and_drains_count(tmp_path: Path) -> None:
@@ -254,9 +261,9 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config, indent=indent))
         saved = Config({"LB_CONFIG": str(path)}).known
-        assert saved.rev == 7 and len(saved.table) == 900 and saved.table.get("s-00000005") is None
-        assert saved.uids == [e["uid"] for e in entries(901)]  # what has left meanwhile is passed over
-    assert len(Config({"LB_CONFIG": str(path)}, again=True).known.uids) < 200
+        assert saved.revision == 7 and len(saved.table) == 900 and saved.table.get("s-00000005") is None
+        assert saved.backend_ids == [e["uid"] for e in entries(901)]  # what has left meanwhile is passed over
+    assert len(Config({"LB_CONFIG": str(path)}, again=True).known.backend_ids) < 200
     bad = config | {"known": listing(7, *entries(900), {"uid": "odd"}, *entries(900, 900))}
     path.write_text(json.dumps(bad))
     with pytest.raises(Malformed, match="endpoint"):
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -6,14 +6,15 @@
 
 from dunecove.policy.events import ListUpdateKind, TimerFired
 from dunecove.policy.models import BackendInfo, BackendState
-from dunecove.proxy.discovery_client import PIECE, Listing, Target
+from dunecove.proxy.endpoint_list import Endpoint, EndpointListUpdate
+from dunecove.proxy.long_list import ENDPOINTS_PER_SLICE
 from tests.loopback import Proxy, proxy, run
 
 
-def targets(n: int, first: int = 0, state: BackendState = BackendState.ACTIVE) -> tuple[Target, ...]:
+def targets(n: int, first: int = 0, state: BackendState = BackendState.ACTIVE) -> tuple[Endpoint, ...]:
     """Nothing answers at these."""
     return tuple(
-        Target(f"s-{i:08x}", f"127.1.{i // 250 % 250}.{i % 250}", 9, BackendInfo(f"s-{i:08x}", state))
+        Endpoint(f"s-{i:08x}", f"127.1.{i // 250 % 250}.{i % 250}", 9, BackendInfo(f"s-{i:08x}", state))
         for i in range(first, first + n)
     )
 
@@ -35,10 +36,14 @@
 def test_a_long_list_makes_no_pools_and_is_told_the_module_in_pieces() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(Listing(2, True, targets(10 * PIECE)), ListUpdateKind.CACHED)
-            assert not p.engine.backends.backends and p.engine.backends.active() == 10 * PIECE
+            p.engine.on_list(
+                EndpointListUpdate(2, True, targets(10 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
+            )
+            assert not p.engine.backends.backends and p.engine.backends.active() == 10 * ENDPOINTS_PER_SLICE
             assert await told(p) >= 10
-            assert p.engine.balancer.listed == 10 * PIECE and names(p) == set(p.engine.backends.targets)
+            assert p.engine.balancer.listed == 10 * ENDPOINTS_PER_SLICE and names(p) == set(
+                p.engine.backends.targets
+            )
 
     run(test())
 
@@ -46,12 +51,14 @@
 def test_what_changes_while_it_is_told_counts_at_once() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(Listing(2, True, targets(5 * PIECE)), ListUpdateKind.CACHED)
-            last = targets(1, 5 * PIECE - 1, BackendState.DRAINING)
-            p.engine.on_list(Listing(3, False, (*last, *targets(1, 9999))))
-            assert p.engine.backends.active() == 5 * PIECE
+            p.engine.on_list(
+                EndpointListUpdate(2, True, targets(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
+            )
+            last = targets(1, 5 * ENDPOINTS_PER_SLICE - 1, BackendState.DRAINING)
+            p.engine.on_list(EndpointListUpdate(3, False, (*last, *targets(1, 9999))))
+            assert p.engine.backends.active() == 5 * ENDPOINTS_PER_SLICE
             await told(p)
-            assert names(p) == set(p.engine.backends.targets) and last[0].uid not in names(p)
+            assert names(p) == set(p.engine.backends.targets) and last[0].backend_id not in names(p)
 
     run(test())
 
@@ -59,7 +66,9 @@
 def test_a_new_module_hears_of_the_whole_long_list() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(Listing(2, True, targets(5 * PIECE)), ListUpdateKind.CACHED)
+            p.engine.on_list(
+                EndpointListUpdate(2, True, targets(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
+            )
             await asyncio.sleep(0)
             old = p.engine.balancer
             p.engine.balancer.step = lambda now, events: [] if 1 / 0 else []  # type: ignore[method-assign]
@@ -67,7 +76,9 @@
             while p.engine.balancer is old:
                 await asyncio.sleep(0)
             await told(p)
-            assert p.engine.balancer.listed == 5 * PIECE and names(p) == set(p.engine.backends.targets)
+            assert p.engine.balancer.listed == 5 * ENDPOINTS_PER_SLICE and names(p) == set(
+                p.engine.backends.targets
+            )
 
     run(test())
 
