--- a/dunecove/__main__.py
+++ b/dunecove/__main__.py
@@ -21,7 +21,7 @@
 
 from dunecove.policy.settings import Settings
 from dunecove.proxy.addresses import check_ip, split_address
-from dunecove.proxy.connection_pool import OWN_LACK
+from dunecove.proxy.connection_pool import LOCAL_RESOURCE_ERRNOS
 from dunecove.proxy.discovery_client import DiscoveryClient
 from dunecove.proxy.endpoint_json import read_cached_list
 from dunecove.proxy.endpoint_list import CachedEndpointList
@@ -55,7 +55,7 @@
 LEAST_SPARE = 24
 # What a call may lack for a moment, as Linux documents it. At the start it is made again for so long, well
 # within the time in which a proxy has to be ready.
-MOMENTARY = OWN_LACK | {errno.EAGAIN, errno.EINTR, errno.EIO}
+MOMENTARY = LOCAL_RESOURCE_ERRNOS | {errno.EAGAIN, errno.EINTR, errno.EIO}
 START_PATIENCE_S = 5.0
 START_RETRY_S = 0.05
 PEERS_RETRY_S = 1.0
@@ -143,7 +143,7 @@
         engine.on_list_failure,
         pushed=not config.settings.polls_discovery,
         memory_mb=config.memory_mb,
-        endpoints=engine.backends.targets,
+        endpoints=engine.backends.endpoints,
     )
     if config.tier is not None:
         open_peers(engine, config.tier)
--- /dev/null
+++ b/dunecove/proxy/backend_connection.py
@@ -0,0 +1,106 @@
+"""A connection to a backend, which carries one attempt at a time."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, Protocol
+
+from dunecove.policy.models import AttemptResult
+from dunecove.proxy.attempt import Attempt
+from dunecove.proxy.clock import now_ms
+from dunecove.proxy.http_exchange import HttpExchange, Response
+
+if TYPE_CHECKING:
+    from dunecove.proxy.backend_pool import BackendPool
+
+REJECTED_STATUSES = (503, 504)  # with this header, a response tells that the request was not executed
+REJECTED_HEADER = b"x-rejected"
+
+
+class ConnectionOwner(Protocol):
+    """What a connection needs of the pool that opened it."""
+
+    def end_if_denied(self, attempt: Attempt) -> None:
+        """End an attempt that must not be written any more."""
+
+    def release(self, connection: BackendConnection) -> None:
+        """Take back a connection whose exchange is over."""
+
+    def forget(self, connection: BackendConnection) -> None:
+        """Count a connection no more."""
+
+
+def _result_of(response: Response) -> AttemptResult:
+    if response.status == 200:
+        return AttemptResult.OK
+    if response.status in REJECTED_STATUSES and response.header(REJECTED_HEADER) == b"1":
+        return AttemptResult.REJECTED
+    if 400 <= response.status < 500:
+        return AttemptResult.BAD_REQUEST
+    return AttemptResult.ERROR
+
+
+class BackendConnection(HttpExchange):
+    """A connection to one backend at one address, open or being opened."""
+
+    def __init__(self, owner: ConnectionOwner, backend_pool: BackendPool, address: tuple[str, int]) -> None:
+        super().__init__()
+        self.owner = owner
+        self.backend_pool = backend_pool
+        self.generation = backend_pool.generation
+        self.address = address
+        self.attempt: Attempt | None = None
+        self.connect_task: asyncio.Task[None] | None = None
+        self.idle_since = 0.0  # ms of `now_ms`
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the attempt that has waited for this connection, unless it is denied by now."""
+        self.backend_pool.connecting.discard(self)
+        if self.attempt is not None:
+            self.owner.end_if_denied(self.attempt)
+        super().connection_made(transport)
+        if self.attempt is not None:
+            self.send_attempt(self.attempt)
+        else:
+            self.close()
+
+    def send_attempt(self, attempt: Attempt) -> None:
+        """Send the attempt's request with the time that is left for it."""
+        self.attempt = attempt
+        attempt.connection = self
+        attempt.sent_at = now_ms()
+        budget_ms = max(1, int(attempt.deadline - now_ms()))
+        self.send_request(b"%bx-budget-ms: %d\r\n\r\n%b" % (attempt.head, budget_ms, attempt.body))
+
+    def close(self) -> None:
+        """Close the connection, or stop to open it."""
+        super().close()
+        if self.transport is None and self.connect_task is not None:
+            self.connect_task.cancel()
+
+    def is_request_incomplete(self) -> bool:
+        """Whether the last byte of the request has surely not been written."""
+        return self.transport is None or self.has_unsent_bytes
+
+    def on_response(self, response: Response) -> None:
+        """Return this connection to the pool and end the attempt."""
+        attempt = self.attempt
+        self.attempt = None
+        self.backend_pool.last_response_at = now_ms()
+        self.owner.release(self)
+        if attempt is None:
+            return
+        result = _result_of(response)
+        attempt.end(result, response if result is AttemptResult.OK else None)
+
+    def on_failed(self) -> None:
+        """Leave the idle connections and end the attempt."""
+        self.backend_pool.remove_idle(self)
+        if self.attempt is not None:
+            is_incomplete = self.is_request_incomplete()
+            self.attempt.end(AttemptResult.CONNECT_FAILED if is_incomplete else AttemptResult.RESET)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Count no more, then fail the attempt in progress, if any."""
+        self.owner.forget(self)
+        super().connection_lost(exc)
--- a/dunecove/proxy/connection_pool.py
+++ b/dunecove/proxy/connection_pool.py
@@ -1,32 +1,38 @@
-"""Connections to backends and the attempts on them: pools by uid, limits, and how each attempt ended."""
+"""The pool of all connections to backends: which attempt gets one, how many there may be, when they close."""
 
 from __future__ import annotations
 
 import asyncio
 import errno
-from collections.abc import Callable
 from math import inf
 
-from dunecove.policy.models import NEVER_EXECUTED, AttemptResult, BackendInfo, BackendState
+from dunecove.policy.models import AttemptResult, BackendInfo
 from dunecove.policy.request_rules import Denial
+from dunecove.proxy.attempt import Attempt
+from dunecove.proxy.backend_connection import BackendConnection
+from dunecove.proxy.backend_pool import BackendPool
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.endpoint_list import Endpoint, decode_endpoint, decode_location, encode_endpoint
-from dunecove.proxy.http_exchange import HttpExchange, Response
+from dunecove.proxy.endpoint_list import (
+    EncodedEndpoint,
+    Endpoint,
+    decode_endpoint,
+    decode_location,
+    encode_endpoint,
+)
 from dunecove.proxy.sharded_table import ShardedTable
-from dunecove.proxy.socket_probe import has_unread_input
 
-IDLE_PART = 0.6  # part of the backend's idle limit after which we close first: a late reuse ends as a reset
-# A second answer, noise, or the server's close may come right behind an answer: lent out later than this, the
-# connection shows it. The pool needs a connection or two more for that, not a handshake each time.
-REST_MS = 10.0
+# The fraction of the backend's own idle timeout after which the proxy closes first: a request written as the
+# backend closes would end as a reset.
+KEEPALIVE_FRACTION = 0.6
+EXPIRY_CHECKS = 20  # checks for expired connections within that time
 
-# How an attempt ends that may not be written. That this proxy was too slow for it is not the backend's doing.
-DENIED = {
+# How an attempt ends that must not be written. That this proxy was too slow is not the backend's fault.
+RESULT_OF_DENIAL = {
     Denial.BACKEND_REMOVED: AttemptResult.CONNECT_FAILED,
     Denial.DEADLINE_EXCEEDED: AttemptResult.NO_LOCAL_RESOURCE,
 }
-# What this proxy may lack for a moment: no doing of the backend that it wanted to reach.
-OWN_LACK = frozenset(
+# Errors of a system call that tell what this proxy lacks for a moment, which is not the backend's fault.
+LOCAL_RESOURCE_ERRNOS = frozenset(
     (
         errno.EADDRNOTAVAIL,
         errno.EMFILE,
@@ -37,325 +43,229 @@
         errno.ENOMEM,
     )
 )
-SWEEPS = 20  # looks at idle connections within that limit
 
 
-class Attempt:
-    """One sending of a request, or a probe, to one backend. It ends once, by a call of `done`."""
+class ConnectionPool:
+    """All connections to backends, and the endpoints to which they may be opened."""
 
     def __init__(
-        self,
-        uid: str,
-        head: bytes,
-        body: bytes,
-        limit_ms: float,
-        done: Callable[[Attempt, AttemptResult, Response | None], None],
-        within_ms: float = inf,
-        denial: Callable[[], Denial | None] = lambda: None,  # whether its request may still be sent
+        self, connect_timeout_ms: float, backend_idle_timeout_ms: float, max_connections: int
     ) -> None:
-        self.uid, self.head, self.body, self.done, self.denial = uid, head, body, done, denial
-        self.started = self.sent_at = now_ms()
-        self.zone = self.cell = 0  # where its backend stood as it began
-        self.may_have_executed = True
-        self.deadline = self.started + limit_ms
-        self.write_by = self.started + within_ms
-        self.connection: Connection | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.ended = False
-
-    @property
-    def is_open(self) -> bool:
-        return not self.ended
-
-    def over(self) -> bool:
-        """Too late to write it."""
-        return now_ms() >= min(self.deadline, self.write_by)
-
-    def end(self, result: AttemptResult, response: Response | None = None) -> None:
-        if self.ended:
-            return
-        self.ended, self.may_have_executed = True, result not in NEVER_EXECUTED
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.connection is not None:
-            self.connection.attempt = None
-        self.connection = None
-        self.done(self, result, response)
-
-
-class Backend:
-    """One uid of the list that has connections. A new generation begins when its old connections must not be
-    used again."""
-
-    def __init__(self) -> None:
-        self.generation = 0
-        self.heard = 0.0  # when it last answered
-        self.idle: list[Connection] = []  # the most recently used last
-        self.connecting: set[Connection] = set()
-
-    def renew(self) -> None:
-        self.generation += 1
-        self.close_idle()
-
-    def close_idle(self) -> None:
-        for connection in self.idle:
-            connection.close()
-        self.idle.clear()
-
-
-class Connection(HttpExchange):
-    def __init__(self, pool: Backends, backend: Backend, address: tuple[str, int]) -> None:
-        super().__init__()
-        self.pool, self.backend, self.generation = pool, backend, backend.generation
-        self.address = address
-        self.attempt: Attempt | None = None
-        self.opener: asyncio.Task[None] | None = None
-        self.idle_since = 0.0
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.backend.connecting.discard(self)
-        if self.attempt is not None:
-            self.pool.end_if_denied(self.attempt)
-        super().connection_made(transport)
-        if self.attempt is not None:
-            self.carry(self.attempt)
-        else:
-            self.close()
-
-    def carry(self, attempt: Attempt) -> None:
-        self.attempt, attempt.connection, attempt.sent_at = attempt, self, now_ms()
-        budget = max(1, int(attempt.deadline - now_ms()))
-        self.send_request(b"%bx-budget-ms: %d\r\n\r\n%b" % (attempt.head, budget, attempt.body))
-
-    def close(self) -> None:
-        super().close()
-        if self.transport is None and self.opener is not None:
-            self.opener.cancel()
-
-    def never_ran(self) -> bool:
-        """The last byte of the request was surely not written."""
-        return self.transport is None or self.has_unsent_bytes
-
-    def on_response(self, response: Response) -> None:
-        attempt, self.attempt = self.attempt, None
-        self.backend.heard = now_ms()
-        self.pool.put_back(self)
-        if attempt is None:
-            return
-        if response.status == 200:
-            attempt.end(AttemptResult.OK, response)
-        elif response.status in (503, 504) and response.header(b"x-rejected") == b"1":
-            attempt.end(AttemptResult.REJECTED)
-        elif 400 <= response.status < 500:
-            attempt.end(AttemptResult.BAD_REQUEST)
-        else:
-            attempt.end(AttemptResult.ERROR)
-
-    def on_failed(self) -> None:
-        if self in self.backend.idle:
-            self.backend.idle.remove(self)
-        if self.attempt is not None:
-            self.attempt.end(AttemptResult.CONNECT_FAILED if self.never_ran() else AttemptResult.RESET)
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.connections.discard(self)
-        super().connection_lost(exc)
-
-
-class Backends:
-    def __init__(self, connect_timeout_ms: float, conn_idle_ms: float, most: int) -> None:
-        self.connect_timeout_s, self.idle_ms = connect_timeout_ms / 1000, conn_idle_ms * IDLE_PART
-        self.most = most  # connections, those being opened included
-        self.connections: set[Connection] = set()
-        self.targets = ShardedTable()  # all that are active
-        self.backends: dict[str, Backend] = {}  # those with connections, and some that had them a moment ago
+        """Close idle connections well before `backend_idle_timeout_ms`, at which the backend would."""
+        self.connect_timeout_s = connect_timeout_ms / 1000
+        self.keepalive_ms = backend_idle_timeout_ms * KEEPALIVE_FRACTION
+        self.max_connections = max_connections  # those being opened included
+        self.connections: set[BackendConnection] = set()
+        self.endpoints = ShardedTable()  # all active ones
+        # Only of backends that have connections, or had some a moment ago.
+        self.backend_pools: dict[str, BackendPool] = {}
         self.loop = asyncio.get_running_loop()
-        self.sweeper = self.loop.call_later(self.idle_ms / 1000 / SWEEPS, self._sweep)
-
-    def update(self, targets: tuple[Endpoint, ...], whole: bool) -> None:
-        if whole:
-            listed = {target.backend_id for target in targets}
-            for uid in [uid for uid in self.targets if uid not in listed]:
-                self._remove(uid)
-        for target in targets:
-            if target.info.state is not BackendState.ACTIVE:
-                self._remove(target.backend_id)
-                continue
-            held, new = self.targets.shard_of(target.backend_id), encode_endpoint(target)
-            old, held[target.backend_id] = held.get(target.backend_id), new
-            backend = self.backends.get(target.backend_id)
-            if backend is not None and old is not None and old != new:
-                before = decode_endpoint(target.backend_id, old)
-                if before[1:3] != target[1:3]:  # it has moved
-                    self._retire(backend)
-                elif before.info.started_at != target.info.started_at:
-                    backend.renew()
-
-    def _remove(self, uid: str) -> None:
-        self.targets.shard_of(uid).pop(uid, None)
-        if uid in self.backends:
-            self._retire(self.backends.pop(uid))
-
-    def _retire(self, backend: Backend) -> None:
-        # A drain counts from the first byte sent: what still waits for its connection must not go out.
-        backend.renew()
-        for connection in list(backend.connecting):
+        self.expiry_timer = self._schedule_expiry_check()
+
+    def update(self, endpoints: tuple[Endpoint, ...], is_snapshot: bool) -> None:
+        """Apply an update of the list: nothing is written to a backend any more that drains or is removed."""
+        if is_snapshot:
+            self._remove_all_but({endpoint.backend_id for endpoint in endpoints})
+        for endpoint in endpoints:
+            if endpoint.is_active:
+                self._set_endpoint(endpoint)
+            else:
+                self._remove(endpoint.backend_id)
+
+    def _remove_all_but(self, backend_ids: set[str]) -> None:
+        for backend_id in [known for known in self.endpoints if known not in backend_ids]:
+            self._remove(backend_id)
+
+    def _set_endpoint(self, endpoint: Endpoint) -> None:
+        shard = self.endpoints.shard_of(endpoint.backend_id)
+        old_encoded = shard.get(endpoint.backend_id)
+        new_encoded = encode_endpoint(endpoint)
+        shard[endpoint.backend_id] = new_encoded
+        backend_pool = self.backend_pools.get(endpoint.backend_id)
+        if backend_pool is None or old_encoded is None or old_encoded == new_encoded:
+            return
+        old = decode_endpoint(endpoint.backend_id, old_encoded)
+        if old.address != endpoint.address:
+            self._stop_sending(backend_pool)
+        elif old.info.started_at != endpoint.info.started_at:
+            backend_pool.start_generation()
+
+    def _remove(self, backend_id: str) -> None:
+        self.endpoints.shard_of(backend_id).pop(backend_id, None)
+        if backend_id in self.backend_pools:
+            self._stop_sending(self.backend_pools.pop(backend_id))
+
+    def _stop_sending(self, backend_pool: BackendPool) -> None:
+        # A drain counts from the first byte sent: what waits for its connection must not be written either.
+        backend_pool.start_generation()
+        for connection in list(backend_pool.connecting):
             attempt = connection.attempt
-            self._drop(connection)
+            self._close_in_use(connection)
             if attempt is not None:
                 attempt.end(AttemptResult.CONNECT_FAILED)
 
-    def active(self) -> int:
-        return len(self.targets)
-
-    def infos(self, uids: list[str]) -> tuple[BackendInfo, ...]:
-        """Of those that are still active."""
-        known = ((uid, self.targets.get(uid)) for uid in uids)
-        return tuple(decode_endpoint(uid, k).info for uid, k in known if k is not None)
+    def active_count(self) -> int:
+        """The number of active backends."""
+        return len(self.endpoints)
+
+    def backend_infos(self, backend_ids: list[str]) -> tuple[BackendInfo, ...]:
+        """What is known of those backends that are still active."""
+        entries = ((backend_id, self.endpoints.get(backend_id)) for backend_id in backend_ids)
+        return tuple(
+            decode_endpoint(backend_id, encoded).info
+            for backend_id, encoded in entries
+            if encoded is not None
+        )
 
     def start(self, attempt: Attempt) -> None:
-        known = self.targets.get(attempt.uid)
-        if known is not None:
-            attempt.zone, attempt.cell = decode_location(known)
-        denial = self._denial(attempt)
-        if denial is not None or known is None:
-            attempt.end(DENIED.get(denial or Denial.BACKEND_REMOVED, AttemptResult.WITHDRAWN))
-            return
-        self._time(attempt, min(attempt.deadline, attempt.write_by))
-        backend = self.backends.get(attempt.uid) or self.backends.setdefault(attempt.uid, Backend())
-        kept = self._lend(backend)
-        if kept is not None:
-            kept.carry(attempt)
+        """Send an attempt on an idle connection or a new one, or end it if it must not or can't be sent."""
+        encoded = self.endpoints.get(attempt.backend_id)
+        if encoded is not None:
+            attempt.zone, attempt.cell = decode_location(encoded)
+        denial = self._check_denial(attempt)
+        if denial is not None or encoded is None:
+            denial = denial or Denial.BACKEND_REMOVED
+            attempt.end(RESULT_OF_DENIAL.get(denial, AttemptResult.WITHDRAWN))
             return
-        if not self._make_room():
+        self._schedule_timeout(attempt, attempt.next_deadline)
+        backend_pool = self.backend_pools.get(attempt.backend_id)
+        if backend_pool is None:
+            backend_pool = BackendPool()
+            self.backend_pools[attempt.backend_id] = backend_pool
+        idle = backend_pool.lend()
+        if idle is not None:
+            idle.send_attempt(attempt)
+        elif self._make_room():
+            self._open_connection(attempt, backend_pool, encoded)
+        else:
             attempt.end(AttemptResult.NO_LOCAL_RESOURCE)
-            return
-        target = decode_endpoint(attempt.uid, known)
-        connection = Connection(self, backend, (target.host, target.port))
-        connection.attempt, attempt.connection = attempt, connection
+
+    def _make_room(self) -> bool:
+        """Whether a connection may be opened; at the limit the one idle for longest is closed for it."""
+        if len(self.connections) < self.max_connections:
+            return True
+        oldest = min(
+            (pool.idle[0] for pool in self.backend_pools.values() if pool.idle),
+            key=lambda connection: connection.idle_since,
+            default=None,
+        )
+        if oldest is None:
+            return False
+        oldest.backend_pool.idle.remove(oldest)
+        self.connections.discard(oldest)
+        oldest.close()
+        return True
+
+    def _open_connection(self, attempt: Attempt, backend_pool: BackendPool, encoded: EncodedEndpoint) -> None:
+        endpoint = decode_endpoint(attempt.backend_id, encoded)
+        connection = BackendConnection(self, backend_pool, endpoint.address)
+        connection.attempt = attempt
+        attempt.connection = connection
         self.connections.add(connection)
-        backend.connecting.add(connection)
-        connection.opener = self.loop.create_task(self._open(connection))
-
-    @staticmethod
-    def _lend(backend: Backend) -> Connection | None:
-        """The connection used last that has rested since, with nothing on it that nobody asked for."""
-        rested = now_ms() - REST_MS
-        for place in range(len(backend.idle) - 1, -1, -1):
-            connection = backend.idle[place]
-            if connection.idle_since <= rested:
-                del backend.idle[place]
-                assert connection.transport is not None
-                if not connection.transport.is_closing() and not has_unread_input(connection.transport):
-                    return connection
-                connection.close()
-        return None
-
-    async def _open(self, connection: Connection) -> None:
+        backend_pool.connecting.add(connection)
+        connection.connect_task = self.loop.create_task(self._connect(connection))
+
+    async def _connect(self, connection: BackendConnection) -> None:
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await self.loop.create_connection(lambda: connection, *connection.address)
         except OSError as error:  # refused, unreachable, out of descriptors, or too slow
-            # The time may run out just as the connection comes up: the request is written then, and how it
-            # ended is told by the connection.
+            # The time may run out just as the connection comes up: then the request has been written, and the
+            # connection reports how it ended.
             if connection.attempt is not None and connection.transport is None:
-                lack = error.errno in OWN_LACK
+                is_local = error.errno in LOCAL_RESOURCE_ERRNOS
                 connection.attempt.end(
-                    AttemptResult.NO_LOCAL_RESOURCE if lack else AttemptResult.CONNECT_FAILED
+                    AttemptResult.NO_LOCAL_RESOURCE if is_local else AttemptResult.CONNECT_FAILED
                 )
         finally:
-            connection.backend.connecting.discard(connection)
+            connection.backend_pool.connecting.discard(connection)
             if connection.transport is None:
                 self.connections.discard(connection)
 
     def cancel(self, attempt: Attempt) -> None:
-        self._give_up(attempt, AttemptResult.CANCELLED)
+        """End an attempt and close its connection."""
+        self._abort(attempt, AttemptResult.CANCELLED)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """End it if it is still to be written: its connection comes up, or has not taken all of it."""
-        if attempt.connection is not None and attempt.connection.never_ran():
-            self._give_up(attempt, AttemptResult.WITHDRAWN)
+        """End an attempt whose request has surely not been written whole; leave any other as it is."""
+        if attempt.connection is not None and attempt.connection.is_request_incomplete():
+            self._abort(attempt, AttemptResult.WITHDRAWN)
 
-    def _denial(self, attempt: Attempt) -> Denial | None:
-        """Asked before the first byte of each attempt; None if it may be written."""
-        if self.targets.get(attempt.uid) is None:
+    def _check_denial(self, attempt: Attempt) -> Denial | None:
+        """Why an attempt must not be written; asked before the first byte of each."""
+        if self.endpoints.get(attempt.backend_id) is None:
             return Denial.BACKEND_REMOVED
-        if attempt.over():
+        if attempt.has_expired():
             return Denial.DEADLINE_EXCEEDED
-        return attempt.denial()
+        return attempt.check_denial()
 
     def end_if_denied(self, attempt: Attempt) -> None:
-        """It has waited for its connection, and that for its turn of the loop, which may not have come yet to
-        its timer or to the end of its client's connection."""
-        denial = self._denial(attempt)
+        """End an attempt that has waited for its connection and must not be written any more.
+
+        The loop may not have come yet to the attempt's timer, or to the end of its client's connection.
+        """
+        denial = self._check_denial(attempt)
         if denial is Denial.DEADLINE_EXCEEDED:
-            self._limit(attempt)
+            self._on_deadline(attempt)
         elif denial is not None:
-            self._give_up(attempt, DENIED.get(denial, AttemptResult.WITHDRAWN))
-
-    def _time(self, attempt: Attempt, until: float) -> None:
-        seconds = max(until - now_ms(), 0.0) / 1000
-        attempt.timer = self.loop.call_later(seconds, self._limit, attempt)
-
-    def _limit(self, attempt: Attempt) -> None:
-        connection = attempt.connection
-        never = connection is None or connection.never_ran()
-        if attempt.write_by < attempt.deadline and not never:
-            attempt.write_by = inf  # it was written in time, and has the rest of its time for the answer
-            self._time(attempt, attempt.deadline)
+            self._abort(attempt, RESULT_OF_DENIAL.get(denial, AttemptResult.WITHDRAWN))
+
+    def _schedule_timeout(self, attempt: Attempt, deadline: float) -> None:
+        delay_s = max(deadline - now_ms(), 0.0) / 1000
+        attempt.timer = self.loop.call_later(delay_s, self._on_deadline, attempt)
+
+    def _on_deadline(self, attempt: Attempt) -> None:
+        is_incomplete = attempt.is_request_incomplete()
+        if attempt.write_deadline < attempt.deadline and not is_incomplete:
+            attempt.write_deadline = inf  # written in time, so it has until its deadline for the response
+            self._schedule_timeout(attempt, attempt.deadline)
+            return
+        self._abort(attempt, AttemptResult.CONNECT_FAILED if is_incomplete else AttemptResult.TIMEOUT)
+        backend_pool = self.backend_pools.get(attempt.backend_id)
+        if backend_pool is None or is_incomplete:
             return
-        self._give_up(attempt, AttemptResult.CONNECT_FAILED if never else AttemptResult.TIMEOUT)
-        backend = self.backends.get(attempt.uid)
-        if backend is not None and not never and backend.heard < attempt.started:
-            # Nothing came from there in all that time: a machine cut off leaves connections that look fit.
-            backend.close_idle()
+        if backend_pool.last_response_at < attempt.started_at:
+            # No response to any attempt in all that time: a machine that is cut off leaves its connections
+            # open, and each request written to one of them would be lost.
+            backend_pool.close_idle()
 
-    def _give_up(self, attempt: Attempt, result: AttemptResult) -> None:
+    def _abort(self, attempt: Attempt, result: AttemptResult) -> None:
         if attempt.connection is not None:
-            self._drop(attempt.connection)
+            self._close_in_use(attempt.connection)
         attempt.end(result)
 
-    def _drop(self, connection: Connection) -> None:
-        connection.backend.connecting.discard(connection)
+    def _close_in_use(self, connection: BackendConnection) -> None:
+        connection.backend_pool.connecting.discard(connection)
         connection.attempt = None
         connection.close()
-        if (
-            connection.transport is None
-        ):  # its opener may be cancelled before it has begun, and clear up nothing
+        if connection.transport is None:
+            # Its connect task may be cancelled before it has begun, and then cleans nothing up.
             self.connections.discard(connection)
 
-    def put_back(self, connection: Connection) -> None:
-        backend = connection.backend
-        if not connection.is_reusable or connection.generation != backend.generation:
-            connection.close()
-            return
-        connection.idle_since = now_ms()
-        backend.idle.append(connection)
+    def release(self, connection: BackendConnection) -> None:
+        """Take back a connection whose exchange is over."""
+        connection.backend_pool.put_back(connection)
 
-    def _make_room(self) -> bool:
-        """At the cap the connection that has been idle for longest goes; with none idle there is no room."""
-        if len(self.connections) < self.most:
-            return True
-        oldest = min(
-            (b.idle[0] for b in self.backends.values() if b.idle), key=lambda c: c.idle_since, default=None
-        )
-        if oldest is None:
-            return False
-        oldest.backend.idle.remove(oldest)
-        self.connections.discard(oldest)
-        oldest.close()
-        return True
+    def forget(self, connection: BackendConnection) -> None:
+        """Count a connection no more."""
+        self.connections.discard(connection)
+
+    def _schedule_expiry_check(self) -> asyncio.TimerHandle:
+        return self.loop.call_later(self.keepalive_ms / 1000 / EXPIRY_CHECKS, self._close_expired)
 
-    def _sweep(self) -> None:
-        self.sweeper = self.loop.call_later(self.idle_ms / 1000 / SWEEPS, self._sweep)
-        oldest = now_ms() - self.idle_ms
-        for backend in self.backends.values():
-            while backend.idle and backend.idle[0].idle_since < oldest:
-                backend.idle.pop(0).close()
-        used = {connection.backend for connection in self.connections}
-        self.backends = {uid: backend for uid, backend in self.backends.items() if backend in used}
+    def _close_expired(self) -> None:
+        """Close connections that have been idle for too long; forget backends without connections."""
+        self.expiry_timer = self._schedule_expiry_check()
+        idle_since = now_ms() - self.keepalive_ms
+        for backend_pool in self.backend_pools.values():
+            backend_pool.close_idle_since(idle_since)
+        in_use = {connection.backend_pool for connection in self.connections}
+        self.backend_pools = {
+            backend_id: pool for backend_id, pool in self.backend_pools.items() if pool in in_use
+        }
 
     def close(self) -> None:
-        self.sweeper.cancel()
+        """Close all connections, without a callback."""
+        self.expiry_timer.cancel()
         for connection in list(self.connections):
             connection.close()
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -42,8 +42,9 @@
     may_reject,
 )
 from dunecove.policy.settings import Settings
+from dunecove.proxy.attempt import Attempt
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.connection_pool import Attempt, Backends
+from dunecove.proxy.connection_pool import ConnectionPool
 from dunecove.proxy.discovery_client import DiscoveryClient
 from dunecove.proxy.endpoint_list import CachedEndpointList, EndpointListUpdate
 from dunecove.proxy.gossip import Peers
@@ -98,7 +99,7 @@
         self.settings, self.seed = settings, seed
         self.telemetry = Telemetry()
         self.balancer = Balancer(settings, seed)
-        self.backends = Backends(wire.connect_timeout_ms, wire.conn_idle_ms, most_connections)
+        self.backends = ConnectionPool(wire.connect_timeout_ms, wire.conn_idle_ms, most_connections)
         self.probe_limit_ms = wire.connect_timeout_ms
         self.discovery: DiscoveryClient | None = None
         self.peers: Peers | None = None
@@ -130,7 +131,7 @@
 
     def take_saved(self, saved: CachedEndpointList) -> None:
         """Before all else; the table is the pools' from now on."""
-        self.backends.targets = saved.table
+        self.backends.endpoints = saved.table
         self._tell_held(saved.backend_ids)
         self._wake()
 
@@ -142,7 +143,7 @@
     def _next_held(self) -> tuple[BackendInfo, ...]:
         piece = self.untold[-ENDPOINTS_PER_SLICE:][::-1]
         del self.untold[-ENDPOINTS_PER_SLICE:]
-        return self.backends.infos(piece)
+        return self.backends.backend_infos(piece)
 
     def on_list_failure(self, reason: str) -> None:
         self.news.append(BackendListUpdate(ListUpdateKind.FAILED))
@@ -231,12 +232,12 @@
             headers = b"".join(b"%b: %b\r\n" % pair for pair in got.headers if pair[0] in PASSED_ON)
             self._answer(held, Answer(200, headers, got.body), "served")
         self.telemetry.note(held.taken.id, "attempt_ended", result.value)
-        delay = now_ms() - attempt.started
+        delay = now_ms() - attempt.started_at
         self._raise(AttemptEnded(held.taken.id, number, result, delay, held.over))
         self._forget(held)
 
     def _on_probe(self, attempt: Attempt, result: AttemptResult, _: Response | None) -> None:
-        self._raise(HealthCheckResult(attempt.uid, result, now_ms() - attempt.started))
+        self._raise(HealthCheckResult(attempt.backend_id, result, now_ms() - attempt.started_at))
 
     def _on_timer(self, token: int, life: int) -> None:
         if life == self.life:
@@ -274,7 +275,9 @@
         for held in ended:
             # Not earlier: the module may have sent it again in the step that told it of the end, and each
             # sending is owed its outcome.
-            if self.requests.get(held.taken.id) is held and all(attempt.ended for attempt in held.attempts):
+            if self.requests.get(held.taken.id) is held and all(
+                attempt.has_ended for attempt in held.attempts
+            ):
                 del self.requests[held.taken.id]
 
     def _module_broke(self) -> None:
@@ -282,7 +285,7 @@
         log(f"the decision module broke\n{traceback.format_exc()}")
         self.life += 1
         self.balancer = Balancer(self.settings, self.seed + self.life)
-        self._tell_held(list(self.backends.targets))
+        self._tell_held(list(self.backends.endpoints))
         self.events, self.ended = [], []
         if self.turn is not None:
             self.turn.cancel()
@@ -404,7 +407,7 @@
         self._forget(held)
 
     def _forget(self, held: Held) -> None:
-        if held.over and all(attempt.ended for attempt in held.attempts):
+        if held.over and all(attempt.has_ended for attempt in held.attempts):
             self.ended.append(held)
 
 
--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -412,7 +412,7 @@
         self._sweep()
 
     def ready(self) -> bool:
-        return not self.stopping and self.engine.backends.active() > 0
+        return not self.stopping and self.engine.backends.active_count() > 0
 
     def put(self, client: Client, places: dict[Client, float] | None) -> None:
         if places is self.waiting and client.places is places:
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -22,7 +22,7 @@
     TimerFired,
 )
 from dunecove.policy.models import AttemptResult
-from dunecove.proxy.connection_pool import Backends
+from dunecove.proxy.connection_pool import ConnectionPool
 from dunecove.proxy.discovery_client import DiscoveryClient
 from dunecove.proxy.endpoint_json import read_list_update
 from dunecove.proxy.endpoint_list import EndpointListUpdate
@@ -99,7 +99,7 @@
         # The program reads its configuration at the start only; a whole list is not shared between proxies.
         self.settings, self.wire = read_settings(self.info), read_wire(self.info)
         listing = read_list_update(orjson.loads(known), self.wire)
-        self.backends = Backends(self.wire.connect_timeout_ms, self.wire.conn_idle_ms, 1)
+        self.backends = ConnectionPool(self.wire.connect_timeout_ms, self.wire.conn_idle_ms, 1)
         self.balancer = Balancer(self.settings, self.seed * 100_003 + self.number)
         self.news: list[BackendListUpdate] = []
         self.events: list[Event] = []
@@ -113,7 +113,7 @@
             self.on_failure,
             self.pushed,
             memory_mb=MEMORY_MB,
-            endpoints=self.backends.targets,
+            endpoints=self.backends.endpoints,
         )
         self._take(listing, ListUpdateKind.CACHED)
         if self.pushed:
@@ -173,7 +173,7 @@
         self.account.counts["module exceptions"] += 1
         self.life += 1
         self.balancer = Balancer(self.settings, self.seed * 100_003 + self.number + self.life)
-        entries = self.backends.infos(list(self.backends.targets))
+        entries = self.backends.backend_infos(list(self.backends.endpoints))
         self.news, self.events, self.requests = [BackendListUpdate(ListUpdateKind.CACHED, entries)], [], {}
         self.waking = True
         self.loop.call_later(MODULE_REST_S, self.turn, self.life)
--- a/scale/wire.py
+++ b/scale/wire.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from dunecove.proxy.connection_pool import Backends
+from dunecove.proxy.connection_pool import ConnectionPool
 from dunecove.proxy.discovery_client import DiscoveryClient
 from dunecove.proxy.endpoint_json import read_list_update
 from dunecove.proxy.endpoint_list import EndpointListUpdate
@@ -35,9 +35,9 @@
 @measure(
     "pools",
     "backend",
-    Series("pools-list", "ms", "Backends takes over a whole list, holding nothing before"),
-    Series("pools-again", "ms", "Backends takes over the same whole list once more"),
-    Series("pools-change", "ms", "Backends takes a change of two entries"),
+    Series("pools-list", "ms", "ConnectionPool takes over a whole list, holding nothing before"),
+    Series("pools-again", "ms", "ConnectionPool takes over the same whole list once more"),
+    Series("pools-change", "ms", "ConnectionPool takes a change of two entries"),
 )
 def pools(plan: Plan, size: int) -> Values:
     wire = read_wire(made.settings(plan.proxies))
@@ -46,7 +46,7 @@
     news = read_list_update(orjson.loads(change(2, 2)), wire)
 
     async def run() -> Values:
-        backends = Backends(250.0, 15000.0, 100)
+        backends = ConnectionPool(250.0, 15000.0, 100)
         values: Values = {}
         for name, taken in (("pools-list", known), ("pools-again", again), ("pools-change", news)):
             values[name] = spent_ms(lambda taken=taken: backends.update(taken.endpoints, taken.is_snapshot))  # type: ignore[misc]
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from dunecove.__main__ import Config, start
-from dunecove.proxy.connection_pool import Backends
+from dunecove.proxy.connection_pool import ConnectionPool
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.listener import Frontend
 
@@ -229,7 +229,7 @@
         return await self.connect(*args)
 
     @staticmethod
-    def of(backends: Backends) -> Gate:
+    def of(backends: ConnectionPool) -> Gate:
         gate = Gate(backends.loop)
         backends.loop = cast(asyncio.AbstractEventLoop, gate)
         return gate
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -13,9 +13,10 @@
 import pytest
 
 from dunecove.policy.models import AttemptResult, BackendInfo, BackendState
-from dunecove.proxy import connection_pool as connection_pool_module
+from dunecove.proxy.attempt import Attempt
+from dunecove.proxy.backend_pool import MIN_IDLE_MS
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.connection_pool import Attempt, Backends
+from dunecove.proxy.connection_pool import ConnectionPool
 from dunecove.proxy.endpoint_list import Endpoint
 from dunecove.proxy.http_exchange import Response
 from dunecove.proxy.socket_probe import has_unread_input
@@ -28,7 +29,7 @@
     """Backends with one uid `s`, and the outcomes of what was started there."""
 
     def __init__(self, peer: Peer, connect_ms: float, idle_ms: float, most: int) -> None:
-        self.pool = Backends(connect_ms, idle_ms, most)
+        self.pool = ConnectionPool(connect_ms, idle_ms, most)
         self.outcomes: asyncio.Queue[tuple[AttemptResult, Response | None]] = asyncio.Queue()
         self.list(target("s", peer.address))
 
@@ -50,7 +51,7 @@
 
     async def served(self, peer: Peer, uid: str = "s") -> int:
         """One attempt served; the number of the connection that carried it."""
-        await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)  # those kept may be lent again
+        await asyncio.sleep(2 * MIN_IDLE_MS / 1000)  # those kept may be lent again
         self.start(uid)
         call = await peer.calls.get()
         call.reply()
@@ -166,7 +167,7 @@
             answer = b"HTTP/1.1 503 X\r\nx-rejected: 1\r\ncontent-length: 0\r\n\r\n"
             await asyncio.get_running_loop().sock_sendall(peer, answer)
             assert await attempts.result() is AttemptResult.REJECTED
-            assert not attempts.pool.backends["s"].idle
+            assert not attempts.pool.backend_pools["s"].idle
 
     run(test())
 
@@ -269,7 +270,7 @@
     async def test() -> None:
         async with tries() as (attempts, peer):
             await attempts.served(peer)
-            (kept,) = attempts.pool.backends["s"].idle
+            (kept,) = attempts.pool.backend_pools["s"].idle
             assert kept.transport is not None
             kept.transport.pause_reading()
             peer.writers[0].write(more)
@@ -285,7 +286,7 @@
     async def test() -> None:
         async with tries() as (attempts, peer):
             await attempts.served(peer)
-            (kept,) = attempts.pool.backends["s"].idle
+            (kept,) = attempts.pool.backend_pools["s"].idle
             assert kept.transport is not None
             kept.transport.pause_reading()
             peer.writers[0].close()
@@ -303,7 +304,7 @@
             call = await peer.calls.get()
             call.reply()
             await attempts.result()
-            attempts.pool.backends["s"].idle[0].idle_since = now_ms() + 1000  # just now, on any machine
+            attempts.pool.backend_pools["s"].idle[0].idle_since = now_ms() + 1000  # just now, on any machine
             assert await attempts.served(peer) == 2
 
     run(test())
@@ -318,11 +319,11 @@
             for _ in range(2):
                 (await peer.calls.get()).reply()
                 await attempts.result()
-            await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)
+            await asyncio.sleep(2 * MIN_IDLE_MS / 1000)
             attempts.start(limit_ms=50.0)
             await peer.calls.get()
             assert await attempts.result() is AttemptResult.TIMEOUT
-            assert not attempts.pool.backends["s"].idle
+            assert not attempts.pool.backend_pools["s"].idle
             assert await attempts.served(peer) == 3
 
     run(test())
@@ -400,7 +401,7 @@
                     if how == "cancelled":
                         attempts.pool.cancel(attempt)
                     elif how == "timed out":
-                        attempts.pool._limit(attempt)
+                        attempts.pool._on_deadline(attempt)
                     else:
                         connection.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: -1\r\n\r\n")
                     assert attempts.outcomes.qsize() == 1
@@ -431,7 +432,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("until", ["write_by", "deadline"])
+@pytest.mark.parametrize("until", ["write_deadline", "deadline"])
 def test_a_connection_that_comes_up_late_on_a_busy_loop_carries_nothing(until: str) -> None:
     """Its time is over, and the loop has not come to the timer that would have told so."""
 
@@ -457,8 +458,8 @@
         async with tries() as (attempts, peer):
             attempt = attempts.start(within_ms=20_000.0)
             call = await peer.calls.get()
-            attempts.pool._limit(attempt)  # as its timer does
-            assert not attempt.ended
+            attempts.pool._on_deadline(attempt)  # as its timer does
+            assert not attempt.has_ended
             call.reply()
             assert await attempts.result() is AttemptResult.OK
 
@@ -472,7 +473,7 @@
         async with tries() as (attempts, peer):
             if pooled:
                 await attempts.served(peer)
-                await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)
+                await asyncio.sleep(2 * MIN_IDLE_MS / 1000)
             attempts.list(target("s", peer.address, state))
             attempts.start()  # the pick was made before the list came
             assert await attempts.result() is AttemptResult.CONNECT_FAILED
@@ -488,7 +489,7 @@
             call = await peer.calls.get()
             connection = attempt.connection
             assert connection is not None
-            attempts.pool._limit(attempt)
+            attempts.pool._on_deadline(attempt)
             connection.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
             assert await attempts.result() is AttemptResult.TIMEOUT
             await call.closed.wait()
@@ -505,7 +506,7 @@
     async def test() -> None:
         async with tries() as (attempts, peer):
             await attempts.served(peer)
-            await asyncio.sleep(2 * connection_pool_module.REST_MS / 1000)
+            await asyncio.sleep(2 * MIN_IDLE_MS / 1000)
             attempt = attempts.start()  # written whole at once; the server's close was on its way
             connection = attempt.connection
             assert connection is not None and connection.is_awaiting_response
@@ -539,7 +540,7 @@
             call.reply()
             assert await attempts.result() is AttemptResult.OK
             await call.closed.wait()
-            assert not attempts.pool.backends["s"].idle
+            assert not attempts.pool.backend_pools["s"].idle
 
     run(test())
 
@@ -668,7 +669,7 @@
             busy = await other.calls.get()
             attempts.start("t")
             second = await other.calls.get()
-            assert not attempts.pool.backends["s"].idle
+            assert not attempts.pool.backend_pools["s"].idle
             attempts.start("s")
             assert await attempts.result() is AttemptResult.NO_LOCAL_RESOURCE  # nothing is idle now
             for call in (busy, second):
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -156,11 +156,11 @@
             bad.reply(b'{"rev":2,"all":true,"targets":[{"uid":5}]}')
             client = await p.client()
             assert (await client.ask("/health/ready", "GET")).status == 200
-            assert set(p.engine.backends.targets) == {"s0", "s1"}
+            assert set(p.engine.backends.endpoints) == {"s0", "s1"}
             good = await p.registry.calls.get()
             reply(good, listing(3, target("s1", p.backends[1].address)))
             await p.registry.calls.get()  # the next watch: the news is in
-            assert set(p.engine.backends.targets) == {"s1"}
+            assert set(p.engine.backends.endpoints) == {"s1"}
             for number in range(5):
                 client.send(x_call_id=f"c{number}")
                 (await p.backends[1].calls.get()).reply()
@@ -181,7 +181,7 @@
             assert "?since=1&" in second.line
             reply(second, listing(2, target("s0", p.backends[0].address, "leaving"), whole=False))
             await p.registry.calls.get()
-            assert p.engine.backends.active() == 1
+            assert p.engine.backends.active_count() == 1
 
     run(test())
 
@@ -368,7 +368,7 @@
             first = await p.registry.calls.get()
             first.reply(json.dumps(listing(2, *many)).encode())
             call = await p.registry.calls.get()
-            assert "?since=2&" in call.line and p.engine.backends.active() == 20_000
+            assert "?since=2&" in call.line and p.engine.backends.active_count() == 20_000
             assert p.engine.discovery is not None
             most = p.engine.discovery.max_list_bytes
             assert (
@@ -383,7 +383,7 @@
                 with suppress(ConnectionError):
                     await call.writer.drain()
                 await asyncio.sleep(0)
-            assert p.engine.backends.active() == 20_000
+            assert p.engine.backends.active_count() == 20_000
             assert "?since=2&" in (await p.registry.calls.get()).line
 
     run(test())
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -493,7 +493,7 @@
                 client.send(x_call_id="first")
                 (await p.backends[0].calls.get()).reply()
                 assert (await client.reply()).status == 200
-                p.engine.backends.backends["s0"].idle[0].idle_since -= 1000.0  # it may be lent again
+                p.engine.backends.backend_pools["s0"].idle[0].idle_since -= 1000.0  # it may be lent again
             client.send(x_call_id="late")
             if over == "neither":
                 call = await p.backends[0].calls.get()
--- a/tests/proxy/test_incremental_json.py
+++ b/tests/proxy/test_incremental_json.py
@@ -225,7 +225,7 @@
             assert served > 5
             (await p.registry.calls.get()).reply(json.dumps(listing(3, own)).encode())
             await taken(p, 1)
-            assert set(p.engine.backends.targets) == {"s0"}
+            assert set(p.engine.backends.endpoints) == {"s0"}
             client.send()
             (await p.backends[0].calls.get()).reply()
             assert (await client.reply()).status == 200
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -39,10 +39,13 @@
             p.engine.on_list(
                 EndpointListUpdate(2, True, targets(10 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
-            assert not p.engine.backends.backends and p.engine.backends.active() == 10 * ENDPOINTS_PER_SLICE
+            assert (
+                not p.engine.backends.backend_pools
+                and p.engine.backends.active_count() == 10 * ENDPOINTS_PER_SLICE
+            )
             assert await told(p) >= 10
             assert p.engine.balancer.listed == 10 * ENDPOINTS_PER_SLICE and names(p) == set(
-                p.engine.backends.targets
+                p.engine.backends.endpoints
             )
 
     run(test())
@@ -56,9 +59,9 @@
             )
             last = targets(1, 5 * ENDPOINTS_PER_SLICE - 1, BackendState.DRAINING)
             p.engine.on_list(EndpointListUpdate(3, False, (*last, *targets(1, 9999))))
-            assert p.engine.backends.active() == 5 * ENDPOINTS_PER_SLICE
+            assert p.engine.backends.active_count() == 5 * ENDPOINTS_PER_SLICE
             await told(p)
-            assert names(p) == set(p.engine.backends.targets) and last[0].backend_id not in names(p)
+            assert names(p) == set(p.engine.backends.endpoints) and last[0].backend_id not in names(p)
 
     run(test())
 
@@ -77,7 +80,7 @@
                 await asyncio.sleep(0)
             await told(p)
             assert p.engine.balancer.listed == 5 * ENDPOINTS_PER_SLICE and names(p) == set(
-                p.engine.backends.targets
+                p.engine.backends.endpoints
             )
 
     run(test())
@@ -90,12 +93,12 @@
             client.send()
             (await p.backends[0].calls.get()).reply()
             assert (await client.reply()).status == 200
-            p.engine.backends._sweep()
-            assert set(p.engine.backends.backends) == {"s0"}  # its connection is kept
-            p.engine.backends.backends["s0"].close_idle()
+            p.engine.backends._close_expired()
+            assert set(p.engine.backends.backend_pools) == {"s0"}  # its connection is kept
+            p.engine.backends.backend_pools["s0"].close_idle()
             while p.engine.backends.connections:
                 await asyncio.sleep(0)
-            p.engine.backends._sweep()
-            assert not p.engine.backends.backends
+            p.engine.backends._close_expired()
+            assert not p.engine.backends.backend_pools
 
     run(test())
