--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -22,7 +22,7 @@
 from dunecove.proxy.discovery_connection import DiscoveryConnection
 from dunecove.proxy.endpoint_list import EndpointListUpdate
 from dunecove.settings import Wire
-from tests.loopback import Call, Peer, listing, proxy, run, target
+from tests.loopback import ReceivedRequest, ScriptedServer, listing, proxy, run, target
 from tests.support import Driver, fleet, of, settings
 
 ADDRESS = "127.0.0.9:80"
@@ -37,8 +37,8 @@
 
 
 @asynccontextmanager
-async def watching() -> AsyncIterator[tuple[Heard, Peer]]:
-    peer = await Peer().open()
+async def watching() -> AsyncIterator[tuple[Heard, ScriptedServer]]:
+    peer = await ScriptedServer().open()
     heard = Heard(peer.address)
     heard.discovery.watch()
     try:
@@ -48,7 +48,7 @@
         peer.close()
 
 
-def reply(call: Call, what: Any) -> None:
+def reply(call: ReceivedRequest, what: Any) -> None:
     call.reply(json.dumps(what).encode())
 
 
@@ -118,7 +118,7 @@
 
     async def test() -> None:
         if how == "refused":
-            peer = await Peer().open()
+            peer = await ScriptedServer().open()
             peer.close()
             await peer.server.wait_closed()
             heard = Heard(peer.address)
@@ -200,7 +200,7 @@
 
 def until_asked(driver: Driver) -> float:
     """ms at most from a failed call to the next one: the latest that chance may choose."""
-    driver.balancer.rng = Latest(1)
+    driver.balancer.polling.rng = Latest(1)
     driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     return until_called(driver)
 
@@ -417,7 +417,7 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        peer, other = await Peer().open(), await Peer().open()
+        peer, other = await ScriptedServer().open(), await ScriptedServer().open()
         heard = Heard(peer.address)
         connect = heard.discovery._connect
         comes_up = asyncio.Event()
@@ -459,7 +459,7 @@
 
 def test_an_answer_of_the_old_service_in_the_turn_of_the_move_is_not_heard() -> None:
     async def test() -> None:
-        other = await Peer().open()
+        other = await ScriptedServer().open()
         async with watching() as (heard, peer):
             await peer.calls.get()
             call = heard.discovery.connection
@@ -480,7 +480,7 @@
 
 def test_moves_twice_in_a_row_and_back_ask_the_last_service_anew() -> None:
     async def test() -> None:
-        other = await Peer().open()
+        other = await ScriptedServer().open()
         async with watching() as (heard, peer):
             (await peer.calls.get()).reply(json.dumps(listing(42)).encode())
             await heard.lists.get()
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -20,8 +20,8 @@
 
 
 def names(p: Proxy) -> set[str]:
-    far = p.engine.balancer.far.buckets.values()
-    return {*(s.id for s in p.engine.balancer.active), *(name for bucket in far for name in bucket)}
+    backends = p.engine.balancer.backends
+    return {*(s.id for s in backends.active), *backends.unsubscribed.names()}
 
 
 async def told(p: Proxy) -> int:
@@ -44,7 +44,7 @@
                 and p.engine.backends.active_count() == 10 * ENDPOINTS_PER_SLICE
             )
             assert await told(p) >= 10
-            assert p.engine.balancer.listed == 10 * ENDPOINTS_PER_SLICE and names(p) == set(
+            assert p.engine.balancer.backends.listed_count == 10 * ENDPOINTS_PER_SLICE and names(p) == set(
                 p.engine.backends.endpoints
             )
 
@@ -79,7 +79,7 @@
             while p.engine.balancer is old:
                 await asyncio.sleep(0)
             await told(p)
-            assert p.engine.balancer.listed == 5 * ENDPOINTS_PER_SLICE and names(p) == set(
+            assert p.engine.balancer.backends.listed_count == 5 * ENDPOINTS_PER_SLICE and names(p) == set(
                 p.engine.backends.endpoints
             )
 
