--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -42,11 +42,14 @@
     may_reject,
 )
 from dunecove.policy.settings import Settings
+from dunecove.proxy.attempt import Attempt
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.connection_pool import Attempt, Backends
-from dunecove.proxy.discovery_client import PIECE, Discovery, Listing, Saved
+from dunecove.proxy.connection_pool import ConnectionPool
+from dunecove.proxy.discovery_client import DiscoveryClient
+from dunecove.proxy.endpoint_list import CachedEndpointList, EndpointListUpdate
 from dunecove.proxy.gossip import Peers
-from dunecove.proxy.http1 import Response
+from dunecove.proxy.http_exchange import Response
+from dunecove.proxy.long_list import ENDPOINTS_PER_SLICE
 from dunecove.proxy.telemetry import Telemetry, log
 from dunecove.settings import Wire
 
@@ -96,9 +99,9 @@
         self.settings, self.seed = settings, seed
         self.telemetry = Telemetry()
         self.balancer = Balancer(settings, seed)
-        self.backends = Backends(wire.connect_timeout_ms, wire.conn_idle_ms, most_connections)
+        self.backends = ConnectionPool(wire.connect_timeout_ms, wire.conn_idle_ms, most_connections)
         self.probe_limit_ms = wire.connect_timeout_ms
-        self.discovery: Discovery | None = None
+        self.discovery: DiscoveryClient | None = None
         self.peers: Peers | None = None
         self.requests: dict[str, Held] = {}
         self.known: dict[str, float] = {}  # ids of late, with the time at which they came, oldest first
@@ -115,21 +118,21 @@
 
     # What happens outside
 
-    def on_list(self, listing: Listing, kind: ListUpdateKind | None = None) -> None:
+    def on_list(self, listing: EndpointListUpdate, kind: ListUpdateKind | None = None) -> None:
         # The pools hear of a drain here and now, before anything else of this turn can be written.
-        self.backends.update(listing.targets, listing.whole)
-        kind = kind or (ListUpdateKind.SNAPSHOT if listing.whole else ListUpdateKind.DELTA)
+        self.backends.update(listing.endpoints, listing.is_snapshot)
+        kind = kind or (ListUpdateKind.SNAPSHOT if listing.is_snapshot else ListUpdateKind.DELTA)
         self.telemetry.count(f"list.{kind.value}")
         if kind is ListUpdateKind.CACHED:
-            self._tell_held([target.uid for target in listing.targets])
+            self._tell_held([target.backend_id for target in listing.endpoints])
         else:
-            self.news.append(BackendListUpdate(kind, tuple(target.info for target in listing.targets)))
+            self.news.append(BackendListUpdate(kind, tuple(target.info for target in listing.endpoints)))
         self._wake()
 
-    def take_saved(self, saved: Saved) -> None:
+    def take_saved(self, saved: CachedEndpointList) -> None:
         """Before all else; the table is the pools' from now on."""
-        self.backends.targets = saved.table
-        self._tell_held(saved.uids)
+        self.backends.endpoints = saved.table
+        self._tell_held(saved.backend_ids)
         self._wake()
 
     def _tell_held(self, uids: list[str]) -> None:
@@ -138,9 +141,9 @@
         self.news = [BackendListUpdate(ListUpdateKind.CACHED, self._next_held())]
 
     def _next_held(self) -> tuple[BackendInfo, ...]:
-        piece = self.untold[-PIECE:][::-1]
-        del self.untold[-PIECE:]
-        return self.backends.infos(piece)
+        piece = self.untold[-ENDPOINTS_PER_SLICE:][::-1]
+        del self.untold[-ENDPOINTS_PER_SLICE:]
+        return self.backends.backend_infos(piece)
 
     def on_list_failure(self, reason: str) -> None:
         self.news.append(BackendListUpdate(ListUpdateKind.FAILED))
@@ -153,7 +156,7 @@
 
     def move_list(self, address: str) -> None:
         """The list comes from another service from now on; the one held stands until that has answered."""
-        if self.discovery is not None and self.discovery.move(address):
+        if self.discovery is not None and self.discovery.move_to(address):
             self.telemetry.count("list.moved")
             log(f"list: now from {address}")
             self._raise(DiscoveryMoved())
@@ -229,12 +232,12 @@
             headers = b"".join(b"%b: %b\r\n" % pair for pair in got.headers if pair[0] in PASSED_ON)
             self._answer(held, Answer(200, headers, got.body), "served")
         self.telemetry.note(held.taken.id, "attempt_ended", result.value)
-        delay = now_ms() - attempt.started
+        delay = now_ms() - attempt.started_at
         self._raise(AttemptEnded(held.taken.id, number, result, delay, held.over))
         self._forget(held)
 
     def _on_probe(self, attempt: Attempt, result: AttemptResult, _: Response | None) -> None:
-        self._raise(HealthCheckResult(attempt.uid, result, now_ms() - attempt.started))
+        self._raise(HealthCheckResult(attempt.backend_id, result, now_ms() - attempt.started_at))
 
     def _on_timer(self, token: int, life: int) -> None:
         if life == self.life:
@@ -272,7 +275,9 @@
         for held in ended:
             # Not earlier: the module may have sent it again in the step that told it of the end, and each
             # sending is owed its outcome.
-            if self.requests.get(held.taken.id) is held and all(attempt.ended for attempt in held.attempts):
+            if self.requests.get(held.taken.id) is held and all(
+                attempt.has_ended for attempt in held.attempts
+            ):
                 del self.requests[held.taken.id]
 
     def _module_broke(self) -> None:
@@ -280,7 +285,7 @@
         log(f"the decision module broke\n{traceback.format_exc()}")
         self.life += 1
         self.balancer = Balancer(self.settings, self.seed + self.life)
-        self._tell_held(list(self.backends.targets))
+        self._tell_held(list(self.backends.endpoints))
         self.events, self.ended = [], []
         if self.turn is not None:
             self.turn.cancel()
@@ -402,7 +407,7 @@
         self._forget(held)
 
     def _forget(self, held: Held) -> None:
-        if held.over and all(attempt.ended for attempt in held.attempts):
+        if held.over and all(attempt.has_ended for attempt in held.attempts):
             self.ended.append(held)
 
 
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -10,7 +10,7 @@
 from dunecove.proxy import client_connection as connection_module
 from dunecove.proxy import connection_slots as slots_module
 from dunecove.proxy import listener as listener_module
-from dunecove.proxy.http1 import hung_up, unread
+from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer
 from tests.loopback import (
     PURCHASE,
     Client,
@@ -276,7 +276,9 @@
             await until(lambda: connection.is_closing)
             client.writer.write(b"x" * 100_000)
             await until(
-                lambda: unread(connection.transport) or connection not in p.listener.slots.connections
+                lambda: (
+                    has_unread_input(connection.transport) or connection not in p.listener.slots.connections
+                )
             )
             received.reply(b"owed")
             assert (await client.reply()).body == b"owed"
@@ -349,9 +351,9 @@
     assert transport is not None
     transport.pause_reading()
     received.writer.write(sent)
-    await until(lambda: unread(transport))
+    await until(lambda: has_unread_input(transport))
     reset(received.writer) if how == "reset" else received.writer.close()
-    await until(lambda: hung_up(transport))
+    await until(lambda: is_closed_by_peer(transport))
     transport.resume_reading()
     reply = await client.reply()
     assert all(peer.calls.empty() for peer in p.backends)
@@ -405,10 +407,10 @@
             answer += OK + b"transfer-encoding: chunked\r\n\r\n4\r\nslow\r\n3;x=y\r\nly.\r\n0\r\nt: u\r\n\r\n"
             (backend_connection,) = p.engine.backends.connections
             for byte in answer:
-                assert backend_connection.waiting and client.reader._buffer == b""  # type: ignore[attr-defined]
-                size = backend_connection._size
+                assert backend_connection.is_awaiting_response and client.reader._buffer == b""  # type: ignore[attr-defined]
+                size = backend_connection._received_bytes
                 received.writer.write(bytes([byte]))
-                await until(lambda size=size: backend_connection._size != size)  # type: ignore[misc]
+                await until(lambda size=size: backend_connection._received_bytes != size)  # type: ignore[misc]
             reply = await client.reply()
             assert (reply.status, reply.body) == (200, b"slowly.")
 
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -40,7 +40,7 @@
 from dunecove.proxy import request_parser as request_parser_module
 from dunecove.proxy import telemetry as telemetry_module
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.http1 import hung_up, unread
+from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer
 from tests.loopback import Client, ConnectGate, Proxy, proxy, request, reset, run, until
 
 Step = Callable[[list[Any]], list[Action]]
@@ -286,7 +286,7 @@
             for client in clients[::3]:
                 client.writer.transport.abort()
             inside = list(p.listener.disconnects.paused)
-            await until(lambda: sum(hung_up(one.transport) for one in inside) == 100)
+            await until(lambda: sum(is_closed_by_peer(one.transport) for one in inside) == 100)
             with monkeypatch.context() as patch:
                 patch.setattr(select, "poll", counted)
                 p.listener.disconnects.poll()
@@ -316,7 +316,7 @@
             await until(lambda: p.listener.disconnects.paused)
             (inside,) = p.listener.slots.connections
             client.close()
-            await until(lambda: hung_up(inside.transport))
+            await until(lambda: is_closed_by_peer(inside.transport))
             call.reply()
             await until(lambda: not p.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
@@ -414,7 +414,7 @@
         reset(client.writer)
     else:
         client.writer.transport.abort()
-    await until(lambda: hung_up(inside.transport))
+    await until(lambda: is_closed_by_peer(inside.transport))
     assert not events(ClientDisconnected)
 
 
@@ -502,7 +502,7 @@
                 client.send(x_call_id="first")
                 (await p.backends[0].calls.get()).reply()
                 assert (await client.reply()).status == 200
-                p.engine.backends.backends["s0"].idle[0].idle_since -= 1000.0  # it may be lent again
+                p.engine.backends.backend_pools["s0"].idle[0].idle_since -= 1000.0  # it may be lent again
             client.send(x_call_id="late")
             if over == "neither":
                 call = await p.backends[0].calls.get()
@@ -601,7 +601,7 @@
             await until(lambda: p.listener.disconnects.paused)
             (inside,) = p.listener.slots.connections
             client.send(x_call_id="late", x_budget_ms="9000")
-            await until(lambda: unread(inside.transport))
+            await until(lambda: has_unread_input(inside.transport))
             clock[0] = 5000.0
             call.reply()
             await until(lambda: len(events(RequestArrived)) == 2)
