--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -6,12 +6,12 @@
 import socket
 from typing import cast
 
+from dunecove.proxy.addresses import split_address
 from dunecove.proxy.client_connection import ClientConnection, CloseReason, ServerState
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.connection_slots import ConnectionSlots
 from dunecove.proxy.disconnect_watcher import DisconnectWatcher
 from dunecove.proxy.engine import Engine
-from dunecove.proxy.http1 import split_address
 from dunecove.proxy.request_parser import RequestParser
 from dunecove.proxy.telemetry import log
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,9 +16,11 @@
 import uvloop
 
 from dunecove.__main__ import Config, start
-from dunecove.proxy.connection_pool import Backends
+from dunecove.proxy.client_connection import ClientConnection
+from dunecove.proxy.connection_pool import ConnectionPool
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.listener import Listener
+from dunecove.proxy.socket_probe import has_unread_input
 
 TEST_TIMEOUT_S = 60.0  # only a hang comes near it
 POLL_S = 0.001
@@ -170,6 +172,13 @@
         self.writer.close()
 
 
+async def send_unread(client: Client, connection: ClientConnection, x_call_id: str = "c1") -> None:
+    """Send a request that stays in the kernel, as if the event loop had not read it yet."""
+    connection.transport.pause_reading()
+    client.send(x_call_id=x_call_id)
+    await until(lambda: has_unread_input(connection.transport))
+
+
 def target(uid: str, address: str, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
     return {
         "uid": uid,
@@ -235,7 +244,7 @@
         return await self.connect(*args)
 
     @staticmethod
-    def of(backends: Backends) -> ConnectGate:
+    def of(backends: ConnectionPool) -> ConnectGate:
         gate = ConnectGate(backends.loop)
         backends.loop = cast(asyncio.AbstractEventLoop, gate)
         return gate
