--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -13,7 +13,7 @@
 from dunecove.policy.settings import RequestClass
 from tests.support import Driver, fleet, of_type, settings
 
-RECOVERY_MS = 12_000  # stated in docs/on-call.md: the longest ejection (8 s and a quarter), then its trial
+RECOVERY_MS = 12_000  # the longest ejection (8 s and a quarter), then its trial
 STEP_MS = 10  # one arrival each
 USUAL_MS = 20.0
 
@@ -27,34 +27,36 @@
             RequestClass(300.0, 1000.0, priority_weight=0.1),
         )
         self.driver = Driver(settings(*classes), *fleet(backends))
-        self.due: list[tuple[float, str, int, AttemptResult, float]] = []
-        self.tries: Counter[str] = Counter()
-        self.sent: Counter[str] = Counter()
+        self.ends: list[tuple[float, str, int, AttemptResult, float]] = []
+        self.attempts: Counter[str] = Counter()
+        self.forwards: Counter[str] = Counter()
 
-    def run(self, ms: int, answers: dict[str, tuple[AttemptResult, float]]) -> None:
-        """`answers` by backend, others as usual; counts sends by backend of this run."""
-        self.sent.clear()
+    def run(self, ms: int, outcomes: dict[str, tuple[AttemptResult, float]]) -> None:
+        """`outcomes` by backend, others as usual; counts forwards by backend of this run."""
+        self.forwards.clear()
         driver = self.driver
         for n in range(ms // STEP_MS):
-            self.take(driver.tick(STEP_MS) if n % 3 == 0 else driver.step(after=STEP_MS), answers)
-            while self.due and self.due[0][0] <= driver.now:
-                _, request, attempt, result, delay = heappop(self.due)
-                self.take(
+            self.schedule_ends(driver.tick(STEP_MS) if n % 3 == 0 else driver.step(after=STEP_MS), outcomes)
+            while self.ends and self.ends[0][0] <= driver.now:
+                _, request, attempt, result, delay = heappop(self.ends)
+                self.schedule_ends(
                     driver.step(AttemptEnded(request, attempt, result, delay, result is AttemptResult.OK)),
-                    answers,
+                    outcomes,
                 )
             driver.arrive(n % 2)
-            self.take(driver.last, answers)
+            self.schedule_ends(driver.last, outcomes)
 
-    def take(self, actions: list[Action], answers: dict[str, tuple[AttemptResult, float]]) -> None:
+    def schedule_ends(self, actions: list[Action], outcomes: dict[str, tuple[AttemptResult, float]]) -> None:
         now = self.driver.now
-        for send in of_type(Forward, actions):
-            self.sent[send.backend_id] += 1
-            result, delay = answers.get(send.backend_id, (AttemptResult.OK, USUAL_MS))
-            if delay > send.timeout_ms:
-                result, delay = AttemptResult.TIMEOUT, send.timeout_ms
-            heappush(self.due, (now + delay, send.request_id, self.tries[send.request_id], result, delay))
-            self.tries[send.request_id] += 1
+        for forward in of_type(Forward, actions):
+            self.forwards[forward.backend_id] += 1
+            result, delay = outcomes.get(forward.backend_id, (AttemptResult.OK, USUAL_MS))
+            if delay > forward.timeout_ms:
+                result, delay = AttemptResult.TIMEOUT, forward.timeout_ms
+            heappush(
+                self.ends, (now + delay, forward.request_id, self.attempts[forward.request_id], result, delay)
+            )
+            self.attempts[forward.request_id] += 1
 
 
 def all_of(backends: int, result: AttemptResult, delay: float) -> dict[str, tuple[AttemptResult, float]]:
@@ -66,7 +68,7 @@
     "all beyond the objective": all_of(4, AttemptResult.OK, 600.0),
     "all full": all_of(4, AttemptResult.REJECTED, 2.0),
     "all fail": all_of(4, AttemptResult.ERROR, 5.0),
-    "none answers": all_of(4, AttemptResult.OK, 1e6),
+    "none outcomes": all_of(4, AttemptResult.OK, 1e6),
     "one refuses": {"10.0.0.0:80": (AttemptResult.CONNECT_FAILED, 1.0)},
     "one hangs": {"10.0.0.0:80": (AttemptResult.OK, 1e6)},
     "one slow": {"10.0.0.0:80": (AttemptResult.OK, 250.0)},
@@ -83,16 +85,18 @@
     script.run(2_000, {})
     balancer = script.driver.balancer
     assert [e.overload_ratio(script.driver.now) for e in balancer.queues] == [0.0]
-    assert sum(script.sent.values()) >= 0.98 * 2_000 / STEP_MS  # level 4 is admitted again, nothing is queued
-    fair = sum(script.sent.values()) / 4
+    assert (
+        sum(script.forwards.values()) >= 0.98 * 2_000 / STEP_MS
+    )  # level 4 is admitted again, nothing is queued
+    fair = sum(script.forwards.values()) / 4
     for backend in balancer.backends.active:
         assert backend.consecutive_failures == 0 and backend.ejected_until <= script.driver.now
         assert backend.payoff > 0.9, backend.id
         # Room for all of the traffic at the usual latency, and its part of it.
-        assert backend.limit >= 2 and script.sent[backend.id] > fair / 2, (
+        assert backend.limit >= 2 and script.forwards[backend.id] > fair / 2, (
             backend.id,
             backend.limit,
-            script.sent,
+            script.forwards,
         )
 
 
@@ -102,8 +106,8 @@
     gone = fleet(4, state=BackendState.REMOVED)
     script.driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(gone)))
     script.run(3_000, {})
-    assert not script.sent
-    script.take(script.driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(fleet(4)))), {})
+    assert not script.forwards
+    script.schedule_ends(script.driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(fleet(4)))), {})
     script.run(3_000, {})  # level 4 comes back over four aims
     script.run(3_000, {})
-    assert len(script.sent) == 4 and sum(script.sent.values()) >= 290
+    assert len(script.forwards) == 4 and sum(script.forwards.values()) >= 290
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -19,91 +19,103 @@
 from dunecove.policy.slow_start import SlowStart
 from tests.support import settings
 
-COLD_MS, WINDOW_MS, MULTIPLE, START = 24_000.0, 1000.0, 3.0, 0.16
-TICK_MS, LATENCY_MS = 5.0, 50.0
+SLOW_START_MS = 24_000.0
+WINDOW_MS = 1000.0
+OVERLOAD_FACTOR = 3.0
+INITIAL_CAPACITY = 0.16
+LATENCY_MS = 50.0
 CLASS = RequestClass(500.0, 2500.0)
 
 
 class Fleet:
     """Proxies, each a balancer of its own, before warm backends that respond to all after the same time."""
 
-    def __init__(self, proxies: int, warm: int, each: float, shares: list[float], seed: int = 1) -> None:
-        self.proxies, self.each, self.shares = proxies, each, shares  # each: requests/s a warm backend can do
-        self.random, self.ids, self.now = Random(seed), count(), 100_000.0
+    def __init__(
+        self, proxies: int, warm: int, backend_rate: float, shares: list[float], seed: int = 1
+    ) -> None:
+        self.proxies = proxies
+        self.backend_rate = backend_rate  # requests a second that a warm backend can do
+        self.shares = shares  # of the traffic, by proxy
+        self.random = Random(seed)
+        self.ids = count()
+        self.now = 100_000.0
         self.backends = [BackendInfo(f"10.0.0.{n}:80") for n in range(warm)]
-        self.modules: dict[int, Balancer] = {}
-        self.due: list[tuple[float, int, int, object]] = []
-        self.sent: dict[str, list[float]] = {}  # when something was sent to each cold one
-        for me in range(proxies):
-            self.start(me)
+        self.balancers: dict[int, Balancer] = {}
+        self.events: list[tuple[float, int, int, object]] = []
+        self.forwarded_at: dict[str, list[float]] = {}  # when something was sent to each cold one
+        for proxy in range(proxies):
+            self.start(proxy)
 
-    def start(self, me: int) -> None:
+    def start(self, proxy: int) -> None:
         """Start it, or start it anew: nothing of the process before it remains."""
-        self.due = [due for due in self.due if due[2] != me]
-        heapify(self.due)
+        self.events = [event for event in self.events if event[2] != proxy]
+        heapify(self.events)
         config = settings(
             CLASS,
             proxy_count=self.proxies,
-            proxy_index=me,
-            slow_start_capacity=START,
-            slow_start_ms=COLD_MS,
-            slow_start_overload_factor=MULTIPLE,
+            proxy_index=proxy,
+            slow_start_capacity=INITIAL_CAPACITY,
+            slow_start_ms=SLOW_START_MS,
+            slow_start_overload_factor=OVERLOAD_FACTOR,
             slow_start_window_ms=WINDOW_MS,
             may_gossip=True,
         )
-        self.modules[me] = Balancer(config, self.random.getrandbits(32))
-        self.tell(me, ListUpdateKind.CACHED, self.backends)
+        self.balancers[proxy] = Balancer(config, self.random.getrandbits(32))
+        self.update_list(proxy, ListUpdateKind.CACHED, self.backends)
 
-    def tell(self, me: int, kind: ListUpdateKind, entries: list[BackendInfo]) -> None:
-        self.step(me, BackendListUpdate(kind, tuple(entries)))
+    def update_list(self, proxy: int, kind: ListUpdateKind, entries: list[BackendInfo]) -> None:
+        self.step(proxy, BackendListUpdate(kind, tuple(entries)))
 
-    def step(self, me: int, event: object) -> None:
-        for action in self.modules[me].step(self.now, [event]):  # type: ignore[list-item]
+    def step(self, proxy: int, event: object) -> None:
+        for action in self.balancers[proxy].step(self.now, [event]):  # type: ignore[list-item]
             if isinstance(action, Forward):
-                if action.backend_id in self.sent:
-                    self.sent[action.backend_id].append(self.now)
+                if action.backend_id in self.forwarded_at:
+                    self.forwarded_at[action.backend_id].append(self.now)
                 ended = AttemptEnded(action.request_id, 0, AttemptResult.OK, LATENCY_MS, True)
-                heappush(self.due, (self.now + LATENCY_MS, next(self.ids), me, ended))
+                heappush(self.events, (self.now + LATENCY_MS, next(self.ids), proxy, ended))
             elif isinstance(action, SetTimer):
-                heappush(self.due, (self.now + queue_timeouts.TICK_MS, next(self.ids), me, TimerFired(0)))
+                heappush(
+                    self.events, (self.now + queue_timeouts.TICK_MS, next(self.ids), proxy, TimerFired(0))
+                )
 
     def run(self, ms: float, load: float) -> None:
         """`load`: of what all backends can do together when warm, over all proxies by their shares."""
-        end, total = self.now + ms, load * self.each * len(self.backends) / 1000
+        end, total = self.now + ms, load * self.backend_rate * len(self.backends) / 1000
         following = self.now + self.random.expovariate(total) if total else end
         while self.now < end:
-            self.now = min(end, following, self.due[0][0])
-            while self.due and self.due[0][0] <= self.now:
-                _, _, me, event = heappop(self.due)
-                self.step(me, event)
+            self.now = min(end, following, self.events[0][0])
+            while self.events and self.events[0][0] <= self.now:
+                _, _, proxy, event = heappop(self.events)
+                self.step(proxy, event)
             if following <= self.now < end:
-                me = self.random.choices(range(self.proxies), self.shares)[0]
-                self.step(me, RequestArrived(f"r{next(self.ids)}", 0, 0, None, self.now + 2500.0))
+                proxy = self.random.choices(range(self.proxies), self.shares)[0]
+                self.step(proxy, RequestArrived(f"r{next(self.ids)}", 0, 0, None, self.now + 2500.0))
                 following = self.now + self.random.expovariate(total)
 
     def join(self, cold: int, clock_off_ms: float = 0.0) -> None:
         """Cold backends that all learn of at once, by a clock that may be off from that of the proxies."""
         started = self.now + clock_off_ms
         new = [BackendInfo(f"10.9.9.{n}:80", started_at=started) for n in range(cold)]
-        self.sent, self.born, self.backends = (
-            {s.backend_id: [] for s in new},
-            self.now,
-            [*self.backends, *new],
-        )
-        for me in self.modules:
-            self.tell(me, ListUpdateKind.DELTA, new)
-
-    def worst(self) -> float:
-        """The greatest part of its bound that any cold backend got in any window; above 1 it falls over."""
-        return max(self.part(sent) for sent in self.sent.values())
-
-    def part(self, sent: list[float]) -> float:
+        self.forwarded_at = {entry.backend_id: [] for entry in new}
+        self.joined_at = self.now
+        self.backends = [*self.backends, *new]
+        for proxy in self.balancers:
+            self.update_list(proxy, ListUpdateKind.DELTA, new)
+
+    def highest_load(self) -> float:
+        """Return the highest load that any cold backend got in any window; above 1 it fails."""
+        return max(self._highest_load(sent) for sent in self.forwarded_at.values())
+
+    def _highest_load(self, sent: list[float]) -> float:
+        """Return the highest number of these forwards in any window, as a part of what is allowed."""
         worst, first = 0.0, 0
         for last, at in enumerate(sent):
             while sent[first] <= at - WINDOW_MS:
                 first += 1
-            warmth = START + (1 - START) * min(1.0, (at - self.born) / COLD_MS)
-            allowed = MULTIPLE * self.each * warmth * WINDOW_MS / 1000
+            warmth = INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * min(
+                1.0, (at - self.joined_at) / SLOW_START_MS
+            )
+            allowed = OVERLOAD_FACTOR * self.backend_rate * warmth * WINDOW_MS / 1000
             worst = max(worst, (last - first + 1) / (allowed + 2 * sqrt(allowed) + 2))
         return worst
 
@@ -123,7 +135,7 @@
     world.join(cold)
     world.run(4_000, 0.0)
     world.run(1_500, 1.5)
-    assert 0 < world.worst() <= 1
+    assert 0 < world.highest_load() <= 1
 
 
 @pytest.mark.parametrize("proxies", [3, 20, 30, 200])
@@ -131,7 +143,7 @@
     world = Fleet(proxies, 0, 2.0, harmonic(proxies))
     world.join(20)
     world.run(3_000, 1.5)
-    assert 0 < world.worst() <= 1
+    assert 0 < world.highest_load() <= 1
 
 
 @pytest.mark.parametrize("proxies", [3, 20, 30, 200])
@@ -140,10 +152,10 @@
     world.run(3_000, 0.7)
     world.join(12)
     world.run(500, 0.7)
-    for me in range(0, proxies, 2):
-        world.start(me)
+    for proxy in range(0, proxies, 2):
+        world.start(proxy)
     world.run(3_000, 0.9)
-    assert 0 < world.worst() <= 1
+    assert 0 < world.highest_load() <= 1
 
 
 HOUR_MS = 3_600_000.0
@@ -158,7 +170,7 @@
     world.run(3_000, 0.7)
     world.join(12, clock_off_ms)
     world.run(3_000, 0.9)
-    assert 0 < world.worst() <= 1
+    assert 0 < world.highest_load() <= 1
 
 
 @pytest.mark.parametrize(
@@ -179,10 +191,10 @@
     world = Fleet(proxies, 8, 6.0, harmonic(proxies))
     world.run(3_000, 0.7)
     world.join(12, clock_off_ms)
-    for me in range(proxies):
-        world.start(me)
+    for proxy in range(proxies):
+        world.start(proxy)
     world.run(3_000, 0.9)
-    assert 0 < world.worst() <= 1
+    assert 0 < world.highest_load() <= 1
 
 
 @pytest.mark.parametrize("clock_off_ms", [-HOUR_MS, HOUR_MS])
@@ -192,7 +204,11 @@
     world.run(3_000, 0.7)
     world.join(12, clock_off_ms)
     if anew:
-        for me in range(3):
-            world.start(me)
-    world.run(COLD_MS + 500.0, 0.1)
-    assert all(s.cold_until <= world.now for m in world.modules.values() for s in m.backends.by_id.values())
+        for proxy in range(3):
+            world.start(proxy)
+    world.run(SLOW_START_MS + 500.0, 0.1)
+    assert all(
+        s.cold_until <= world.now
+        for balancer in world.balancers.values()
+        for s in balancer.backends.by_id.values()
+    )
