--- /dev/null
+++ b/tests/proxy/pool_harness.py
@@ -0,0 +1,84 @@
+"""A connection pool with one scripted backend, and the results of the attempts that a test starts there."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from math import inf
+
+from dunecove.policy.models import AttemptResult, BackendInfo, BackendState
+from dunecove.proxy.attempt import Attempt
+from dunecove.proxy.backend_pool import MIN_IDLE_MS
+from dunecove.proxy.connection_pool import ConnectionPool
+from dunecove.proxy.endpoint_list import Endpoint
+from dunecove.proxy.http_exchange import Response
+from tests.loopback import ScriptedServer
+
+HEAD = b"POST /answer HTTP/1.1\r\nhost: b\r\n"
+
+
+class PoolHarness:
+    """A pool with the backend `s`, and the results of the attempts that were started."""
+
+    def __init__(
+        self, backend: ScriptedServer, connect_timeout_ms: float, idle_timeout_ms: float, max_connections: int
+    ) -> None:
+        self.pool = ConnectionPool(connect_timeout_ms, idle_timeout_ms, max_connections)
+        self.results: asyncio.Queue[tuple[AttemptResult, Response | None]] = asyncio.Queue()
+        self.update(endpoint("s", backend.address))
+
+    def update(self, *endpoints: Endpoint) -> None:
+        self.pool.update(endpoints, True)
+
+    def start(
+        self,
+        backend_id: str = "s",
+        timeout_ms: float = 30000.0,
+        body: bytes = b"",
+        write_within_ms: float = inf,
+    ) -> Attempt:
+        head = HEAD + b"content-length: %d\r\n" % len(body)
+        attempt = Attempt(
+            backend_id,
+            head,
+            body,
+            timeout_ms,
+            lambda _, *result: self.results.put_nowait(result),
+            write_within_ms,
+        )
+        self.pool.start(attempt)
+        return attempt
+
+    async def result(self) -> AttemptResult:
+        return (await self.results.get())[0]
+
+    async def serve_one(self, backend: ScriptedServer, backend_id: str = "s") -> int:
+        """Serve one attempt; return the number of the connection that carried it."""
+        await asyncio.sleep(2 * MIN_IDLE_MS / 1000)  # idle connections may be lent again
+        self.start(backend_id)
+        call = await backend.calls.get()
+        call.reply()
+        assert await self.result() is AttemptResult.OK
+        return call.connection
+
+
+def endpoint(
+    backend_id: str, address: str, state: BackendState = BackendState.ACTIVE, started: float | None = None
+) -> Endpoint:
+    host, port = address.split(":")
+    return Endpoint(backend_id, host, int(port), BackendInfo(backend_id, state, started_at=started))
+
+
+@asynccontextmanager
+async def pool_harness(
+    connect_timeout_ms: float = 20000.0, idle_timeout_ms: float = 60000.0, max_connections: int = 100
+) -> AsyncIterator[tuple[PoolHarness, ScriptedServer]]:
+    backend = await ScriptedServer().open()
+    harness = PoolHarness(backend, connect_timeout_ms, idle_timeout_ms, max_connections)
+    try:
+        yield harness, backend
+    finally:
+        harness.pool.close()
+        backend.close()
+        assert harness.results.empty()  # each attempt ended once
--- /dev/null
+++ b/tests/proxy/test_endpoint_json.py
@@ -0,0 +1,42 @@
+"""The cached list of the configuration, read in slices where it is long."""
+
+from __future__ import annotations
+
+import json
+import tracemalloc
+from pathlib import Path
+
+import pytest
+
+from dunecove.__main__ import Config
+from dunecove.settings import Malformed
+from tests.loopback import configuration, listing
+from tests.proxy.list_entries import entries
+
+
+def test_long_cached_list_keeps_its_order_and_applies_drains(tmp_path: Path) -> None:
+    known = listing(7, *entries(900), *entries(1, 5, "leaving"), *entries(1, 900))
+    config = configuration("127.0.0.1:9") | {"known": known}
+    for indent in (None, 2):
+        path = tmp_path / "config.json"
+        path.write_text(json.dumps(config, indent=indent))
+        cached = Config({"LB_CONFIG": str(path)}).known
+        assert cached.revision == 7 and len(cached.table) == 900 and cached.table.get("s-00000005") is None
+        assert cached.backend_ids == [e["uid"] for e in entries(901)]  # the drained one is skipped later
+    assert len(Config({"LB_CONFIG": str(path)}, again=True).known.backend_ids) < 200
+    bad = config | {"known": listing(7, *entries(900), {"uid": "odd"}, *entries(900, 900))}
+    path.write_text(json.dumps(bad))
+    with pytest.raises(Malformed, match="endpoint"):
+        Config({"LB_CONFIG": str(path)})
+
+
+def test_few_objects_of_a_long_cached_list_exist_at_a_time(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(configuration("127.0.0.1:9") | {"known": listing(7, *entries(5000))}))
+    Config({"LB_CONFIG": str(path)})  # whatever is created once
+    tracemalloc.start()
+    config = Config({"LB_CONFIG": str(path)})
+    current, peak = tracemalloc.get_traced_memory()
+    tracemalloc.stop()
+    assert len(config.known.table) == 5000
+    assert current / 5000 < 350 and peak - current < 2_000_000
