--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -1,10 +1,10 @@
-"""`python -m scale`: see cli.py."""
+"""`python -m scale`: see `scale.cli`."""
 
 import signal
 import sys
 
 from scale.cli import main
 
-# As an exception, so that what was started is ended on the way out.
+# As an exception, so that child processes are stopped on the way out.
 signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
 sys.exit(main(sys.argv[1:]))
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -17,7 +17,10 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Exit code: 0, or 2 with one plain line on standard error for whatever can't be done as asked."""
+    """Run the command line and return its exit code: 0, 130 after an interrupt, or 2 for what can't be done.
+
+    In the last case one plain line on standard error says why.
+    """
     try:
         code = cli.main(arguments, prog_name="python -m scale", standalone_mode=False)
     except click.exceptions.NoArgsIsHelpError as error:
--- a/scale/fit.py
+++ b/scale/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured values."""
+"""Least-squares lines through measured values."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Fit(NamedTuple):
-    """A least-squares line, in the value's unit for each unit of size."""
+    """A least-squares line, in the value's unit for each unit of size. The fields are keys of the JSON."""
 
     slope: float
     intercept: float  # the value at size 0, as the line has it
@@ -22,23 +22,25 @@
     slope_sd: float  # standard deviation of those slopes; 0 for a single repeat
 
 
-def line(sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float]:
-    """Slope and intercept of the least-squares line."""
-    slope, intercept = linear_regression(sizes, values)
-    return slope, intercept
-
-
 def fit(sizes: Sequence[int], repeats: Sequence[Sequence[float]]) -> Fit:
-    """`repeats` holds a value for each size, repeat by repeat. ValueError below two sizes."""
+    """Fit a line through `repeats`, which hold a value for each size. ValueError below two sizes."""
     if len(set(sizes)) < 2 or not repeats:
         raise ValueError("a slope takes two sizes and a repeat")
-    table = np.array(repeats, dtype=float)
-    slope, intercept = line(list(sizes) * len(repeats), table.ravel().tolist())
+    values = np.array(repeats, dtype=float)
+    slope, intercept = linear_regression(list(sizes) * len(repeats), values.ravel().tolist())
     expected = slope * np.array(sizes) + intercept
-    spread = float(((table - table.mean()) ** 2).sum())
-    r2 = 1 - float(((table - expected) ** 2).sum()) / spread if spread else 1.0
-    off = np.abs(np.median(table, axis=0) - expected)
-    slopes = [line(sizes, repeat)[0] for repeat in table.tolist()]
-    sd = float(np.std(slopes, ddof=1)) if len(slopes) > 1 else 0.0
-    at = int(off.argmax())
-    return Fit(slope, intercept, r2, float(off[at]), float(sizes[at]), min(slopes), max(slopes), sd)
+    variation = float(((values - values.mean()) ** 2).sum())
+    r2 = 1 - float(((values - expected) ** 2).sum()) / variation if variation else 1.0
+    distances = np.abs(np.median(values, axis=0) - expected)
+    worst = int(distances.argmax())
+    slopes = [linear_regression(sizes, repeat).slope for repeat in values.tolist()]
+    return Fit(
+        slope=slope,
+        intercept=intercept,
+        r2=r2,
+        worst=float(distances[worst]),
+        worst_at=float(sizes[worst]),
+        slope_min=min(slopes),
+        slope_max=max(slopes),
+        slope_sd=float(np.std(slopes, ddof=1)) if len(slopes) > 1 else 0.0,
+    )
--- /dev/null
+++ b/scale/measure_discovery.py
@@ -0,0 +1,137 @@
+"""Reading and holding the endpoint list on the sockets' side, and the bytes that it takes on the wire."""
+
+from __future__ import annotations
+
+import asyncio
+
+import orjson
+
+from dunecove.proxy.connection_pool import Backends
+from dunecove.proxy.discovery_client import Discovery, Listing, read_listing
+from dunecove.settings import read_wire
+from scale import synthetic
+from scale.measurement import (
+    MeasurementError,
+    RunParameters,
+    Series,
+    Values,
+    cpu_time_ms,
+    measurement,
+)
+from scale.stub_discovery import RESPONSE_HEAD, Exchange, StubDiscovery
+
+CALLS_TIMEOUT_S = 10.0
+POLL_S = 0.001
+CONNECT_TIMEOUT_MS = 250.0
+IDLE_TIMEOUT_MS = 15000.0
+POOL_CONNECTIONS = 100
+
+
+@measurement(
+    "parse",
+    "backend",
+    Series("parse-json", "ms", "the bytes of a whole list become objects: orjson alone"),
+    Series("parse", "ms", "the bytes of a whole list become a Listing: orjson and read_listing"),
+)
+def parse_cpu(parameters: RunParameters, size: int) -> Values:
+    """Measure decoding a snapshot."""
+    body = synthetic.snapshot_body(1, size)
+    wire = read_wire(synthetic.settings(parameters.proxies))
+    return {
+        "parse-json": cpu_time_ms(lambda: orjson.loads(body)),
+        "parse": cpu_time_ms(lambda: read_listing(orjson.loads(body), wire)),
+    }
+
+
+@measurement(
+    "pools",
+    "backend",
+    Series("pools-list", "ms", "Backends takes over a whole list, holding nothing before"),
+    Series("pools-again", "ms", "Backends takes over the same whole list once more"),
+    Series("pools-change", "ms", "Backends takes a change of two entries"),
+)
+def pool_update_cpu(parameters: RunParameters, size: int) -> Values:
+    """Measure the connection pools taking a snapshot, the same again, and a delta."""
+    wire = read_wire(synthetic.settings(parameters.proxies))
+    snapshot = synthetic.snapshot_body(1, size)
+    updates = {
+        "pools-list": read_listing(orjson.loads(snapshot), wire),
+        "pools-again": read_listing(orjson.loads(snapshot), wire),
+        "pools-change": read_listing(orjson.loads(synthetic.delta_body(2, 2)), wire),
+    }
+
+    async def run() -> Values:
+        backends = Backends(CONNECT_TIMEOUT_MS, IDLE_TIMEOUT_MS, POOL_CONNECTIONS)
+
+        def update_cpu_ms(listing: Listing) -> float:
+            return cpu_time_ms(lambda: backends.update(listing.targets, listing.whole))
+
+        values: Values = {name: update_cpu_ms(listing) for name, listing in updates.items()}
+        backends.close()
+        return values
+
+    return asyncio.run(run())
+
+
+def record_exchanges(
+    calls: int, updates: dict[int, bytes], revision: int | None, proxies: int
+) -> list[Exchange]:
+    """Return the first calls that the proxy's discovery client makes to a service that answers at once.
+
+    Raises MeasurementError when a call fails or the calls don't come in time.
+    """
+    with StubDiscovery(synthetic.empty_delta_body(1), answer_at_once=True) as service:
+        service.updates.update(updates)
+
+        async def run() -> None:
+            wire = read_wire(synthetic.settings(proxies))
+            failures: list[str] = []
+            discovery = Discovery(service.address, wire, revision, lambda listing: None, failures.append)
+            discovery.watch()
+            give_up_at = asyncio.get_running_loop().time() + CALLS_TIMEOUT_S
+            while len(service.exchanges) < calls and not failures:
+                if asyncio.get_running_loop().time() > give_up_at:
+                    failures.append("no answer in time")
+                await asyncio.sleep(POLL_S)
+            discovery.close()
+            if failures:
+                raise MeasurementError(f"discovery: {failures[0]}")
+
+        asyncio.run(run())
+    return service.exchanges[:calls]
+
+
+@measurement(
+    "wire-list",
+    "backend",
+    Series("wire-list", "bytes", "discovery's whole list, headers of the answer included"),
+)
+def snapshot_bytes(parameters: RunParameters, size: int) -> Values:
+    """Measure the bytes of a snapshot."""
+    # Not through the discovery client: it may refuse a list so long, which the measurement `process` shows.
+    body = synthetic.snapshot_body(1, size)
+    return {"wire-list": float(len(RESPONSE_HEAD % len(body)) + len(body))}
+
+
+@measurement(
+    "wire-change",
+    "changed-entry",
+    Series("wire-change", "bytes", "a watch call and its answer with so many changed entries"),
+)
+def delta_bytes(parameters: RunParameters, size: int) -> Values:
+    """Measure the bytes of a watch that is answered with `size` changed entries."""
+    first = record_exchanges(1, {1: synthetic.delta_body(2, size)}, 1, parameters.proxies)[0]
+    return {"wire-change": float(first.request_bytes + first.response_bytes)}
+
+
+@measurement(
+    "wire-watch",
+    "watch-call",
+    Series("wire-watch", "bytes", "so many watch calls and their empty answers (one a second at rest)"),
+)
+def idle_watch_bytes(parameters: RunParameters, size: int) -> Values:
+    """Measure the bytes of `size` watches without an update."""
+    # The first call of a watch differs: it waits for 1 ms only.
+    exchanges = record_exchanges(size + 1, {}, 1, parameters.proxies)[1:]
+    total = sum(exchange.request_bytes + exchange.response_bytes for exchange in exchanges)
+    return {"wire-watch": float(total)}
--- /dev/null
+++ b/scale/memory_child.py
@@ -0,0 +1,119 @@
+"""A child process that holds many objects of one kind and prints what they take.
+
+Usage: `memory_child KIND COUNT SEED METHOD`. METHOD is `traced` (bytes that Python's allocator has given out
+since before, by tracemalloc) or `resident` (bytes of the process in memory). It prints JSON lines: for
+connections first the address to connect to, and the figure once a line has come on standard input. It imports
+the proxy and no library of this tool's, which would add to the figure.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import json
+import os
+import sys
+import tracemalloc
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+import orjson
+import uvloop
+
+from dunecove.policy.balancer import Balancer
+from dunecove.policy.events import ListUpdateKind
+from dunecove.proxy.discovery_client import read_listing
+from dunecove.proxy.engine import Engine
+from dunecove.proxy.gossip import Peers, Tier
+from dunecove.proxy.listener import Frontend
+from dunecove.proxy.request_parser import Reader
+from dunecove.settings import read_settings, read_wire
+from scale import synthetic
+from scale.process_memory import resident_bytes
+
+PROXIES = 3400
+GOSSIP_PORT = 7946
+CONNECTION_BACKENDS = 1000  # among which open requests are spread; all of them at one address
+CLIENT_SLOTS = 2000
+BACKEND_ADDRESS_VARIABLE = "SCALE_BACKEND"
+
+
+def create_engine(proxy_settings: dict[str, Any], seed: int, slots: int = 100) -> Engine:
+    """Return the proxy's engine with room for `slots` client connections."""
+    return Engine(read_settings(proxy_settings), read_wire(proxy_settings), seed, slots)
+
+
+async def hold_backends(count: int, seed: int) -> object:
+    """Return an engine that knows `count` backends."""
+    proxy_settings = synthetic.settings(PROXIES)
+    engine = create_engine(proxy_settings, seed)
+    listing = read_listing(orjson.loads(synthetic.snapshot_body(1, count)), read_wire(proxy_settings))
+    engine.on_list(listing, ListUpdateKind.SNAPSHOT)
+    return engine
+
+
+def _create_balancer_and_parser(proxy_settings: dict[str, Any], seed: int) -> object:
+    settings = read_settings(proxy_settings)
+    return Balancer(settings, seed), Reader(settings, read_wire(proxy_settings))
+
+
+async def hold_classes(count: int, seed: int) -> object:
+    """Return a balancer and a request parser with `count` request classes."""
+    return _create_balancer_and_parser(synthetic.settings(PROXIES, classes=count), seed)
+
+
+async def hold_tenants(count: int, seed: int) -> object:
+    """Return a balancer and a request parser with `count` tenants that have a quota."""
+    return _create_balancer_and_parser(synthetic.settings(PROXIES, tenants=count), seed)
+
+
+async def hold_peers(count: int, seed: int) -> object:
+    """Return the gossip socket's state with the addresses of `count` peers."""
+    addresses = tuple(synthetic.loopback_address(number, GOSSIP_PORT) for number in range(count))
+    return Peers(Tier("127.0.0.1:0", addresses, "127.0.0.1:9"), lambda *_: None)
+
+
+async def hold_connections(count: int, seed: int) -> object:
+    """Run a proxy for clients that connect from outside, until a line comes on standard input.
+
+    The backends are all at the address that the environment names.
+    """
+    proxy_settings = synthetic.settings(1)
+    engine = create_engine(proxy_settings, seed, CLIENT_SLOTS)
+    backend_address = os.environ[BACKEND_ADDRESS_VARIABLE]
+    entries = [synthetic.list_entry(number, address=backend_address) for number in range(CONNECTION_BACKENDS)]
+    wire = read_wire(proxy_settings)
+    engine.on_list(read_listing(synthetic.endpoint_list(1, entries), wire), ListUpdateKind.SNAPSHOT)
+    frontend = Frontend(engine, Reader(read_settings(proxy_settings), wire), CLIENT_SLOTS)
+    frontend.listen("127.0.0.1:0")
+    clients_connected = asyncio.Event()
+    asyncio.get_running_loop().add_reader(0, clients_connected.set)
+    print(json.dumps(frontend.address), flush=True)
+    await clients_connected.wait()
+    return engine, frontend
+
+
+HOLDERS: dict[str, Callable[[int, int], Awaitable[object]]] = {
+    "backend": hold_backends,
+    "class": hold_classes,
+    "tenant": hold_tenants,
+    "peer": hold_peers,
+    "connection": hold_connections,
+}
+
+
+async def main(kind: str, count: int, seed: int, is_traced: bool) -> None:
+    """Hold `count` objects of `kind`, print what they take in bytes, and exit with all of them."""
+    if is_traced:
+        tracemalloc.start()
+    held = await HOLDERS[kind](count, seed)
+    await asyncio.sleep(0.01)  # the balancer's step comes in a later turn of the loop
+    gc.collect()
+    print(json.dumps(tracemalloc.get_traced_memory()[0] if is_traced else resident_bytes()), flush=True)
+    del held  # not before it was measured
+    # Connections stay open to the end: an orderly shutdown would only take time.
+    os._exit(0)
+
+
+if __name__ == "__main__":
+    uvloop.run(main(sys.argv[1], int(sys.argv[2]), int(sys.argv[3]), sys.argv[4] == "traced"))
--- a/tests/tools/test_scale.py
+++ b/tests/tools/test_scale.py
@@ -11,15 +11,15 @@
 import pytest
 
 import scale.load
-import scale.process
+import scale.measure_process
 from scale.cli import main
 from scale.fit import fit
-from scale.load import verdict
-from scale.measures import AXES, MEASURES, Series, Values
-from scale.slopes import cell, summary
+from scale.load_report import verdict
+from scale.measurement import DEFAULT_SIZES, MEASUREMENTS, Series, Values
+from scale.slopes_report import format_values, summarize_series
 
 TINY = ["--sizes", "10,20", "--repeats", "2", "--quiet"]
-TINY += [part for axis in AXES if axis != "backend" for part in ("--counts", f"{axis}=5,7")]
+TINY += [part for axis in DEFAULT_SIZES if axis != "backend" for part in ("--counts", f"{axis}=5,7")]
 
 
 def slopes(folder: Path, *arguments: str) -> dict[str, Any]:
@@ -50,9 +50,9 @@
         {size: {"x": value} for size, value in zip((1, 2, 3, 4), row, strict=True)}
         for row in ((2.0, 4.0, None, 8.0), (2.0, 4.0, None, 8.0), (9.0, 9.0, None, None))
     ]
-    found = summary(Series("x", "ms", "a thing"), "backend", (1, 2, 3, 4), runs)
+    found = summarize_series(Series("x", "ms", "a thing"), "backend", (1, 2, 3, 4), runs)
     assert found["fit"]["slope"] == pytest.approx(2.0) and found["fit_repeats"] == 2
-    assert [cell(found["values"][size]) for size in "1234"] == ["2", "4", "-", "8 (2)"]
+    assert [format_values(found["values"][size]) for size in "1234"] == ["2", "4", "-", "8 (2)"]
 
 
 def test_values_that_are_all_the_same_make_a_level_line() -> None:
@@ -63,12 +63,12 @@
 def test_every_measurement_has_its_values_in_the_json(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(scale.process, "SETTLE_S", 0.01)
-    monkeypatch.setattr(scale.process, "REST_S", 0.05)
-    monkeypatch.setattr(scale.process, "AFTER_S", 0.05)
+    monkeypatch.setattr(scale.measure_process, "SETTLE_S", 0.01)
+    monkeypatch.setattr(scale.measure_process, "REST_S", 0.05)
+    monkeypatch.setattr(scale.measure_process, "AFTER_CHANGES_S", 0.05)
     found = slopes(tmp_path)
     printed = capsys.readouterr().out
-    for name in [series.name for measure in MEASURES.values() for series in measure.series]:
+    for name in [series.name for measurement in MEASUREMENTS.values() for series in measurement.series]:
         (row,) = [row for row in found["series"] if row["name"] == name]
         assert len(row["values"]) == 2 and name in printed
         for values in row["values"].values():
@@ -94,9 +94,10 @@
 def test_a_list_that_the_proxy_refuses_is_told_and_not_measured(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("scale.made.list_bytes", lambda rev, count: b"no list")
+    monkeypatch.setattr("scale.synthetic.snapshot_body", lambda revision, count: b"no list")
     found = slopes(tmp_path, "--what", "process")
-    assert all(set(sum(row["values"].values(), [])) == {None} for row in found["series"])
+    for row in found["series"]:
+        assert {value for values in row["values"].values() for value in values} == {None}
     assert len(found["notes"]) == 1 and "not JSON" in found["notes"][0]
 
 
