--- a/scale/fleet/__init__.py
+++ b/scale/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet in one process: real decisions and list code over hollow sockets, on a virtual clock."""
+"""A fleet in one process: real decisions and list code over simulated sockets, on a virtual clock."""
--- a/scale/fleet/__main__.py
+++ b/scale/fleet/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m scale.fleet`."""
+"""`python -m scale.fleet`: see `scale.fleet.cli`."""
 
 from scale.fleet.cli import fleet
 
--- a/scale/fleet/cli.py
+++ b/scale/fleet/cli.py
@@ -8,13 +8,16 @@
 
 import click
 
-from scale.fleet.run import EVENTS, BadPlan, Fleet, Plan, table
+from scale.fleet.figures import format_figures
+from scale.fleet.plan import FleetEvent, InvalidPlanError, Plan
+from scale.fleet.run import Fleet
 
 
-class Plain(click.Command):
-    """What is wrong with the arguments is said in one line."""
+class OneLineErrorCommand(click.Command):
+    """A command that says in one line what is wrong with its arguments."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
+        """Parse the arguments; exit code 2 for what is wrong with them."""
         try:
             return super().parse_args(ctx, args)
         except click.UsageError as error:
@@ -22,11 +25,11 @@
             ctx.exit(2)
 
 
-@click.command(cls=Plain, context_settings={"show_default": True})
+@click.command(cls=OneLineErrorCommand, context_settings={"show_default": True})
 @click.option("--backends", default=1000, help="Size of the list.")
-@click.option("--proxies", default=100, help="Hollow proxies in this process.")
+@click.option("--proxies", default=100, help="Simulated proxies in this process.")
 @click.option("--seconds", default=60, help="Length on the virtual clock; the event comes after a third.")
-@click.option("--event", default="steady", help=f"One of {', '.join(EVENTS)}.")
+@click.option("--event", default="steady", help=f"One of {', '.join(FleetEvent)}.")
 @click.option("--seed", default=1)
 @click.option("--pushed", is_flag=True, help="Lists are pushed by an agent, not asked for.")
 @click.option("--weights", is_flag=True, help="Renew all live weights each 500 to 900 ms.")
@@ -40,14 +43,17 @@
 @click.option("--memory-mb", default=0.0, help="Give up beyond this; 0 for half of the machine's.")
 @click.option("--json", "path", type=click.Path(path_type=Path), help="Write the figures to this file, too.")
 def fleet(path: Path | None, **options: int | float | str | bool) -> None:
-    """Run hollow proxies against a hollow list service on a virtual clock, and count what it costs."""
+    """Run simulated proxies against a simulated discovery service, and count what it costs.
+
+    All of it runs in this process on a virtual clock.
+    """
     try:
         if path is not None:
             path.touch()  # a run may be long, and must not end in a file that can't be written
         figures = Fleet(Plan(**options)).run()  # type: ignore[arg-type]
         if path is not None:
             path.write_text(json.dumps(figures, indent=1) + "\n")
-    except (BadPlan, OSError) as error:
+    except (InvalidPlanError, OSError) as error:
         print(f"fleet: {error}", file=sys.stderr)
         sys.exit(2)
-    print(table(figures))
+    print(format_figures(figures))
--- a/scale/fleet/clock.py
+++ b/scale/fleet/clock.py
@@ -10,25 +10,25 @@
 from time import process_time
 from typing import Any, Protocol, TypeVar, TypeVarTuple, Unpack
 
-from scale.fleet.account import ACCOUNT, Account
+from scale.fleet.metrics import CURRENT_METRICS, ProxyMetrics
 
-ORIGIN_S = 1_000_000  # s on the clock as a run starts: above 0, which stands for "long ago" in lists
+ORIGIN_S = 1_000_000  # on the clock as a run starts: above 0, which stands for "long ago" in lists
 
 T = TypeVar("T")
 Ts = TypeVarTuple("Ts")
 
 
-class Host(Protocol):
-    """Whoever listens at an address on this loop."""
+class Listener(Protocol):
+    """A server at an address on this loop."""
 
     async def accept(self, protocol: asyncio.Protocol) -> asyncio.Transport:
         """Bring up a connection for the caller's protocol, or never return."""
 
 
-class Job(asyncio.TimerHandle):
-    """A callback and the account that pays for it."""
+class MeteredHandle(asyncio.TimerHandle):
+    """A callback and the metrics to which its processor time is added."""
 
-    __slots__ = ("account",)
+    __slots__ = ("metrics",)
 
     def __init__(
         self,
@@ -40,36 +40,43 @@
     ) -> None:
         context = context if context is not None else copy_context()
         super().__init__(when, callback, args, loop, context)
-        self.account: Account | None = context.get(ACCOUNT)
+        self.metrics: ProxyMetrics | None = context.get(CURRENT_METRICS)
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
-    """Callbacks in order of time, then of their making. Only what list code and timers need is there."""
+    """Runs callbacks in order of time, then of their creation.
+
+    Only what list code and timers need of an event loop is there.
+    """
 
     def __init__(self) -> None:
         self.now = float(ORIGIN_S)
-        self.hosts: dict[tuple[str, int], Host] = {}
+        self.listeners: dict[tuple[str, int], Listener] = {}
         self.errors: list[str] = []  # what callbacks raised
-        self.ran = 0  # callbacks
-        self._ready: deque[Job] = deque()
-        self._timers: list[tuple[float, int, Job]] = []
-        self._order = 0
+        self.callbacks_run = 0
+        self._ready: deque[MeteredHandle] = deque()
+        self._timers: list[tuple[float, int, MeteredHandle]] = []
+        self._timers_created = 0
 
     def time(self) -> float:
+        """Return the virtual time (s)."""
         return self.now
 
     def second(self) -> int:
+        """Return the whole seconds since the start of the run."""
         return int(self.now) - ORIGIN_S
 
     def now_ms(self) -> float:
+        """Return the virtual time (ms)."""
         return self.now * 1000
 
     def call_soon(
         self, callback: Callable[[Unpack[Ts]], object], *args: *Ts, context: Context | None = None
     ) -> asyncio.Handle:
-        job = Job(self.now, callback, args, self, context)
-        self._ready.append(job)
-        return job
+        """Run a callback in this moment, after those that are ready."""
+        handle = MeteredHandle(self.now, callback, args, self, context)
+        self._ready.append(handle)
+        return handle
 
     def call_at(
         self,
@@ -78,10 +85,11 @@
         *args: *Ts,
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
-        job = Job(when, callback, args, self, context)
-        self._order += 1
-        heappush(self._timers, (when, self._order, job))
-        return job
+        """Run a callback at a time (s on this clock)."""
+        handle = MeteredHandle(when, callback, args, self, context)
+        self._timers_created += 1
+        heappush(self._timers, (when, self._timers_created, handle))
+        return handle
 
     def call_later(
         self,
@@ -90,9 +98,11 @@
         *args: *Ts,
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
+        """Run a callback after `delay` seconds."""
         return self.call_at(self.now + delay, callback, *args, context=context)
 
     def create_future(self) -> asyncio.Future[Any]:
+        """Return a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(
@@ -102,27 +112,32 @@
         name: str | None = None,
         context: Context | None = None,
     ) -> asyncio.Task[T]:
+        """Run a coroutine as a task of this loop."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     async def create_connection(  # type: ignore[override]
         self, protocol_factory: Callable[[], asyncio.Protocol], host: str, port: int
     ) -> tuple[asyncio.Transport, asyncio.Protocol]:
-        """ConnectionRefusedError where nobody listens."""
-        if (host, port) not in self.hosts:
+        """Connect to a listener of this loop. ConnectionRefusedError where nobody listens."""
+        if (host, port) not in self.listeners:
             raise ConnectionRefusedError(f"nobody listens at {host}:{port}")
         protocol = protocol_factory()
-        return await self.hosts[host, port].accept(protocol), protocol
+        return await self.listeners[host, port].accept(protocol), protocol
 
     def get_debug(self) -> bool:
+        """Tell asyncio that its checks are off."""
         return False
 
     def is_running(self) -> bool:
+        """Tell asyncio that callbacks run."""
         return True
 
     def is_closed(self) -> bool:
+        """Tell asyncio that the loop can be used."""
         return False
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
+        """Record what a callback raised."""
         self.errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
@@ -130,7 +145,7 @@
 
     def run_until(self, end: float) -> None:
         """Run all that is due up to `end` (s on this clock), in the calling thread."""
-        before = asyncio._get_running_loop()
+        outer_loop = asyncio._get_running_loop()
         asyncio._set_running_loop(self)
         try:
             while True:
@@ -138,24 +153,25 @@
                     self._run(self._ready.popleft())
                 if not self._timers or self._timers[0][0] > end:
                     break
-                when, _, job = heappop(self._timers)
+                when, _, handle = heappop(self._timers)
                 self.now = max(self.now, when)
-                self._run(job)
+                self._run(handle)
             self.now = max(self.now, end)
         finally:
-            asyncio._set_running_loop(before)
+            asyncio._set_running_loop(outer_loop)
 
-    def _run(self, job: Job) -> None:
-        if job.cancelled():
+    def _run(self, handle: MeteredHandle) -> None:
+        if handle.cancelled():
             return
-        self.ran += 1
-        if job.account is None:
-            job._run()
+        self.callbacks_run += 1
+        if handle.metrics is None:
+            handle._run()
             return
-        began = process_time()
-        job._run()
-        job.account.cpu.add(self.second(), process_time() - began)
+        started_at = process_time()
+        handle._run()
+        handle.metrics.cpu_s.add(self.second(), process_time() - started_at)
 
 
-def virtual_loop() -> VirtualLoop:
+def create_virtual_loop() -> VirtualLoop:
+    """Return a loop whose clock stands at ORIGIN_S."""
     return VirtualLoop()  # type: ignore[abstract]  # readers, signals and the like have no use here
--- /dev/null
+++ b/scale/fleet/figures.py
@@ -0,0 +1,177 @@
+"""The figures of a run: what it cost, how changes of the list spread, and what was counted."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Sequence
+from dataclasses import asdict
+from math import ceil
+from typing import Any
+
+from scale.fleet.clock import ORIGIN_S
+from scale.fleet.cluster import SimulatedCluster
+from scale.fleet.metrics import Count, ProxyMetrics
+from scale.fleet.plan import Plan
+from scale.fleet.proxy import SOCKET_SLACK_MS, SimulatedProxy
+
+IN_TRANSIT_S = 6.0  # for which a change may be on its way at the end without counting as missed
+PHASES = ("start", "steady", "event")
+COST_LABELS = {
+    "cpu_ms": "processor ms, mean",
+    "cpu_ms_worst": "  in the worst second",
+    "cpu_ms_worst_proxy": "  of the worst proxy",
+    "bytes": "bytes, mean",
+    "bytes_worst": "  in the worst second",
+    "bytes_worst_proxy": "  of the worst proxy",
+    "calls": "calls on the service",
+    "calls_worst": "  in the worst second",
+    "service_bytes_worst": "its bytes, worst second",
+}
+
+
+class MemoryUse:
+    """The resident bytes of the process in the course of a run."""
+
+    def __init__(self, before_bytes: int) -> None:
+        self.before_bytes = before_bytes  # the first proxy
+        self.started_bytes = before_bytes  # at the end of the start
+        self.max_bytes = before_bytes
+
+    def figures(self, proxies: int) -> dict[str, float]:
+        """Return the JSON object, in MB."""
+        return {
+            "mb_a_proxy": round((self.started_bytes - self.before_bytes) / proxies / 1e6, 3),
+            "mb_a_proxy_most": round((self.max_bytes - self.before_bytes) / proxies / 1e6, 3),
+            "mb_most": round(self.max_bytes / 1e6),
+        }
+
+
+def collect_figures(
+    plan: Plan, cluster: SimulatedCluster, proxies: list[SimulatedProxy], memory: MemoryUse, cpu_s: float
+) -> dict[str, Any]:
+    """Return a JSON object; `a proxy` figures are means over the proxies unless they say otherwise."""
+    discovery, loop = cluster.discovery, cluster.loop
+    metrics = [proxy.metrics for proxy in proxies]
+    counts: Counter[str] = Counter()
+    for one in metrics:
+        counts.update(one.counts)
+    boundaries = (0, plan.started_at, plan.event_at, plan.seconds)
+    phases = dict(zip(PHASES, map(range, boundaries, boundaries[1:]), strict=True))
+    reasons = f"{Count.FAILED_CALLS}: "
+    return {
+        "plan": asdict(plan),
+        "a_proxy_a_second": {
+            name: phase_costs(cluster, metrics, seconds) for name, seconds in phases.items()
+        },
+        "memory": memory.figures(plan.proxies),
+        "list": {
+            "bytes": len(discovery.snapshot()),
+            "versions": discovery.revision,
+            "wholes": discovery.snapshots_sent,
+        },
+        "spread": propagation(plan, cluster, proxies),
+        "counts": {count.value: counts[count] for count in Count},
+        "failures": {name: count for name, count in sorted(counts.items()) if name.startswith(reasons)},
+        "other_errors": len(loop.errors),
+        "first_error": loop.errors[0] if loop.errors else "",
+        "callbacks": loop.callbacks_run,
+        "process_s": round(cpu_s, 1),
+    }
+
+
+def phase_costs(
+    cluster: SimulatedCluster, metrics: Sequence[ProxyMetrics], seconds: range
+) -> dict[str, float]:
+    """Return what a proxy and the service cost a second in one phase of a run."""
+    discovery = cluster.discovery
+    cpu_ms = [[one.cpu_s.at(second) * 1000 for one in metrics] for second in seconds]
+    http_bytes = [[one.http_bytes.at(second) for one in metrics] for second in seconds]
+    return {
+        "cpu_ms": round(mean([mean(row) for row in cpu_ms]), 3),
+        "cpu_ms_worst": round(max(mean(row) for row in cpu_ms), 3),
+        "cpu_ms_worst_proxy": round(max(max(row) for row in cpu_ms), 3),
+        "bytes": round(mean([mean(row) for row in http_bytes])),
+        "bytes_worst": round(max(mean(row) for row in http_bytes)),
+        "bytes_worst_proxy": round(max(max(row) for row in http_bytes)),
+        "calls": round(mean([discovery.calls.at(second) for second in seconds]), 1),
+        "calls_worst": round(max(discovery.calls.at(second) for second in seconds)),
+        "service_bytes_worst": round(max(discovery.http_bytes.at(second) for second in seconds)),
+    }
+
+
+def propagation(plan: Plan, cluster: SimulatedCluster, proxies: list[SimulatedProxy]) -> dict[str, Any]:
+    """Return how long (ms) changes since the end of the start took to each proxy.
+
+    The time counts from the change's moment or the proxy's start, over those `held`; for `reached`, from when
+    its region could reach the service. `overdue` are those that a proxy had not applied as it counted as
+    notified; `missed` those that it had not applied at the end, without changes of the last seconds.
+    """
+    waits_ms: list[float] = []
+    reachable_waits_ms: list[float] = []
+    overdue = missed = changes = 0
+    end, first = cluster.loop.time(), ORIGIN_S + plan.started_at
+    for revision in range(1, cluster.discovery.revision + 1):
+        published_at = cluster.discovery.published_at(revision)
+        if published_at < first:
+            continue
+        changes += 1
+        for proxy in proxies:
+            applied_at = proxy.metrics.applied.first_at(revision)
+            available_at = max(published_at, proxy.metrics.started_at)
+            reachable_at = cluster.reachable_from(proxy.region, available_at)
+            limit = proxy.notified_at(revision) + SOCKET_SLACK_MS / 1000
+            overdue += (end if applied_at is None else applied_at) > limit
+            if applied_at is not None:
+                waits_ms.append((applied_at - available_at) * 1000)
+                reachable_waits_ms.append(max(applied_at - reachable_at, 0.0) * 1000)
+            elif reachable_at < end - IN_TRANSIT_S:
+                missed += 1
+    return {
+        "changes": changes,
+        "held": len(waits_ms),
+        "p99_ms": round(percentile(waits_ms, 0.99), 1),
+        "last_ms": round(max(waits_ms, default=0.0), 1),
+        "reached_p99_ms": round(percentile(reachable_waits_ms, 0.99), 1),
+        "reached_last_ms": round(max(reachable_waits_ms, default=0.0), 1),
+        "overdue": overdue,
+        "missed": missed,
+    }
+
+
+def mean(values: list[float]) -> float:
+    """Return the mean; 0 of none."""
+    return sum(values) / max(len(values), 1)
+
+
+def percentile(values: list[float], share: float) -> float:
+    """Return the least value that `share` of them do not exceed; 0 of none."""
+    return sorted(values)[max(ceil(len(values) * share) - 1, 0)] if values else 0.0
+
+
+def format_figures(figures: dict[str, Any]) -> str:
+    """Return the figures for a person, in lines."""
+    plan, memory, spread = figures["plan"], figures["memory"], figures["spread"]
+    listed = figures["list"]
+    mode = "pushed" if plan["pushed"] else "asked for"
+    weights = ", live weights" if plan["weights"] else ""
+    lines = [
+        f"{plan['proxies']} hollow proxies (the settings name {plan['tier'] or plan['proxies']}), "
+        f"{plan['backends']} backends, {plan['seconds']} s, seed {plan['seed']}, lists {mode}{weights}",
+        f"event: {plan['event']}; the whole list {listed['bytes'] / 1e6:.3f} MB, "
+        f"{listed['versions']} versions, {listed['wholes']} whole lists sent",
+        f"{'a proxy a second':24}" + "".join(f"{phase:>14}" for phase in PHASES),
+    ]
+    for key, label in COST_LABELS.items():
+        values = [figures["a_proxy_a_second"][phase][key] for phase in PHASES]
+        lines.append(f"{label:24}" + "".join(f"{value:>14}" for value in values))
+    lines += [
+        f"memory a proxy: {memory['mb_a_proxy']} MB started, {memory['mb_a_proxy_most']} MB at most "
+        f"(process {memory['mb_most']} MB)",
+        f"a change at 99 in 100 proxies after {spread['p99_ms']} ms, at the last after {spread['last_ms']}; "
+        f"once reachable {spread['reached_p99_ms']} and {spread['reached_last_ms']} ms; "
+        f"{spread['changes']} changes, held {spread['held']}, overdue {spread['overdue']}, "
+        f"missed {spread['missed']}",
+        ", ".join(f"{name} {count}" for name, count in figures["counts"].items()),
+        f"other errors {figures['other_errors']}, process {figures['process_s']} s",
+    ]
+    return "\n".join(lines)
--- /dev/null
+++ b/scale/fleet/network.py
@@ -0,0 +1,154 @@
+"""Simulated connections of proxies to the discovery service: HTTP as bytes, over paths that can be cut."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from contextvars import copy_context
+from urllib.parse import parse_qs, urlsplit
+
+from scale.fleet.discovery import SimulatedDiscovery
+from scale.fleet.metrics import CURRENT_METRICS, ProxyMetrics
+
+LIST_PATH = "/registry/instances"
+ONE_WAY_S = 0.001  # from a proxy to the service or back
+BANDWIDTH_BYTES_PER_S = 125_000_000  # of one proxy's connection: a gigabit a second
+READ_BYTES = 64 * 1024  # that one read of a socket brings
+RESPONSE_HEAD = b"HTTP/1.1 %b\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
+HEAD_END = b"\r\n\r\n"
+UNCONNECTED_SOCKET = socket.socket()  # list code that ends its sending asks a transport for one
+
+
+class RegionEndpoint:
+    """The service as one region reaches it: what crosses a cut is lost, and connecting hangs."""
+
+    def __init__(self, discovery: SimulatedDiscovery, region: int) -> None:
+        self.discovery, self._region = discovery, region
+
+    def is_unreachable(self) -> bool:
+        """Whether the region is cut off from the service."""
+        return self._region in self.discovery.unreachable_regions
+
+    async def accept(self, protocol: asyncio.Protocol) -> asyncio.Transport:
+        """Connect a proxy's protocol, after a round trip."""
+        await asyncio.sleep(2 * ONE_WAY_S)
+        if self.is_unreachable():
+            await self.discovery.loop.create_future()
+        connection = DiscoveryConnection(self, protocol)
+        protocol.connection_made(connection.client_transport)
+        return connection.client_transport
+
+
+class ClientTransport(asyncio.Transport):
+    """The proxy's end of a connection."""
+
+    def __init__(self, connection: DiscoveryConnection) -> None:
+        super().__init__({"socket": UNCONNECTED_SOCKET})
+        self._connection, self._is_closing = connection, False
+
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        """Send bytes of a call."""
+        self._connection.receive_later(bytes(data))
+
+    def pause_reading(self) -> None:
+        """Do nothing: data comes by the clock, and a pause of a turn of the loop changes nothing."""
+
+    def resume_reading(self) -> None:
+        """Do nothing: see `pause_reading`."""
+
+    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
+        """Do nothing: a write is sent as a whole."""
+
+    def is_closing(self) -> bool:
+        """Whether the proxy has closed the connection."""
+        return self._is_closing
+
+    def close(self) -> None:
+        """Close the connection."""
+        self.abort()
+
+    def abort(self) -> None:
+        """Close the connection."""
+        if not self._is_closing:
+            self._is_closing = True
+            self._connection.close_later()
+
+
+class DiscoveryConnection:
+    """The service's end of a connection, one call at a time."""
+
+    def __init__(self, endpoint: RegionEndpoint, protocol: asyncio.Protocol) -> None:
+        self._endpoint, self._protocol = endpoint, protocol
+        self._discovery, self._loop = endpoint.discovery, endpoint.discovery.loop
+        self._metrics: ProxyMetrics | None = CURRENT_METRICS.get()
+        self._proxy_context = copy_context()
+        self._service_context = copy_context()  # the service's processor time is nobody's
+        self._service_context.run(CURRENT_METRICS.set, None)
+        self._buffer = b""
+        self.client_transport = ClientTransport(self)
+
+    def receive_later(self, data: bytes) -> None:
+        """Take bytes that the proxy sends now."""
+        self._count_bytes(len(data))
+        if not self._endpoint.is_unreachable():
+            self._loop.call_later(ONE_WAY_S, self._receive, data, context=self._service_context)
+
+    def close_later(self) -> None:
+        """End the connection, which the proxy closes now."""
+        self._loop.call_soon(self._protocol.connection_lost, None)
+        # Also across a cut: the service would hold the watch of a proxy that is gone until its time.
+        self._loop.call_later(ONE_WAY_S, self._discovery.cancel_watch, self, context=self._service_context)
+
+    def _count_bytes(self, size: int) -> None:
+        second = self._loop.second()
+        self._discovery.http_bytes.add(second, size)
+        if self._metrics is not None:
+            self._metrics.http_bytes.add(second, size)
+
+    def _receive(self, data: bytes) -> None:
+        self._buffer += data
+        head, found, rest = self._buffer.partition(HEAD_END)
+        if not found or self.client_transport.is_closing():
+            return
+        self._buffer = rest
+        method, target, _ = head.split(b"\r\n")[0].decode().split(" ")
+        url = urlsplit(target)
+        if method != "GET" or url.path != LIST_PATH:
+            self.respond(b"", None, b"404 Not Found")
+            return
+        query = parse_qs(url.query)
+        try:
+            since = int(query["since"][0]) if "since" in query else None
+            wait_ms = int(query["timeout_ms"][0]) if "timeout_ms" in query else 0
+        except ValueError:
+            self.respond(b"", None, b"400 Bad Request")
+            return
+        self._discovery.handle_call(self, since, wait_ms)
+
+    def respond(self, body: bytes, revision: int | None, status: bytes = b"200 OK") -> None:
+        """Send an answer; the proxy is notified of `revision` once the last byte is there."""
+        if self.client_transport.is_closing() or self._endpoint.is_unreachable():
+            return
+        sent = READ_BYTES // 2  # of the body, behind the head
+        first = RESPONSE_HEAD % (status, len(body)) + body[:sent]
+        self._deliver_later(ONE_WAY_S, first, body, sent, revision)
+
+    def _deliver_later(
+        self, delay_s: float, chunk: bytes, body: bytes, sent: int, revision: int | None
+    ) -> None:
+        """Send a chunk of the answer, after which `sent` bytes of the body are out."""
+        arrives_s = delay_s + len(chunk) / BANDWIDTH_BYTES_PER_S
+        self._loop.call_later(
+            arrives_s, self._deliver, chunk, body, sent, revision, context=self._proxy_context
+        )
+
+    def _deliver(self, chunk: bytes, body: bytes, sent: int, revision: int | None) -> None:
+        if self.client_transport.is_closing() or self._endpoint.is_unreachable():
+            return
+        self._count_bytes(len(chunk))
+        if sent < len(body):
+            following = body[sent : sent + READ_BYTES]
+            self._deliver_later(0.0, following, body, sent + len(following), revision)
+        elif revision is not None and self._metrics is not None:
+            self._metrics.notified.record(revision, self._loop.time())
+        self._protocol.data_received(chunk)
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -1,10 +1,11 @@
-"""A hollow proxy: the real module and the real list code; its clients and backends are drawn at random."""
+"""A simulated proxy: real balancer, real list code; its clients and backends are drawn at random."""
 
 from __future__ import annotations
 
 import sys
 import traceback
 from contextvars import copy_context
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
@@ -25,252 +26,304 @@
 from dunecove.proxy.connection_pool import Backends
 from dunecove.proxy.discovery_client import Discovery, Listing, read_listing
 from dunecove.settings import read_settings, read_wire
-from scale.fleet.account import ACCOUNT, Account
-from scale.fleet.world import LEAVING, LEFT, REGIONS, ZONES, Rules, World, region_of, zone_name
+from scale.fleet.cluster import (
+    ACTIVE,
+    REGION_COUNT,
+    ZONE_COUNT,
+    AttemptOutcome,
+    ClusterSettings,
+    SimulatedCluster,
+    region_of,
+    zone_name,
+)
+from scale.fleet.metrics import CURRENT_METRICS, Count, ProxyMetrics
+
+OBJECTIVE_MS = 300.0
+DEADLINE_MS = 1000.0
+MAX_ATTEMPTS = 3
+NOTIFICATION_LIMIT_S = 6.0  # after which a proxy counts as notified of what discovery could tell it
+SOCKET_SLACK_MS = 50.0  # by which each limit on sockets may exceed the settings
+BALANCER_RESTART_S = 0.1  # until another balancer follows one that failed, as in the real engine
+MEMORY_MB = 128.0  # of each proxy at the target size: a list as long as that allows is read
+SEED_STRIDE = 100_003
 
-AIM_MS, DEADLINE_MS, MOST_TRIES = 300.0, 1000.0, 3
-TOLD_S = 6.0  # s after which what discovery had and could tell counts as told
-SLACK_MS = 50.0  # longer than the settings say is each time limit on sockets
-MODULE_REST_S = 0.1  # s until a module that broke is followed by another, as in the real engine
+assert REGION_COUNT <= 256  # addresses hold the region in one byte
 
 
-def settings(number: int, tier: int, pushed: bool, rules: Rules) -> dict[str, Any]:
-    """The settings object that the platform would give to this proxy of `tier` proxies."""
+def proxy_settings(number: int, tier: int, pushed: bool, cluster: ClusterSettings) -> dict[str, Any]:
+    """Return the settings object that the platform would give to this proxy of `tier` proxies."""
     return {
-        "Lanes": [{"Name": "lookup", "AimMs": AIM_MS, "HardLimitMs": DEADLINE_MS, "Effect": "read_like"}],
-        "Dcs": [zone_name(zone) for zone in range(ZONES)],
+        "Lanes": [
+            {"Name": "lookup", "AimMs": OBJECTIVE_MS, "HardLimitMs": DEADLINE_MS, "Effect": "read_like"}
+        ],
+        "Dcs": [zone_name(zone) for zone in range(ZONE_COUNT)],
         "Kinds": ["m1"],
         "Balancers": tier,
         "Me": number,
-        "Az": number % ZONES,
+        "Az": number % ZONE_COUNT,
         "Discovery": "push" if pushed else "ask",
-        "Limits": {"MayCancel": True, "MostTries": MOST_TRIES, "ConnectTimeoutMs": rules.connect_ms},
-        "Obligations": {"DrainGraceMs": rules.drain_grace_ms, "ColdMs": rules.cold_ms, "StartCapacity": 0.3},
+        "Limits": {
+            "MayCancel": True,
+            "MostTries": MAX_ATTEMPTS,
+            "ConnectTimeoutMs": cluster.connect_timeout_ms,
+        },
+        "Obligations": {
+            "DrainGraceMs": cluster.drain_grace_ms,
+            "ColdMs": cluster.cold_ms,
+            "StartCapacity": 0.3,
+        },
     }
 
 
-def address(region: int) -> str:
-    return f"10.255.{region}.1:80"
+def discovery_address(region: int) -> tuple[str, int]:
+    """Return where proxies of a region reach discovery."""
+    return f"10.255.{region}.1", 80
+
 
+@dataclass
+class RequestState:
+    """A request that has attempts in flight or no final response."""
 
-MEMORY_MB = 128.0  # of each proxy at the target size: a list as long as that bears is read
+    attempts: int = 0  # begun so far
+    in_flight: int = 0
+    is_done: bool = False
 
 
-class Open:
-    """A request that is not forgotten yet."""
+@dataclass(frozen=True)
+class ProxyOptions:
+    """What all proxies of a run have in common."""
 
-    def __init__(self) -> None:
-        self.attempts, self.out, self.over = 0, 0, False
+    seed: int
+    tier: int  # proxies that the settings name
+    pushed: bool  # lists are pushed by an agent
+    rate: float  # requests a second
 
 
-class HollowProxy:
-    """`frozen` plants a fault: whatever list comes after its first is not passed on."""
+class SimulatedProxy:
+    """One proxy. `frozen` plants a fault: whatever list comes after its first is not passed on.
+
+    Callbacks carry the incarnation in which they were scheduled, and do nothing in a later one.
+    """
 
     def __init__(
-        self, world: World, number: int, seed: int, tier: int, pushed: bool, rate: float, frozen: bool = False
+        self, cluster: SimulatedCluster, number: int, options: ProxyOptions, frozen: bool = False
     ) -> None:
-        self.world, self.loop, self.number, self.seed = world, world.loop, number, seed
-        self.pushed, self.rate, self.frozen = pushed, rate, frozen
-        self.info = settings(number, tier, pushed, world.rules)
-        self.region = region_of(number % ZONES)
-        self.account = Account()
-        self.rng = Random(f"proxy {seed} {number}")
-        self.context = copy_context()
-        self.context.run(ACCOUNT.set, self.account)
-        self.life = self.arrivals = 0
-        self.discovery: Discovery | None = None
-
-    def start(self, known: bytes) -> None:
-        """A new process with this saved list, as its configuration would hold it."""
-        self.loop.call_soon(self._start, known, context=self.context)
+        self._cluster, self._loop, self._number = cluster, cluster.loop, number
+        self._options, self._is_frozen = options, frozen
+        self._raw_settings = proxy_settings(number, options.tier, options.pushed, cluster.settings)
+        self.region = region_of(number % ZONE_COUNT)
+        self.metrics = ProxyMetrics()
+        self._random = Random(f"proxy {options.seed} {number}")
+        self._context = copy_context()
+        self._context.run(CURRENT_METRICS.set, self.metrics)
+        self._incarnation = self._arrivals = 0
+        self._discovery: Discovery | None = None
+
+    def start(self, cached: bytes) -> None:
+        """Start a new process with this cached list, as its configuration would hold it."""
+        self._loop.call_soon(self._start, cached, context=self._context)
 
     def stop(self) -> None:
-        """Killed: nothing of it runs on."""
-        self.life += 1
-        if self.discovery is not None:
-            self.discovery.close()
-            self.backends.close()
+        """Kill the process: nothing of it runs on."""
+        self._incarnation += 1
+        if self._discovery is not None:
+            self._discovery.close()
+            self._backends.close()
 
-    def _start(self, known: bytes) -> None:
+    def _start(self, cached: bytes) -> None:
         self.stop()
-        self.account.start(self.loop.time())
+        self.metrics.restart(self._loop.time())
         # The program reads its configuration at the start only; a whole list is not shared between proxies.
-        self.settings, self.wire = read_settings(self.info), read_wire(self.info)
-        listing = read_listing(orjson.loads(known), self.wire)
-        self.backends = Backends(self.wire.connect_timeout_ms, self.wire.conn_idle_ms, 1)
-        self.balancer = Balancer(self.settings, self.seed * 100_003 + self.number)
-        self.news: list[BackendListUpdate] = []
-        self.events: list[Event] = []
-        self.requests: dict[str, Open] = {}
-        self.waking = False
-        self.discovery = Discovery(
-            address(self.region),
-            self.wire,
+        self._settings, wire = read_settings(self._raw_settings), read_wire(self._raw_settings)
+        listing = read_listing(orjson.loads(cached), wire)
+        self._backends = Backends(wire.connect_timeout_ms, wire.conn_idle_ms, 1)
+        self.balancer = self._create_balancer(0)
+        self._list_updates: list[BackendListUpdate] = []
+        self._events: list[Event] = []
+        self._requests: dict[str, RequestState] = {}
+        self._step_is_scheduled = False
+        host, port = discovery_address(self.region)
+        self._discovery = Discovery(
+            f"{host}:{port}",
+            wire,
             listing.rev,
-            self.on_list,
-            self.on_failure,
-            self.pushed,
+            self._on_list,
+            self._on_discovery_failure,
+            self._options.pushed,
             memory_mb=MEMORY_MB,
-            held=self.backends.targets,
+            held=self._backends.targets,
         )
-        self._take(listing, ListUpdateKind.CACHED)
-        if self.pushed:
-            self.discovery.watch()
-        if self.rate > 0:
-            self.loop.call_later(self.rng.expovariate(self.rate), self.arrive, self.life)
+        self._apply(listing, ListUpdateKind.CACHED)
+        self._start_load()
+
+    def _create_balancer(self, seed_offset: int) -> Balancer:
+        seed = self._options.seed * SEED_STRIDE + self._number + seed_offset
+        return Balancer(self._settings, seed)
+
+    def _start_load(self) -> None:
+        if self._options.pushed and self._discovery is not None:
+            self._discovery.watch()
+        if self._options.rate > 0:
+            delay_s = self._random.expovariate(self._options.rate)
+            self._loop.call_later(delay_s, self._arrive, self._incarnation)
 
     # The list
 
-    def on_list(self, listing: Listing) -> None:
-        if not self.frozen:
-            self._take(listing, ListUpdateKind.SNAPSHOT if listing.whole else ListUpdateKind.DELTA)
+    def _on_list(self, listing: Listing) -> None:
+        if not self._is_frozen:
+            self._apply(listing, ListUpdateKind.SNAPSHOT if listing.whole else ListUpdateKind.DELTA)
 
-    def _take(self, listing: Listing, kind: ListUpdateKind) -> None:
-        self.backends.update(listing.targets, listing.whole)
-        self.news.append(BackendListUpdate(kind, tuple(target.info for target in listing.targets)))
-        self.account.held.add(self.loop.time(), listing.rev)
-        self.wake()
+    def _apply(self, listing: Listing, kind: ListUpdateKind) -> None:
+        self._backends.update(listing.targets, listing.whole)
+        infos = tuple(target.info for target in listing.targets)
+        self._list_updates.append(BackendListUpdate(kind, infos))
+        self.metrics.applied.record(listing.rev, self._loop.time())
+        self._schedule_step()
 
-    def on_failure(self, reason: str) -> None:
-        self.account.counts["failed calls"] += 1
-        self.account.counts[f"failed calls: {reason}"] += 1
-        self.news.append(BackendListUpdate(ListUpdateKind.FAILED))
-        self.wake()
+    def _on_discovery_failure(self, reason: str) -> None:
+        self.metrics.counts[Count.FAILED_CALLS] += 1
+        self.metrics.counts[f"{Count.FAILED_CALLS}: {reason}"] += 1
+        self._list_updates.append(BackendListUpdate(ListUpdateKind.FAILED))
+        self._schedule_step()
 
-    # Turns
+    # Steps of the balancer
 
-    def wake(self) -> None:
-        if not self.waking:
-            self.waking = True
-            self.loop.call_soon(self.turn, self.life)
+    def _schedule_step(self) -> None:
+        if not self._step_is_scheduled:
+            self._step_is_scheduled = True
+            self._loop.call_soon(self._step, self._incarnation)
 
-    def tell(self, event: Event) -> None:
-        self.events.append(event)
-        self.wake()
+    def _notify(self, event: Event) -> None:
+        self._events.append(event)
+        self._schedule_step()
 
-    def turn(self, life: int) -> None:
-        if life != self.life:
+    def _step(self, incarnation: int) -> None:
+        if incarnation != self._incarnation:
             return
-        self.waking = False
-        batch: list[Event] = [*self.news, *self.events]
-        self.news, self.events = [], []
+        self._step_is_scheduled = False
+        events: list[Event] = [*self._list_updates, *self._events]
+        self._list_updates, self._events = [], []
         try:
-            actions = self.balancer.step(self.loop.now_ms(), batch)
+            actions = self.balancer.step(self._loop.now_ms(), events)
         except Exception:
-            self._module_broke()
+            self._replace_balancer()
             return
         for action in actions:
-            self.carry_out(action)
+            self._carry_out(action)
 
-    def _module_broke(self) -> None:
-        """As in the real engine: another module takes over with the list that the pools have."""
-        if not self.account.counts["module exceptions"]:
+    def _replace_balancer(self) -> None:
+        """Let another balancer take over with the list that the pools have, as in the real engine."""
+        counts = self.metrics.counts
+        if not counts[Count.BALANCER_ERRORS]:
             print(
-                f"fleet: the module of proxy {self.number} broke\n{traceback.format_exc()}", file=sys.stderr
+                f"fleet: the module of proxy {self._number} broke\n{traceback.format_exc()}", file=sys.stderr
             )
-        self.account.counts["module exceptions"] += 1
-        self.life += 1
-        self.balancer = Balancer(self.settings, self.seed * 100_003 + self.number + self.life)
-        entries = self.backends.infos(list(self.backends.targets))
-        self.news, self.events, self.requests = [BackendListUpdate(ListUpdateKind.CACHED, entries)], [], {}
-        self.waking = True
-        self.loop.call_later(MODULE_REST_S, self.turn, self.life)
-        if self.pushed and self.discovery is not None:
-            self.discovery.watch()
-        if self.rate > 0:
-            self.loop.call_later(self.rng.expovariate(self.rate), self.arrive, self.life)
-
-    def carry_out(self, action: Action) -> None:
+        counts[Count.BALANCER_ERRORS] += 1
+        self._incarnation += 1
+        self.balancer = self._create_balancer(self._incarnation)
+        infos = self._backends.infos(list(self._backends.targets))
+        self._list_updates = [BackendListUpdate(ListUpdateKind.CACHED, infos)]
+        self._events, self._requests = [], {}
+        self._step_is_scheduled = True
+        self._loop.call_later(BALANCER_RESTART_S, self._step, self._incarnation)
+        self._start_load()
+
+    def _carry_out(self, action: Action) -> None:
         if isinstance(action, Forward):
-            self.send(action)
+            self._forward(action)
         elif isinstance(action, SetTimer):
-            self.loop.call_later(action.delay_ms / 1000, self.on_timer, action.token, self.life)
-        elif isinstance(action, PollDiscovery) and self.discovery is not None:
-            self.discovery.watch()
+            self._loop.call_later(action.delay_ms / 1000, self._on_timer, action.token, self._incarnation)
+        elif isinstance(action, PollDiscovery) and self._discovery is not None:
+            self._discovery.watch()
         elif isinstance(action, (Reject, Fail)):
-            self.account.counts["refused" if isinstance(action, Reject) else "failed"] += 1
-            self._over(action.request_id)
+            self.metrics.counts[Count.REJECTED if isinstance(action, Reject) else Count.FAILED] += 1
+            self._end_request(action.request_id)
 
-    def on_timer(self, token: int, life: int) -> None:
-        if life == self.life:
-            self.tell(TimerFired(token))
+    def _on_timer(self, token: int, incarnation: int) -> None:
+        if incarnation == self._incarnation:
+            self._notify(TimerFired(token))
 
     # Requests
 
-    def arrive(self, life: int) -> None:
-        if life != self.life:
+    def _arrive(self, incarnation: int) -> None:
+        if incarnation != self._incarnation:
             return
-        self.arrivals += 1
-        request = f"{self.number}.{self.arrivals}"
-        self.requests[request] = Open()
-        self.account.counts["requests"] += 1
-        self.tell(RequestArrived(request, 0, 0, None, self.loop.now_ms() + DEADLINE_MS))
-        self.loop.call_later(DEADLINE_MS / 1000, self._deadline, request, life)
-        self.loop.call_later(self.rng.expovariate(self.rate), self.arrive, life)
-
-    def _deadline(self, request: str, life: int) -> None:
-        held = self.requests.get(request)
-        if life == self.life and held is not None and not held.over:
-            self.account.counts["unanswered"] += 1
-            self._over(request)
-            self.tell(ClientDisconnected(request))
-
-    def _over(self, request: str) -> None:
-        held = self.requests.get(request)
-        if held is not None:
-            held.over = True
-            if held.out == 0:
-                del self.requests[request]
-
-    def send(self, action: Forward) -> None:
-        held = self.requests.get(action.request_id)
-        if held is None:
+        self._arrivals += 1
+        request_id = f"{self._number}.{self._arrivals}"
+        self._requests[request_id] = RequestState()
+        self.metrics.counts[Count.REQUESTS] += 1
+        self._notify(RequestArrived(request_id, 0, 0, None, self._loop.now_ms() + DEADLINE_MS))
+        self._loop.call_later(DEADLINE_MS / 1000, self._on_deadline, request_id, incarnation)
+        self._loop.call_later(self._random.expovariate(self._options.rate), self._arrive, incarnation)
+
+    def _on_deadline(self, request_id: str, incarnation: int) -> None:
+        request = self._requests.get(request_id)
+        if incarnation == self._incarnation and request is not None and not request.is_done:
+            self.metrics.counts[Count.UNANSWERED] += 1
+            self._end_request(request_id)
+            self._notify(ClientDisconnected(request_id))
+
+    def _end_request(self, request_id: str) -> None:
+        request = self._requests.get(request_id)
+        if request is not None:
+            request.is_done = True
+            if request.in_flight == 0:
+                del self._requests[request_id]
+
+    def _forward(self, action: Forward) -> None:
+        request = self._requests.get(action.request_id)
+        if request is None:
             return
-        attempt = held.attempts
-        held.attempts += 1
-        held.out += 1
-        self.check(action.backend_id)
-        result, delay = self.world.serve(action.backend_id, self.region, self.rng)
-        if delay > action.timeout_ms:
-            result, delay = AttemptResult.TIMEOUT, action.timeout_ms
-        self.loop.call_later(
-            delay / 1000, self.on_outcome, action.request_id, attempt, result, delay, self.life
+        attempt = request.attempts
+        request.attempts += 1
+        request.in_flight += 1
+        self._count_forward(action.backend_id)
+        outcome = self._cluster.attempt(action.backend_id, self.region, self._random)
+        if outcome.duration_ms > action.timeout_ms:
+            outcome = AttemptOutcome(AttemptResult.TIMEOUT, action.timeout_ms)
+        self._loop.call_later(
+            outcome.duration_ms / 1000,
+            self._on_outcome,
+            action.request_id,
+            attempt,
+            outcome,
+            self._incarnation,
         )
 
-    def on_outcome(self, request: str, attempt: int, result: AttemptResult, delay: float, life: int) -> None:
-        held = self.requests.get(request)
-        if life != self.life or held is None:
+    def _on_outcome(self, request_id: str, attempt: int, outcome: AttemptOutcome, incarnation: int) -> None:
+        request = self._requests.get(request_id)
+        if incarnation != self._incarnation or request is None:
             return
-        held.out -= 1
-        if result is AttemptResult.OK and not held.over:
-            held.over = True
-            self.account.counts["served"] += 1
-        self.tell(AttemptEnded(request, attempt, result, delay, held.over))
-        if held.over and held.out == 0:
-            del self.requests[request]
-
-    def check(self, uid: str) -> None:
-        """Count a send by what the list service had told of its backend."""
-        counts, backend, now = self.account.counts, self.world.all[uid], self.loop.now_ms()
-        counts["sends"] += 1
-        if not backend.up:
-            counts["sends to gone"] += 1
-        if now < backend.boot_ms + self.world.rules.cold_ms and backend.boot_ms > 0:
-            counts["sends to cold"] += 1
-        rev = self.world.ended.get(uid)
-        if rev is not None and backend.state in (LEAVING, LEFT):
-            grace_ms = self.world.rules.drain_grace_ms + SLACK_MS
-            if now > self.told_at(rev) * 1000 + grace_ms:
-                counts["sends after grace"] += 1
-
-    def told_at(self, rev: int) -> float:
-        """When (s) this proxy counts as told of a version: as it came, or at the latest 6 s after discovery
-        had it and could be reached; where lists are pushed, as soon as that."""
-        came = self.account.told.since(rev)
-        had = max(self.world.list.versions[rev - 1], self.account.started)
-        allowed = 0.0 if self.pushed else TOLD_S
-        due = self.world.reached(self.region, had, allowed) + allowed
-        return due if came is None else min(came, due)
-
-
-assert REGIONS <= 256  # addresses hold the region in one byte
+        request.in_flight -= 1
+        if outcome.result is AttemptResult.OK and not request.is_done:
+            request.is_done = True
+            self.metrics.counts[Count.SERVED] += 1
+        self._notify(AttemptEnded(request_id, attempt, outcome.result, outcome.duration_ms, request.is_done))
+        if request.is_done and request.in_flight == 0:
+            del self._requests[request_id]
+
+    def _count_forward(self, backend_id: str) -> None:
+        """Count an attempt by what discovery had told of its backend."""
+        counts, backend = self.metrics.counts, self._cluster.backends[backend_id]
+        counts[Count.FORWARDS] += 1
+        if not backend.is_up:
+            counts[Count.FORWARDS_TO_GONE] += 1
+        if self._cluster.is_cold(backend):
+            counts[Count.FORWARDS_TO_COLD] += 1
+        revision = self._cluster.ended_by.get(backend_id)
+        if revision is not None and backend.state != ACTIVE:
+            grace_ms = self._cluster.settings.drain_grace_ms + SOCKET_SLACK_MS
+            if self._loop.now_ms() > self.notified_at(revision) * 1000 + grace_ms:
+                counts[Count.FORWARDS_AFTER_GRACE] += 1
+
+    def notified_at(self, revision: int) -> float:
+        """Return when (s) this proxy counts as notified of a revision.
+
+        That is as the revision came, or at the latest 6 s after discovery had it and could be reached; where
+        lists are pushed, as soon as that.
+        """
+        received_at = self.metrics.notified.first_at(revision)
+        published_at = max(self._cluster.discovery.published_at(revision), self.metrics.started_at)
+        allowed_s = 0.0 if self._options.pushed else NOTIFICATION_LIMIT_S
+        due_at = self._cluster.reachable_from(self.region, published_at, allowed_s) + allowed_s
+        return due_at if received_at is None else min(received_at, due_at)
--- a/tests/tools/test_fleet.py
+++ b/tests/tools/test_fleet.py
@@ -13,11 +13,14 @@
 
 from dunecove.policy.models import AttemptResult
 from scale.fleet.cli import fleet
-from scale.fleet.clock import ORIGIN_S, VirtualLoop, virtual_loop
-from scale.fleet.proxy import HollowProxy
-from scale.fleet.run import BadPlan, Fleet, Plan
-from scale.fleet.service import CHUNK, Door, ListService
-from scale.fleet.world import CUT_REGIONS, REGIONS, Rules, World
+from scale.fleet.clock import ORIGIN_S, VirtualLoop, create_virtual_loop
+from scale.fleet.cluster import REGION_COUNT, ClusterSettings, SimulatedCluster
+from scale.fleet.discovery import SimulatedDiscovery
+from scale.fleet.disruptions import SEPARATED_REGIONS
+from scale.fleet.network import READ_BYTES, RegionEndpoint
+from scale.fleet.plan import InvalidPlanError, Plan
+from scale.fleet.proxy import SimulatedProxy
+from scale.fleet.run import Fleet
 
 SMALL: dict[str, Any] = {"backends": 50, "proxies": 11, "seconds": 30, "rate": 2.0}
 
@@ -33,7 +36,7 @@
     loop.run_until(loop.time() + seconds)
 
 
-class Caller(asyncio.Protocol):
+class RawClient(asyncio.Protocol):
     """Raw bytes to the service and from it."""
 
     def __init__(self) -> None:
@@ -41,7 +44,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
-        self.line = transport
+        self.transport = transport
 
     def data_received(self, data: bytes) -> None:
         self.data += data
@@ -51,7 +54,7 @@
         self.lost = True
 
     def ask(self, query: str = "", line: str = "GET /registry/instances{} HTTP/1.1") -> None:
-        self.line.write(line.format(query).encode() + b"\r\nHost: list\r\n\r\n")
+        self.transport.write(line.format(query).encode() + b"\r\nHost: list\r\n\r\n")
 
     def answer(self) -> Any:
         head, _, body = self.data.partition(b"\r\n\r\n")
@@ -61,18 +64,18 @@
         return orjson.loads(body)
 
 
-def connected(size: int = 40) -> tuple[World, Caller]:
-    loop = virtual_loop()
-    world, caller = World(loop, size, 1, Rules()), Caller()
-    loop.hosts["10.0.0.1", 80] = Door(world.list, 0)
-    task = loop.create_task(loop.create_connection(lambda: caller, "10.0.0.1", 80))
+def connected(size: int = 40) -> tuple[SimulatedCluster, RawClient]:
+    loop = create_virtual_loop()
+    cluster, client = SimulatedCluster(loop, size, 1, ClusterSettings()), RawClient()
+    loop.listeners["10.0.0.1", 80] = RegionEndpoint(cluster.discovery, 0)
+    task = loop.create_task(loop.create_connection(lambda: client, "10.0.0.1", 80))
     until(loop, 0.1)
     assert task.done()
-    return world, caller
+    return cluster, client
 
 
 def test_timers_run_in_order_of_time_then_of_their_making() -> None:
-    loop, ran = virtual_loop(), list[str]()
+    loop, ran = create_virtual_loop(), list[str]()
     loop.call_later(2.0, ran.append, "late")
     loop.call_later(1.0, ran.append, "first")
     loop.call_later(1.0, ran.append, "second")
@@ -84,7 +87,7 @@
 
 
 def test_a_callback_that_raises_ends_itself_only() -> None:
-    loop, ran = virtual_loop(), list[str]()
+    loop, ran = create_virtual_loop(), list[str]()
     loop.call_soon(int, "no number")
     loop.call_soon(ran.append, "next")
     until(loop, 0.1)
@@ -93,11 +96,11 @@
 
 
 def test_the_service_answers_with_the_whole_list() -> None:
-    world, caller = connected(2000)
-    caller.ask()
-    until(world.loop, 0.1)
-    assert caller.reads >= len(world.list.whole()) // CHUNK
-    answer = caller.answer()
+    cluster, client = connected(2000)
+    client.ask()
+    until(cluster.loop, 0.1)
+    assert client.reads >= len(cluster.discovery.snapshot()) // READ_BYTES
+    answer = client.answer()
     assert (answer["rev"], answer["all"], len(answer["targets"])) == (1, True, 2000)
     assert set(answer["targets"][0]) == {
         "uid",
@@ -112,48 +115,48 @@
 
 
 def test_a_watch_waits_for_changes_and_gets_them_alone() -> None:
-    world, caller = connected()
-    caller.ask("?since=1&timeout_ms=5000")
-    until(world.loop, 1.0)
-    assert caller.data == b""
-    world.drain(world.active()[:2])
-    until(world.loop, 0.1)
-    answer = caller.answer()
+    cluster, client = connected()
+    client.ask("?since=1&timeout_ms=5000")
+    until(cluster.loop, 1.0)
+    assert client.data == b""
+    cluster.drain(cluster.active_backends()[:2])
+    until(cluster.loop, 0.1)
+    answer = client.answer()
     assert (answer["rev"], answer["all"]) == (2, False)
     assert [entry["state"] for entry in answer["targets"]] == ["leaving", "leaving"]
 
 
 def test_a_watch_with_no_news_ends_empty_in_time() -> None:
-    world, caller = connected()
-    caller.ask("?since=1&timeout_ms=1000")
-    until(world.loop, 0.9)
-    assert caller.data == b""
-    until(world.loop, 0.2)
-    assert caller.answer() == {"rev": 1, "all": False, "targets": []}
+    cluster, client = connected()
+    client.ask("?since=1&timeout_ms=1000")
+    until(cluster.loop, 0.9)
+    assert client.data == b""
+    until(cluster.loop, 0.2)
+    assert client.answer() == {"rev": 1, "all": False, "targets": []}
 
 
 def test_changes_of_several_versions_come_as_the_latest() -> None:
-    world, caller = connected()
-    one = world.active()[0]
-    world.drain([one])
-    until(world.loop, 10.0)  # by now it has left, and another has come
-    caller.ask("?since=1&timeout_ms=1000")
-    until(world.loop, 0.1)
-    answer = caller.answer()
+    cluster, client = connected()
+    one = cluster.active_backends()[0]
+    cluster.drain([one])
+    until(cluster.loop, 10.0)  # by now it has left, and another has come
+    client.ask("?since=1&timeout_ms=1000")
+    until(cluster.loop, 0.1)
+    answer = client.answer()
     states = {entry["uid"]: entry["state"] for entry in answer["targets"]}
     assert answer["rev"] == 3
-    assert states.pop(one.uid) == "left"
+    assert states.pop(one.backend_id) == "left"
     assert list(states.values()) == ["active"]
 
 
 @pytest.mark.parametrize("since", ["1", "99"])
 def test_a_version_too_old_or_unknown_gets_the_whole_list(since: str) -> None:
-    world, caller = connected()
-    world.drain(world.active()[:1])
-    world.list.forget()
-    caller.ask(f"?since={since}&timeout_ms=1000")
-    until(world.loop, 0.1)
-    assert caller.answer()["all"] is True
+    cluster, client = connected()
+    cluster.drain(cluster.active_backends()[:1])
+    cluster.discovery.forget_changes()
+    client.ask(f"?since={since}&timeout_ms=1000")
+    until(cluster.loop, 0.1)
+    assert client.answer()["all"] is True
 
 
 @pytest.mark.parametrize(
@@ -165,42 +168,42 @@
     ],
 )
 def test_the_service_says_no_to_other_calls(line: str, status: bytes) -> None:
-    world, caller = connected()
-    caller.ask(line=line)
-    until(world.loop, 0.1)
-    assert caller.data.split(b" ")[1] == status
+    cluster, client = connected()
+    client.ask(line=line)
+    until(cluster.loop, 0.1)
+    assert client.data.split(b" ")[1] == status
 
 
 def test_a_cut_line_is_silent_and_a_new_one_hangs() -> None:
-    world, caller = connected()
-    caller.ask("?since=1&timeout_ms=500")
-    world.silence(frozenset([0]), 5.0)
-    until(world.loop, 1.0)
-    late = Caller()
-    task = world.loop.create_task(world.loop.create_connection(lambda: late, "10.0.0.1", 80))
-    until(world.loop, 1.0)
-    assert caller.data == b""
+    cluster, client = connected()
+    client.ask("?since=1&timeout_ms=500")
+    cluster.cut_discovery(frozenset([0]), 5.0)
+    until(cluster.loop, 1.0)
+    late = RawClient()
+    task = cluster.loop.create_task(cluster.loop.create_connection(lambda: late, "10.0.0.1", 80))
+    until(cluster.loop, 1.0)
+    assert client.data == b""
     assert not task.done()
     task.cancel()
 
 
 def test_a_closed_line_ends_its_watch() -> None:
-    world, caller = connected()
-    caller.ask("?since=1&timeout_ms=500")
-    until(world.loop, 0.1)
-    caller.line.abort()
-    until(world.loop, 1.0)
-    assert caller.lost
-    assert caller.data == b""
+    cluster, client = connected()
+    client.ask("?since=1&timeout_ms=500")
+    until(cluster.loop, 0.1)
+    client.transport.abort()
+    until(cluster.loop, 1.0)
+    assert client.lost
+    assert client.data == b""
 
 
 def test_changes_beyond_those_kept_are_dropped() -> None:
-    world, _ = connected()
-    service: ListService = world.list
+    cluster, _ = connected()
+    service: SimulatedDiscovery = cluster.discovery
     for _ in range(1200):
-        world.tell([world.active()[0]])
+        cluster.publish([cluster.active_backends()[0]])
     assert b'"all":true' in service.delta(1)
-    assert b'"all":false' in service.delta(service.rev - 999)
+    assert b'"all":false' in service.delta(service.revision - 999)
 
 
 @pytest.mark.parametrize("event", ["zone", "restart"])
@@ -228,13 +231,13 @@
 def test_a_cut_region_is_behind_and_catches_up() -> None:
     run = Fleet(Plan(**SMALL, event="split", lasting=8.0))
     figures = run.run()
-    behind = {proxy.region for proxy in run.proxies if proxy.account.counts["failed calls"]}
-    assert behind == set(CUT_REGIONS)
+    behind = {proxy.region for proxy in run.proxies if proxy.metrics.counts["failed calls"]}
+    assert behind == set(SEPARATED_REGIONS)
     assert figures["spread"]["last_ms"] >= 8000
     assert figures["spread"]["reached_last_ms"] <= 6000
     assert figures["spread"]["missed"] == 0
     assert figures["counts"]["sends after grace"] == 0
-    assert {proxy.account.held.revs[-1] for proxy in run.proxies} == {run.world.list.rev}
+    assert {proxy.metrics.applied.latest for proxy in run.proxies} == {run.cluster.discovery.revision}
 
 
 def test_proxies_that_start_anew_are_given_the_whole_list() -> None:
@@ -242,14 +245,14 @@
     figures = run.run()
     assert figures["list"]["wholes"] == len(run.proxies)
     assert figures["spread"]["missed"] == 0
-    assert {proxy.account.held.revs[-1] for proxy in run.proxies} == {run.world.list.rev}
+    assert {proxy.metrics.applied.latest for proxy in run.proxies} == {run.cluster.discovery.revision}
     assert figures["counts"]["sends after grace"] == 0
 
 
 def test_a_frozen_list_is_counted_as_sends_after_the_grace() -> None:
     run = Fleet(Plan(**(SMALL | {"rate": 20.0}), event="release", frozen=1))
     figures = run.run()
-    late = [proxy.account.counts["sends after grace"] for proxy in run.proxies]
+    late = [proxy.metrics.counts["sends after grace"] for proxy in run.proxies]
     assert late[0] > 0
     assert not any(late[1:])
     assert figures["counts"]["sends after grace"] == late[0]
@@ -262,8 +265,8 @@
     run.loop.call_later(15.0, lambda: setattr(run.proxies[1].balancer, "near", None))
     figures = run.run()
     assert figures["counts"]["module exceptions"] == 1
-    assert run.proxies[1].account.counts["module exceptions"] == 1
-    assert run.proxies[1].account.cpu.at(29) > 0
+    assert run.proxies[1].metrics.counts["module exceptions"] == 1
+    assert run.proxies[1].metrics.cpu_s.at(29) > 0
 
 
 def test_live_weights_are_renewed_for_all() -> None:
@@ -274,34 +277,41 @@
 
 def test_when_a_change_counts_as_told() -> None:
     run = Fleet(Plan(**SMALL))
-    world, proxy = run.world, run.proxies[3]
-    assert proxy.region in CUT_REGIONS
-    world.silence(CUT_REGIONS, 10.0)
+    cluster, proxy = run.cluster, run.proxies[3]
+    assert proxy.region in SEPARATED_REGIONS
+    cluster.cut_discovery(SEPARATED_REGIONS, 10.0)
     until(run.loop, 1.0)
-    world.tell(world.active()[:1])
-    assert proxy.told_at(world.list.rev) == float("inf")
+    cluster.publish(cluster.active_backends()[:1])
+    assert proxy.notified_at(cluster.discovery.revision) == float("inf")
     until(run.loop, 10.0)
-    assert proxy.told_at(world.list.rev) == ORIGIN_S + 10.0 + 6.0
-    assert run.proxies[0].told_at(world.list.rev) == ORIGIN_S + 1.0 + 6.0
-    proxy.account.told.add(ORIGIN_S + 12.0, world.list.rev)
-    assert proxy.told_at(world.list.rev) == ORIGIN_S + 12.0
+    assert proxy.notified_at(cluster.discovery.revision) == ORIGIN_S + 10.0 + 6.0
+    assert run.proxies[0].notified_at(cluster.discovery.revision) == ORIGIN_S + 1.0 + 6.0
+    proxy.metrics.notified.record(cluster.discovery.revision, ORIGIN_S + 12.0)
+    assert proxy.notified_at(cluster.discovery.revision) == ORIGIN_S + 12.0
 
 
 def test_how_attempts_end() -> None:
     run = Fleet(Plan(**SMALL))
-    world, rng = run.world, Random(1)
-    other = [b for b in world.active() if b.region not in CUT_REGIONS]
-    lost, drained, apart = other[0], other[1], world.active(lambda b: b.region in CUT_REGIONS)[0]
-    assert world.serve(lost.uid, 0, rng)[0] is AttemptResult.OK
-    world.lose([lost])
-    world.drain([drained])
-    assert world.serve(lost.uid, 0, rng) == (AttemptResult.CONNECT_FAILED, world.rules.connect_ms)
-    assert world.serve(drained.uid, 0, rng)[0] is AttemptResult.OK  # inside its grace
+    cluster, rng = run.cluster, Random(1)
+    other = [backend for backend in cluster.active_backends() if backend.region not in SEPARATED_REGIONS]
+    lost, drained, apart = (
+        other[0],
+        other[1],
+        cluster.active_backends(lambda backend: backend.region in SEPARATED_REGIONS)[0],
+    )
+    assert cluster.attempt(lost.backend_id, 0, rng)[0] is AttemptResult.OK
+    cluster.lose([lost])
+    cluster.drain([drained])
+    assert cluster.attempt(lost.backend_id, 0, rng) == (
+        AttemptResult.CONNECT_FAILED,
+        cluster.settings.connect_timeout_ms,
+    )
+    assert cluster.attempt(drained.backend_id, 0, rng)[0] is AttemptResult.OK  # inside its grace
     until(run.loop, 2.0)
-    assert world.serve(drained.uid, 0, rng)[0] is AttemptResult.REJECTED
-    world.part(5.0)
-    assert world.serve(apart.uid, 0, rng)[0] is AttemptResult.CONNECT_FAILED
-    assert world.serve(apart.uid, next(iter(CUT_REGIONS)), rng)[0] is AttemptResult.OK
+    assert cluster.attempt(drained.backend_id, 0, rng)[0] is AttemptResult.REJECTED
+    cluster.separate(SEPARATED_REGIONS, 5.0)
+    assert cluster.attempt(apart.backend_id, 0, rng)[0] is AttemptResult.CONNECT_FAILED
+    assert cluster.attempt(apart.backend_id, next(iter(SEPARATED_REGIONS)), rng)[0] is AttemptResult.OK
 
 
 @pytest.mark.parametrize(
@@ -319,7 +329,7 @@
     ],
 )
 def test_bad_plans(bad: dict[str, Any]) -> None:
-    with pytest.raises(BadPlan, match=next(iter(bad))):
+    with pytest.raises(InvalidPlanError, match=next(iter(bad))):
         Plan(**(SMALL | bad)).check()
 
 
@@ -351,5 +361,5 @@
 
 def test_regions_have_proxies_of_all_zones() -> None:
     run = Fleet(Plan(**SMALL))
-    assert {proxy.region for proxy in run.proxies} == set(range(REGIONS))
-    assert all(isinstance(proxy, HollowProxy) for proxy in run.proxies)
+    assert {proxy.region for proxy in run.proxies} == set(range(REGION_COUNT))
+    assert all(isinstance(proxy, SimulatedProxy) for proxy in run.proxies)
