--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak test: real proxy processes on loopback, overlapping troubles, judged by the operators' rules."""
+"""A soak test: real proxy processes on loopback, overlapping faults, judged by the operators' rules."""
--- a/soak/backends.py
+++ b/soak/backends.py
@@ -1,4 +1,4 @@
-"""Backends on loopback, good and bad, that write down each request to its last byte."""
+"""Backends on loopback, good and bad, that record each request to its last byte."""
 
 from __future__ import annotations
 
@@ -10,171 +10,207 @@
 from random import Random
 from typing import cast
 
-from soak.http import END, Message, Stream
-from soak.records import Attempt, Journal, Ran
+from soak.http import Message, MessageReader
+from soak.loopback import open_server
+from soak.records import Attempt, Execution, RunRecord
 
-OK = b"HTTP/1.1 200 OK\r\n"
-NOISE = bytes(range(128, 250))
-LATE_COPY_S = 0.004  # until the second copy of an answer comes
+OK_LINE = b"HTTP/1.1 200 OK\r\n"
+ERROR_RESPONSE = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+UNREADABLE = bytes(range(128, 250))
+LATE_WRITE_S = 0.004  # until what follows on an incomplete or complete response
+SLOWNESS = 6.0  # times the usual service time
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
 
 
-class Manner(Enum):
-    """How a backend answers."""
+class Behaviour(Enum):
+    """How a backend answers; the values are printed."""
 
     GOOD = "good"
-    SLOW = "slow"  # six times as slow
-    HANG = "hang"  # reads, and says nothing
+    SLOW = "slow"
+    NO_RESPONSE = "hang"
     ERROR = "error"  # 500
     REJECT = "reject"  # 503 with `X-Rejected`
     RESET = "reset"  # after it has read the request
-    HALF = "half"  # half an answer, then a reset
-    SPOILT = "spoilt"  # what can't be read; the connection stays open
+    TRUNCATED = "half"  # half a response, then a reset
+    UNREADABLE = "spoilt"  # what can't be parsed; the connection stays open
     NO_LENGTH = "no length"  # whole, and ended by the close
     NO_LENGTH_RESET = "no length, reset"
-    TWICE = "twice"  # a second copy right behind an answer
-    CLOSES = "closes"  # the connection, right after an answer
-
-
-SLOWNESS = 6.0
+    DUPLICATE_RESPONSE = "twice"  # a second copy right behind a response
+    CLOSE = "closes"  # the connection, right after a response
 
 
 @dataclass
-class Mix:
-    """A manner that takes the place of the usual one for some requests."""
+class BehaviourOverride:
+    """A behaviour that takes the place of the usual one for a share of the requests."""
 
-    manner: Manner
+    behaviour: Behaviour
     share: float
 
 
 class Backend:
-    """One listening address. `open` before use; its manner may change at any time."""
+    """One listening address. `open` before use; its overrides may change at any time."""
 
-    def __init__(self, uid: str, cell: int, journal: Journal, random: Random, work_s: float) -> None:
-        self.uid, self.cell, self.journal, self.random, self.work_s = uid, cell, journal, random, work_s
-        self.mix: list[Mix] = []
+    def __init__(
+        self, backend_id: str, cell: int, record: RunRecord, random: Random, service_s: float
+    ) -> None:
+        self.backend_id, self.cell, self.record = backend_id, cell, record
+        self.overrides: list[BehaviourOverride] = []
         self.connections: set[BackendConnection] = set()
-        self.server: asyncio.Server | None = None
         self.address = ""
-        self.boot_ms = 0
+        self.boot_ms = 0  # on the wall clock; 0 for long ago
+        self._random, self._service_s = random, service_s
+        self._server: asyncio.Server | None = None
 
     async def open(self) -> Backend:
-        loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: BackendConnection(self), "127.0.0.1", 0)
-        self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
+        """Begin to listen."""
+        self._server, self.address = await open_server(lambda: BackendConnection(self))
         return self
 
-    def manner(self) -> Manner:
-        drawn = self.random.random()
-        for mix in self.mix:
-            drawn -= mix.share
+    def draw_behaviour(self) -> Behaviour:
+        """Draw how one request is answered."""
+        drawn = self._random.random()
+        for override in self.overrides:
+            drawn -= override.share
             if drawn < 0:
-                return mix.manner
-        return Manner.GOOD
+                return override.behaviour
+        return Behaviour.GOOD
+
+    def draw_service_time(self) -> float:
+        """Draw the seconds that one request takes."""
+        return self._random.uniform(0.5, 1.5) * self._service_s
+
+    def draw_duplicate_delay(self) -> float:
+        """Draw the seconds until the second copy of a response."""
+        return LATE_WRITE_S * self._random.random()
 
-    def vanish(self) -> None:
-        """Its process dies: connections are reset, new ones refused."""
-        if self.server is not None:
-            self.server.close()
+    def kill(self) -> None:
+        """End as a killed process does: connections are reset, new ones refused."""
+        if self._server is not None:
+            self._server.close()
         for connection in list(self.connections):
             connection.reset()
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
+        """Close the connections without a request in flight."""
         for connection in list(self.connections):
-            if connection.attempt is None:
-                connection.transport.close()
+            if connection.is_idle:
+                connection.close()
 
 
 class BackendConnection(asyncio.Protocol):
+    """A connection of a proxy, with one request at a time."""
+
     def __init__(self, backend: Backend) -> None:
-        self.backend, self.stream = backend, Stream()
-        self.loop = asyncio.get_running_loop()
-        self.attempt: Attempt | None = None
-        self.first_byte: float | None = None
+        self._backend, self._reader = backend, MessageReader()
+        self._loop = asyncio.get_running_loop()
+        self._attempt: Attempt | None = None
+        self._first_byte_at: float | None = None
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether no request is in flight."""
+        return self._attempt is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        self.backend.connections.add(self)
+        """Register with the backend."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._backend.connections.add(self)
 
     def eof_received(self) -> None:
+        """End the attempt that was given up."""
         self._end_attempt()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.backend.connections.discard(self)
+        """End the attempt in flight."""
+        self._backend.connections.discard(self)
         self._end_attempt()
 
     def _end_attempt(self) -> None:
-        if self.attempt is not None:
-            self.attempt.closed = self.loop.time()
-            self.attempt = None
+        if self._attempt is not None:
+            self._attempt.closed_at = self._loop.time()
+            self._attempt = None
+
+    def close(self) -> None:
+        """Close after what is written."""
+        self._transport.close()
 
     def reset(self) -> None:
-        if not self.transport.is_closing():
-            sock = self.transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            self.transport.abort()
+        """Send a reset."""
+        if not self._transport.is_closing():
+            sock = self._transport.get_extra_info("socket")
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        if self.first_byte is None:
-            self.first_byte = self.loop.time()
-        for message in self.stream.feed(data):
-            self._serve(message)
-
-    def _serve(self, message: Message) -> None:
-        assert self.first_byte is not None
-        request = message.headers.get(b"x-call-id", b"").decode()
+        """Begin an attempt for each whole request."""
+        if self._first_byte_at is None:
+            self._first_byte_at = self._loop.time()
+        for message in self._reader.feed(data):
+            self._begin_attempt(message)
+
+    def _begin_attempt(self, message: Message) -> None:
+        assert self._first_byte_at is not None
         attempt = Attempt(
-            request,
-            self.backend.uid,
-            self.backend.cell,
-            self.first_byte,
-            self.loop.time(),
-            int(message.headers.get(b"x-budget-ms", 0)),
+            request_id=message.headers.get(b"x-call-id", b"").decode(),
+            backend_id=self._backend.backend_id,
+            cell=self._backend.cell,
+            first_byte_at=self._first_byte_at,
+            last_byte_at=self._loop.time(),
+            budget_ms=int(message.headers.get(b"x-budget-ms", 0)),
         )
-        self.first_byte, self.attempt = None, attempt
-        self.backend.journal.attempts.append(attempt)
-        manner = self.backend.manner()
-        delay = self.backend.random.uniform(0.5, 1.5) * self.backend.work_s
-        if manner is Manner.REJECT:
-            attempt.ran = Ran.REJECTED
-        if manner is not Manner.HANG:
-            slow = SLOWNESS if manner is Manner.SLOW else 1.0
-            self.loop.call_later(delay * slow, self._answer, attempt, manner)
-
-    def _answer(self, attempt: Attempt, manner: Manner) -> None:
-        if attempt is not self.attempt or self.transport.is_closing():
+        self._first_byte_at = None
+        self._attempt = attempt
+        self._backend.record.attempts.append(attempt)
+        behaviour = self._backend.draw_behaviour()
+        service_s = self._backend.draw_service_time()
+        if behaviour is Behaviour.REJECT:
+            attempt.execution = Execution.REJECTED
+        if behaviour is not Behaviour.NO_RESPONSE:
+            slowness = SLOWNESS if behaviour is Behaviour.SLOW else 1.0
+            self._loop.call_later(service_s * slowness, self._respond, attempt, behaviour)
+
+    def _respond(self, attempt: Attempt, behaviour: Behaviour) -> None:
+        if attempt is not self._attempt or self._transport.is_closing():
             return  # given up by then
-        body = f"{attempt.backend} {attempt.request}".encode()
-        whole = OK + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
-        if manner is Manner.ERROR:
-            self._write(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
-        elif manner is Manner.REJECT:
-            self._write(b"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
-        elif manner is Manner.RESET:
-            self.reset()
-        elif manner is Manner.HALF:
-            self.transport.write(whole[:-3])
-            self.loop.call_later(LATE_COPY_S, self.reset)
-        elif manner is Manner.SPOILT:
-            self.transport.write(NOISE)
-        elif manner is Manner.NO_LENGTH:
-            attempt.ran = Ran.SERVED
-            self._write(OK + END[2:] + body)
-            self.transport.close()
-        elif manner is Manner.NO_LENGTH_RESET:
-            self.transport.write(OK + END[2:] + body[:-2])
-            self.loop.call_later(LATE_COPY_S, self.reset)
-        else:
-            attempt.ran = Ran.SERVED
-            self._write(whole)
-            if manner is Manner.TWICE:
-                self.loop.call_later(LATE_COPY_S * self.backend.random.random(), self._copy, whole)
-            elif manner is Manner.CLOSES:
-                self.transport.close()
-
-    def _copy(self, data: bytes) -> None:
-        if not self.transport.is_closing():
-            self.transport.write(data)
-
-    def _write(self, data: bytes) -> None:
-        self.transport.write(data)
+        body = f"{attempt.backend_id} {attempt.request_id}".encode()
+        response = OK_LINE + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
+        match behaviour:
+            case Behaviour.ERROR:
+                self._write_response(ERROR_RESPONSE)
+            case Behaviour.REJECT:
+                self._write_response(REJECTION)
+            case Behaviour.RESET:
+                self.reset()
+            case Behaviour.TRUNCATED:
+                self._write_and_reset(response[:-3])
+            case Behaviour.UNREADABLE:
+                self._transport.write(UNREADABLE)
+            case Behaviour.NO_LENGTH_RESET:
+                self._write_and_reset(OK_LINE + b"\r\n" + body[:-2])
+            case Behaviour.NO_LENGTH:
+                attempt.execution = Execution.EXECUTED
+                self._write_response(OK_LINE + b"\r\n" + body)
+                self._transport.close()
+            case _:
+                attempt.execution = Execution.EXECUTED
+                self._write_response(response)
+                self._follow_up(behaviour, response)
+
+    def _follow_up(self, behaviour: Behaviour, response: bytes) -> None:
+        if behaviour is Behaviour.DUPLICATE_RESPONSE:
+            self._loop.call_later(self._backend.draw_duplicate_delay(), self._write_if_open, response)
+        elif behaviour is Behaviour.CLOSE:
+            self._transport.close()
+
+    def _write_if_open(self, data: bytes) -> None:
+        if not self._transport.is_closing():
+            self._transport.write(data)
+
+    def _write_and_reset(self, data: bytes) -> None:
+        self._transport.write(data)
+        self._loop.call_later(LATE_WRITE_S, self.reset)
+
+    def _write_response(self, data: bytes) -> None:
+        self._transport.write(data)
         self._end_attempt()
--- a/soak/cli.py
+++ b/soak/cli.py
@@ -8,28 +8,31 @@
 import click
 import uvloop
 
-from soak.run import Plan, Result, play
+from soak.environment import Plan
+from soak.run import Result, run_soak
 
-SHOWN = 5  # breaches of a rule that are printed
+MAX_PRINTED_VIOLATIONS = 5  # of one rule
 
 
-def report(result: Result, verbose: bool) -> None:
-    counts = Counter(breach.rule.value for breach in result.breaches)
-    lives = len(result.journal.lives)
-    total = len(result.journal.requests)
-    word = ", ".join(f"{rule}: {number}" for rule, number in counts.items()) or "no rule broken"
-    lag_ms = result.journal.lag_s * 1000
-    click.echo(f"seed {result.plan.seed}: {total} requests, {lives} processes, lag {lag_ms:.0f} ms: {word}")
-    if not verbose and not result.breaches:
+def print_result(result: Result, verbose: bool) -> None:
+    """Print one line on a run, and its faults and violations where there are any or `verbose` asks for it."""
+    counts = Counter(violation.rule.value for violation in result.violations)
+    verdict = ", ".join(f"{rule}: {number}" for rule, number in counts.items()) or "no rule broken"
+    record = result.record
+    click.echo(
+        f"seed {result.plan.seed}: {len(record.requests)} requests, {len(record.incarnations)} processes, "
+        f"lag {record.max_lag_s * 1000:.0f} ms: {verdict}"
+    )
+    if not verbose and not result.violations:
         return
     click.echo("  " + ", ".join(f"{name}: {number}" for name, number in sorted(result.statuses.items())))
-    for trouble in result.troubles:
-        click.echo(f"  trouble: {trouble}")
-    shown: Counter[str] = Counter()
-    for breach in result.breaches:
-        shown[breach.rule.value] += 1
-        if shown[breach.rule.value] <= SHOWN:
-            click.echo(f"  BROKEN {breach.rule.value}: {breach.subject}: {breach.text}")
+    for fault in result.faults:
+        click.echo(f"  trouble: {fault}")
+    printed: Counter[str] = Counter()
+    for violation in result.violations:
+        printed[violation.rule.value] += 1
+        if printed[violation.rule.value] <= MAX_PRINTED_VIOLATIONS:
+            click.echo(f"  BROKEN {violation.rule.value}: {violation.subject}: {violation.text}")
 
 
 @click.command()
@@ -39,10 +42,10 @@
 @click.option("--backends", default=14, show_default=True)
 @click.option("--seconds", default=20.0, show_default=True, help="Length of the load of one run.")
 @click.option("--rate", default=6.0, show_default=True, help="Requests a second for each proxy.")
-@click.option("--troubles", default=12, show_default=True, help="Troubles in one run.")
+@click.option("--troubles", default=12, show_default=True, help="Faults in one run.")
 @click.option("--faulty", default=0.4, show_default=True, help="Share of processes whose system calls fail.")
 @click.option("--faults/--no-faults", default=True, help="Let system calls and clocks fail at all.")
-@click.option("--verbose", is_flag=True, help="Print troubles and answers of good runs too.")
+@click.option("--verbose", is_flag=True, help="Print faults and responses of good runs too.")
 def main(
     seed: int,
     runs: int,
@@ -55,12 +58,21 @@
     faults: bool,
     verbose: bool,
 ) -> None:
-    """Run real proxies on loopback under overlapping troubles; exits with 1 if a rule was broken."""
-    broken = 0
-    for number in range(seed, seed + runs):
-        plan = Plan(number, proxies, backends, seconds, rate, troubles, faulty, faults)
-        result = uvloop.run(play(plan))
-        report(result, verbose)
-        broken += bool(result.breaches)
-    click.echo(f"{runs - broken} passed, {broken} failed")
-    sys.exit(bool(broken))
+    """Run real proxies on loopback under overlapping faults; exits with 1 if a rule was broken."""
+    failed = 0
+    for run_seed in range(seed, seed + runs):
+        plan = Plan(
+            seed=run_seed,
+            proxies=proxies,
+            backends=backends,
+            seconds=seconds,
+            rate=rate,
+            fault_count=troubles,
+            faulty_process_share=faulty,
+            system_call_faults=faults,
+        )
+        result = uvloop.run(run_soak(plan))
+        print_result(result, verbose)
+        failed += bool(result.violations)
+    click.echo(f"{runs - failed} passed, {failed} failed")
+    sys.exit(bool(failed))
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -10,262 +10,312 @@
 from typing import Any, cast
 
 from dunecove.policy.models import Idempotency
-from soak.http import Message, Stream
+from soak.http import Message, MessageReader
+from soak.loopback import split_address
 from soak.proxies import ProxyProcess
-from soak.records import BadClient, Journal, Lane, Request
-
-NEW_AFTER_STOP_S = 0.3  # after SIGTERM, in which new connections still come
-PIECES = 3  # of a request that is written slowly
-LEAST_BUDGET = 0.7  # part of its class's deadline that a client waits
-HURRIED = 0.03  # share of the requests that have very little time left
-HURRIED_S = (0.01, 0.15)
-PIPELINED = (3, 6)
-PIPELINED_MANY, PIPELINED_MANY_SHARE = (30, 60), 0.1
-CROWD_S = 4.0  # for which a crowd of silent connections stays, unless the proxy closes them
-LEAVES_WITHIN_S = 0.1
-FLOOD_BYTES = 2 * 1024 * 1024
+from soak.records import MisbehavingClient, Request, RequestClass, RunRecord
+
+CONNECT_AFTER_STOP_S = 0.3  # after SIGTERM, in which new connections still come
+SLOW_WRITE_PIECES = 3
+SLOW_WRITE_PAUSE_S = (0.05, 0.3)
+MIN_BUDGET_SHARE = 0.7  # of its class's deadline that a client waits
+SHORT_BUDGET_SHARE = 0.03  # of the requests, which have very little time left
+SHORT_BUDGET_S = (0.01, 0.15)
+PIPELINE_LENGTH = (3, 6)
+LONG_PIPELINE_LENGTH = (30, 60)
+LONG_PIPELINE_SHARE = 0.1
+CONNECTION_FLOOD_S = 4.0  # for which idle connections stay, unless the proxy closes them
+MAX_DISCONNECT_DELAY_S = 0.1
+BYTE_FLOOD_BYTES = 2 * 1024 * 1024
+BYTE_FLOOD_DELAY_S = 0.002  # after the request
 GARBAGE = b"\x16\x03\x01 this is no request\r\n\r\n"
+INCOMPLETE_REQUEST = b"POST /cargo HTTP/1.1\r\nHost: backend.local\r\nContent-Length: 100\r\n\r\nhalf"
+MISBEHAVIOURS = (("garbage", GARBAGE), ("half", INCOMPLETE_REQUEST), ("silent", b""))
+
 Behaviour = Callable[[ProxyProcess], Coroutine[Any, Any, None]]
-HALF = b"POST /cargo HTTP/1.1\r\nHost: backend.local\r\nContent-Length: 100\r\n\r\nhalf"
 
 
 @dataclass(frozen=True)
-class Habits:
+class BehaviourShares:
     """Shares of the clients that do something unusual."""
 
-    leave: float = 0.06  # without waiting for the answer
+    disconnect: float = 0.06  # without waiting for the response
     slow: float = 0.04  # write the request in pieces
     pipeline: float = 0.03  # send several at once
-    bad: float = 0.02  # send what can't be read, or half a request
-    flood: float = 0.01  # a request, and then noise without end
+    misbehave: float = 0.02  # send what can't be read, or half a request
+    byte_flood: float = 0.01  # a request, and then noise without end
 
 
-class Connection(asyncio.Protocol):
-    """One connection to a proxy; answers come in the order of the requests."""
+class ClientConnection(asyncio.Protocol):
+    """One connection to a proxy; responses come in the order of the requests."""
 
     def __init__(self, clients: Clients, proxy: ProxyProcess) -> None:
-        assert proxy.life is not None
-        self.clients, self.proxy, self.life = clients, proxy, proxy.life.life
-        self.stream = Stream()
-        self.open: list[Request] = []
-        self.used = self.ended = False
-        self.bad: BadClient | None = None
+        assert proxy.incarnation is not None
+        self.proxy_number, self.incarnation = proxy.number, proxy.incarnation.number
+        self.was_used = self.is_lost = False
+        self._clients, self._reader = clients, MessageReader()
+        self._in_flight: list[Request] = []
+        self._misbehaving: MisbehavingClient | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
+        """Keep the transport for the requests."""
+        self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.ended = True
-        now = self.clients.loop.time()
-        self._end_bad(now)
-        for request in self.open:
-            if request.left is None and request.answered is None:
-                request.broken = now
-        self.clients.forget(self)
-
-    def _end_bad(self, now: float) -> None:
-        if self.bad is not None and self.bad.ended is None:
-            self.bad.ended = now
+        """Record the requests in flight as broken."""
+        self.is_lost = True
+        now = self._clients.loop.time()
+        self._end_misbehaviour(now)
+        for request in self._in_flight:
+            if request.disconnected_at is None and request.answered_at is None:
+                request.broken_at = now
+        self._clients.remove(self)
+
+    def is_usable(self) -> bool:
+        """Whether requests can be written."""
+        return not self.is_lost and not self._transport.is_closing()
+
+    def write(self, data: bytes) -> None:
+        """Write bytes, of a request or of none."""
+        self._transport.write(data)
+
+    def record_sent(self, request: Request) -> None:
+        """Record that the last byte of a request is written."""
+        request.sent_at = self._clients.loop.time()
+        self.was_used = True
+        self._in_flight.append(request)
+
+    def record_misbehaviour(self, behaviour: str) -> MisbehavingClient:
+        """Record that the client misbehaves from now on."""
+        opened_at = self._clients.loop.time()
+        self._misbehaving = MisbehavingClient(self.proxy_number, self.incarnation, opened_at, behaviour)
+        return self._misbehaving
 
-    def data_received(self, data: bytes) -> None:
-        for message in self.stream.feed(data):
-            self._answered(message)
+    def close(self) -> None:
+        """Close after what is written, unless the proxy has closed it."""
+        if not self.is_lost:
+            self._transport.close()
+
+    def abort(self) -> None:
+        """Close at once."""
+        self._transport.abort()
 
-    def _answered(self, message: Message) -> None:
-        now, status = self.clients.loop.time(), int(message.first.split()[1])
-        if not self.open:
-            self._end_bad(now)
+    def _end_misbehaviour(self, now: float) -> None:
+        if self._misbehaving is not None and self._misbehaving.ended_at is None:
+            self._misbehaving.ended_at = now
+
+    def data_received(self, data: bytes) -> None:
+        """Take the responses that are whole."""
+        for message in self._reader.feed(data):
+            self._handle_response(message)
+
+    def _handle_response(self, message: Message) -> None:
+        now = self._clients.loop.time()
+        status = int(message.start_line.split()[1])
+        if not self._in_flight:
+            self._end_misbehaviour(now)
             return
-        request = self.open.pop(0)
-        request.answered, request.status, request.body = now, status, message.body
+        request = self._in_flight.pop(0)
+        request.answered_at, request.status, request.body = now, status, message.body
         if message.headers.get(b"connection") == b"close":
-            self.transport.close()
-        elif not self.open and self.bad is None:
-            self.clients.keep(self)
+            self._transport.close()
+        elif not self._in_flight and self._misbehaving is None:
+            self._clients.release(self)
 
 
 class Clients:
     """Sends to all proxies at a rate, until it is stopped."""
 
     def __init__(
-        self, proxies: Sequence[ProxyProcess], journal: Journal, random: Random, rate: float, habits: Habits
+        self, proxies: Sequence[ProxyProcess], record: RunRecord, random: Random, rate: float
     ) -> None:
-        self.proxies, self.journal, self.random = proxies, journal, random
-        self.rate, self.habits = rate, habits
         self.loop = asyncio.get_running_loop()
-        self.idle: dict[int, list[Connection]] = {proxy.number: [] for proxy in proxies}
-        self.ids = count()
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.connections: set[Connection] = set()
+        self._proxies, self._record, self._random, self._rate = proxies, record, random, rate
+        self._shares = BehaviourShares()
+        self._idle: dict[int, list[ClientConnection]] = {proxy.number: [] for proxy in proxies}
+        self._request_numbers = count()
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._connections: set[ClientConnection] = set()
 
     async def run(self, seconds: float) -> None:
-        end = following = self.loop.time()
-        end += seconds
-        while following < end:
-            following += self.random.expovariate(self.rate)
-            late = self.loop.time() - following
-            if late < 0:
-                await asyncio.sleep(-late)
-            behaviour = self._behaviour()
-            self._spawn(behaviour(self.random.choice(self.proxies)))
-        if self.tasks:
-            await asyncio.wait(self.tasks)
-
-    def _behaviour(self) -> Behaviour:
-        drawn, habits = self.random.random(), self.habits
+        """Send for so long, whatever becomes of the requests, and wait until the last one is sent."""
+        due_at = self.loop.time()
+        end = due_at + seconds
+        while due_at < end:
+            due_at += self._random.expovariate(self._rate)
+            wait_s = due_at - self.loop.time()
+            if wait_s > 0:
+                await asyncio.sleep(wait_s)
+            behaviour = self._draw_behaviour()
+            task = self.loop.create_task(behaviour(self._random.choice(self._proxies)))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+        if self._tasks:
+            await asyncio.wait(self._tasks)
+
+    def _draw_behaviour(self) -> Behaviour:
+        drawn, shares = self._random.random(), self._shares
         for share, behaviour in (
-            (habits.leave, self._leaving),
-            (habits.slow, self._slow),
-            (habits.pipeline, self._pipelined),
-            (habits.bad, self._bad),
-            (habits.flood, self._flooding),
+            (shares.disconnect, self._send_and_disconnect),
+            (shares.slow, self._send_slowly),
+            (shares.pipeline, self._send_pipelined),
+            (shares.misbehave, self._misbehave),
+            (shares.byte_flood, self._send_and_flood),
         ):
             drawn -= share
             if drawn < 0:
                 return behaviour
-        return self._ordinary
-
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self.loop.create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        return self._send_one
 
     # Connections
 
-    def keep(self, connection: Connection) -> None:
-        self.idle[connection.proxy.number].append(connection)
-
-    def forget(self, connection: Connection) -> None:
-        self.connections.discard(connection)
-        kept = self.idle[connection.proxy.number]
-        if connection in kept:
-            kept.remove(connection)
-
-    async def _connection(self, proxy: ProxyProcess, new: bool = False) -> Connection | None:
-        """A kept one, or a new one if the front would open one there now."""
-        kept = self.idle[proxy.number]
-        while kept and not new:
-            connection = kept.pop(self.random.randrange(len(kept)))
-            if not connection.ended and not connection.transport.is_closing():
+    def release(self, connection: ClientConnection) -> None:
+        """Take back a connection on which nothing is in flight."""
+        self._idle[connection.proxy_number].append(connection)
+
+    def remove(self, connection: ClientConnection) -> None:
+        """Forget a connection that is lost."""
+        self._connections.discard(connection)
+        idle = self._idle[connection.proxy_number]
+        if connection in idle:
+            idle.remove(connection)
+
+    async def _connect(self, proxy: ProxyProcess, new: bool = False) -> ClientConnection | None:
+        """Return an idle connection, or a new one if the load balancer in front would open one now."""
+        idle = self._idle[proxy.number]
+        while idle and not new:
+            connection = idle.pop(self._random.randrange(len(idle)))
+            if connection.is_usable():
                 return connection
-        life = proxy.life
-        if life is None or life.ready is None or life.ended is not None:
-            return None
-        if life.stopping is not None and self.loop.time() > life.stopping + NEW_AFTER_STOP_S:
+        if not self._accepts_connections(proxy):
             return None
-        host, port = proxy.listen.split(":")
+        host, port = split_address(proxy.address)
         try:
-            _, made = await self.loop.create_connection(lambda: Connection(self, proxy), host, int(port))
+            _, opened = await self.loop.create_connection(lambda: ClientConnection(self, proxy), host, port)
         except OSError:
             return None
-        self.connections.add(made)
-        return made
+        self._connections.add(opened)
+        return opened
+
+    def _accepts_connections(self, proxy: ProxyProcess) -> bool:
+        incarnation = proxy.incarnation
+        if incarnation is None or incarnation.ready_at is None or incarnation.ended_at is not None:
+            return False
+        stopping_at = incarnation.stopping_at
+        return stopping_at is None or self.loop.time() <= stopping_at + CONNECT_AFTER_STOP_S
+
+    def close(self) -> None:
+        """Abort all connections."""
+        for connection in list(self._connections):
+            connection.abort()
 
     # Requests
 
-    def _request(self, connection: Connection) -> tuple[Request, bytes]:
-        """Written down once its last byte has been sent."""
-        lane = self.random.randrange(len(self.journal.lanes))
-        spec = self.journal.lanes[lane]
-        budget_s = spec.deadline_s * self.random.uniform(LEAST_BUDGET, 1.0)
-        if self.random.random() < HURRIED:
-            budget_s = self.random.uniform(*HURRIED_S)
-        request_id = f"r{next(self.ids):07d}"
-        proxy = connection.proxy.number
-        request = Request(request_id, proxy, connection.life, lane, 0.0, budget_s, connection.used)
-        return request, encode(request, spec)
-
-    def _sent(self, connection: Connection, request: Request) -> None:
-        request.sent = self.loop.time()
-        connection.used = True
-        connection.open.append(request)
-        self.journal.requests[request.id] = request
-
-    async def _ordinary(self, proxy: ProxyProcess) -> None:
-        if (connection := await self._connection(proxy)) is not None:
-            request, data = self._request(connection)
-            connection.transport.write(data)
-            self._sent(connection, request)
-
-    async def _leaving(self, proxy: ProxyProcess) -> None:
-        if (connection := await self._connection(proxy)) is None:
+    def _create_request(self, connection: ClientConnection) -> tuple[Request, bytes]:
+        """Draw a request and encode it; it is recorded once its last byte has been sent."""
+        class_index = self._random.randrange(len(self._record.classes))
+        request_class = self._record.classes[class_index]
+        budget_s = request_class.deadline_s * self._random.uniform(MIN_BUDGET_SHARE, 1.0)
+        if self._random.random() < SHORT_BUDGET_SHARE:
+            budget_s = self._random.uniform(*SHORT_BUDGET_S)
+        request = Request(
+            request_id=f"r{next(self._request_numbers):07d}",
+            proxy=connection.proxy_number,
+            incarnation=connection.incarnation,
+            class_index=class_index,
+            sent_at=0.0,
+            budget_s=budget_s,
+            on_used_connection=connection.was_used,
+        )
+        return request, encode_request(request, request_class)
+
+    def _record_sent(self, connection: ClientConnection, request: Request) -> None:
+        connection.record_sent(request)
+        self._record.requests[request.request_id] = request
+
+    def _send(self, connection: ClientConnection) -> Request:
+        request, data = self._create_request(connection)
+        connection.write(data)
+        self._record_sent(connection, request)
+        return request
+
+    async def _send_one(self, proxy: ProxyProcess) -> None:
+        connection = await self._connect(proxy)
+        if connection is not None:
+            self._send(connection)
+
+    async def _send_and_disconnect(self, proxy: ProxyProcess) -> None:
+        connection = await self._connect(proxy)
+        if connection is None:
             return
-        request, data = self._request(connection)
-        connection.transport.write(data)
-        self._sent(connection, request)
-        await asyncio.sleep(self.random.uniform(0.0, LEAVES_WITHIN_S))
-        if request.answered is None and not connection.ended:
-            request.left = self.loop.time()
-            connection.transport.abort()
-
-    async def _slow(self, proxy: ProxyProcess) -> None:
-        if (connection := await self._connection(proxy)) is None:
+        request = self._send(connection)
+        await asyncio.sleep(self._random.uniform(0.0, MAX_DISCONNECT_DELAY_S))
+        if request.answered_at is None and not connection.is_lost:
+            request.disconnected_at = self.loop.time()
+            connection.abort()
+
+    async def _send_slowly(self, proxy: ProxyProcess) -> None:
+        connection = await self._connect(proxy)
+        if connection is None:
             return
-        request, data = self._request(connection)
-        cuts = sorted(self.random.randrange(1, len(data)) for _ in range(PIECES - 1))
+        request, data = self._create_request(connection)
+        cuts = sorted(self._random.randrange(1, len(data)) for _ in range(SLOW_WRITE_PIECES - 1))
         for start, stop in zip([0, *cuts], [*cuts, len(data)], strict=True):
             if start:
-                await asyncio.sleep(self.random.uniform(0.05, 0.3))
-            if connection.ended or connection.transport.is_closing():
-                return  # nothing was asked whole
-            connection.transport.write(data[start:stop])
-        self._sent(connection, request)
-
-    async def _pipelined(self, proxy: ProxyProcess) -> None:
-        if (connection := await self._connection(proxy)) is None:
+                await asyncio.sleep(self._random.uniform(*SLOW_WRITE_PAUSE_S))
+            if not connection.is_usable():
+                return  # no whole request was sent
+            connection.write(data[start:stop])
+        self._record_sent(connection, request)
+
+    async def _send_pipelined(self, proxy: ProxyProcess) -> None:
+        connection = await self._connect(proxy)
+        if connection is None:
             return
-        many = self.random.random() < PIPELINED_MANY_SHARE
-        number = self.random.randint(*(PIPELINED_MANY if many else PIPELINED))
-        made = [self._request(connection) for _ in range(number)]
-        connection.transport.write(b"".join(data for _, data in made))
-        for request, _ in made:
-            self._sent(connection, request)
-
-    async def _bad(self, proxy: ProxyProcess) -> None:
-        if (connection := await self._connection(proxy, new=True)) is not None:
-            manner, data = self.random.choice((("garbage", GARBAGE), ("half", HALF), ("silent", b"")))
-            self._watch_bad(connection, manner)
-            connection.transport.write(data)
-
-    async def _flooding(self, proxy: ProxyProcess) -> None:
-        """A good request is owed its answer, whatever comes behind it."""
-        if (connection := await self._connection(proxy, new=True)) is not None:
-            request, data = self._request(connection)
-            self._watch_bad(connection, "flood")
-            connection.transport.write(data)
-            self._sent(connection, request)
-            await asyncio.sleep(0.002)
-            connection.transport.write(GARBAGE + b"x" * FLOOD_BYTES)
-
-    async def crowd(self, proxy: ProxyProcess, number: int) -> None:
-        """Connections that say nothing, as many at once."""
-        made = [await self._connection(proxy, new=True) for _ in range(number)]
-        await asyncio.sleep(CROWD_S)
-        for connection in made:
-            if connection is not None and not connection.ended:
-                connection.transport.close()
-
-    def _watch_bad(self, connection: Connection, manner: str) -> None:
-        connection.bad = BadClient(connection.proxy.number, connection.life, self.loop.time(), manner)
-        if manner != "flood":
-            self.journal.bad_clients.append(connection.bad)
-
-    def close(self) -> None:
-        for connection in list(self.connections):
-            connection.transport.abort()
-
-
-def encode(request: Request, lane: Lane) -> bytes:
-    method = "GET" if lane.effect is Idempotency.IDEMPOTENT else "POST"
+        is_long = self._random.random() < LONG_PIPELINE_SHARE
+        length = self._random.randint(*(LONG_PIPELINE_LENGTH if is_long else PIPELINE_LENGTH))
+        pipeline = [self._create_request(connection) for _ in range(length)]
+        connection.write(b"".join(data for _, data in pipeline))
+        for request, _ in pipeline:
+            self._record_sent(connection, request)
+
+    async def _misbehave(self, proxy: ProxyProcess) -> None:
+        connection = await self._connect(proxy, new=True)
+        if connection is not None:
+            behaviour, data = self._random.choice(MISBEHAVIOURS)
+            self._record.misbehaving_clients.append(connection.record_misbehaviour(behaviour))
+            connection.write(data)
+
+    async def _send_and_flood(self, proxy: ProxyProcess) -> None:
+        """Send a good request, which is owed its response whatever comes behind it, and then noise."""
+        connection = await self._connect(proxy, new=True)
+        if connection is not None:
+            connection.record_misbehaviour("flood")
+            self._send(connection)
+            await asyncio.sleep(BYTE_FLOOD_DELAY_S)
+            connection.write(GARBAGE + b"x" * BYTE_FLOOD_BYTES)
+
+    async def flood_connections(self, proxy: ProxyProcess, number: int) -> None:
+        """Hold so many connections without a byte open for a while."""
+        connections = [await self._connect(proxy, new=True) for _ in range(number)]
+        await asyncio.sleep(CONNECTION_FLOOD_S)
+        for connection in connections:
+            if connection is not None:
+                connection.close()
+
+
+def encode_request(request: Request, request_class: RequestClass) -> bytes:
+    """Return a request as bytes."""
+    method = "GET" if request_class.idempotency is Idempotency.IDEMPOTENT else "POST"
     lines = [
-        f"{method} /{lane.name} HTTP/1.1",
+        f"{method} /{request_class.name} HTTP/1.1",
         "Host: backend.local",
-        f"X-Call-Id: {request.id}",
+        f"X-Call-Id: {request.request_id}",
         "X-Caller: all",
         f"X-Budget-Ms: {int(request.budget_s * 1000)}",
     ]
-    if lane.effect is Idempotency.KEYED:
-        lines.append(f"Idempotency-Key: k{request.id}")
+    if request_class.idempotency is Idempotency.KEYED:
+        lines.append(f"Idempotency-Key: k{request.request_id}")
     if method == "POST":
         lines.append("Content-Length: 0")
     return "\r\n".join([*lines, "", ""]).encode()
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery on loopback: an agent for each proxy that answers the published watch, or falls silent."""
+"""Discovery on loopback: an agent for each proxy that answers the published watch, or is unresponsive."""
 
 from __future__ import annotations
 
@@ -8,153 +8,177 @@
 
 import orjson
 
-from soak.http import Message, Stream
-from soak.records import Agent, Journal, Told
+from soak.http import Message, MessageReader
+from soak.loopback import open_server
+from soak.records import ListNotification, ReachableSpan, RunRecord
 
-SINCE = re.compile(rb"since=(\d+)&timeout_ms=(\d+)")
+WATCH_QUERY = re.compile(rb"since=(\d+)&timeout_ms=(\d+)")
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 
 
-class Registry:
-    """All backends with the version in which each has changed."""
+class DiscoveryState:
+    """The endpoint list, with the revision in which each backend has changed."""
 
-    def __init__(self, journal: Journal) -> None:
-        self.journal, self.rev = journal, 1
+    def __init__(self, record: RunRecord) -> None:
+        self.record, self.revision = record, 1
         self.entries: dict[str, dict[str, Any]] = {}
-        self.changed: dict[str, int] = {}
-        self.agents: list[ProxyAgent] = []
-        self.up = True
+        self.agents: list[DiscoveryAgent] = []
+        self.is_up = True
+        self._changed_in: dict[str, int] = {}  # revision by backend
 
     def put(self, entry: dict[str, Any]) -> None:
-        """A new or changed entry; one that drains or has left counts for the rule from now on."""
-        self.rev += 1
-        self.entries[entry["uid"]] = entry
-        self.changed[entry["uid"]] = self.rev
+        """Publish a new or changed entry; one that drains or is removed counts for the rule from now on."""
+        self.revision += 1
+        backend_id = entry["uid"]
+        self.entries[backend_id] = entry
+        self._changed_in[backend_id] = self.revision
         if entry["state"] != "active":
-            now = asyncio.get_running_loop().time()
-            self.journal.drains.setdefault(entry["uid"], now)
+            self.record.drained_at.setdefault(backend_id, asyncio.get_running_loop().time())
         for agent in self.agents:
-            agent.tell()
+            agent.notify()
 
     def listing(self, since: int | None) -> dict[str, Any]:
-        """The changes since a version, or the whole list, in which nobody stands who has left."""
-        if since is None or since > self.rev:
+        """Return the changes since a revision, or a snapshot, which leaves out the removed backends."""
+        if since is None or since > self.revision:
             entries = [entry for entry in self.entries.values() if entry["state"] != "left"]
-            return {"rev": self.rev, "all": True, "targets": entries}
-        entries = [self.entries[uid] for uid, rev in self.changed.items() if rev > since]
-        return {"rev": self.rev, "all": False, "targets": entries}
-
-    def switch(self, up: bool) -> None:
-        """Discovery falls silent for all, or is back."""
-        self.up, now = up, asyncio.get_running_loop().time()
-        for agent in self.journal.agents.values():
-            if up and agent.spans[-1][1] is not None:
-                agent.spans.append((now, None))
-            elif not up and agent.spans[-1][1] is None:
-                agent.spans[-1] = (agent.spans[-1][0], now)
-        if up:
-            for proxy_agent in self.agents:
-                proxy_agent.resume()
-
-
-class ProxyAgent:
-    """The agent on the machine of one proxy."""
-
-    def __init__(self, registry: Registry, proxy: int) -> None:
-        self.registry, self.proxy = registry, proxy
-        self.calls: set[Call] = set()
-        registry.agents.append(self)
+            return {"rev": self.revision, "all": True, "targets": entries}
+        changed = [self.entries[uid] for uid, revision in self._changed_in.items() if revision > since]
+        return {"rev": self.revision, "all": False, "targets": changed}
+
+    def stop(self) -> None:
+        """Become unresponsive for all proxies."""
+        self.is_up, now = False, asyncio.get_running_loop().time()
+        for spans in self.record.reachable.values():
+            if spans[-1].ended_at is None:
+                spans[-1].ended_at = now
+
+    def resume(self) -> None:
+        """Respond again, also to what was asked meanwhile."""
+        self.is_up, now = True, asyncio.get_running_loop().time()
+        for spans in self.record.reachable.values():
+            if spans[-1].ended_at is not None:
+                spans.append(ReachableSpan(now))
+        for agent in self.agents:
+            agent.resume()
+
+
+class DiscoveryAgent:
+    """The agent on the machine of one proxy. `open` before use."""
+
+    def __init__(self, state: DiscoveryState, proxy: int) -> None:
+        self.state, self.proxy = state, proxy
+        self.connections: set[AgentConnection] = set()
+        self.address = ""
+        state.agents.append(self)
         now = asyncio.get_running_loop().time()
-        registry.journal.agents.setdefault(proxy, Agent(proxy, [(now, None)]))
+        state.record.reachable.setdefault(proxy, [ReachableSpan(now)])
 
-    async def open(self) -> ProxyAgent:
-        loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Call(self), "127.0.0.1", 0)
-        self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
+    async def open(self) -> DiscoveryAgent:
+        """Begin to listen."""
+        self._server, self.address = await open_server(lambda: AgentConnection(self))
         return self
 
-    def tell(self) -> None:
-        for call in list(self.calls):
-            call.look()
+    def notify(self) -> None:
+        """Answer the open watches that a new revision ends."""
+        for connection in list(self.connections):
+            connection.respond_if_changed()
 
     def resume(self) -> None:
-        for call in list(self.calls):
-            call.resume()
+        """Answer what was asked while discovery was down."""
+        for connection in list(self.connections):
+            connection.resume()
 
-    def silence(self) -> None:
-        """Open watches fall silent for good; new calls are answered."""
-        for call in self.calls:
-            call.deaf = True
+    def abandon_watches(self) -> None:
+        """Leave the open watches without an answer for good; new connections are answered."""
+        for connection in self.connections:
+            connection.is_abandoned = True
+
+    def stop_listening(self) -> None:
+        """Take no new connections."""
+        self._server.close()
 
     def close(self) -> None:
-        self.server.close()
-        for call in list(self.calls):
-            call.transport.close()
-        if self in self.registry.agents:
-            self.registry.agents.remove(self)
+        """Close all connections and forget the agent."""
+        self._server.close()
+        for connection in list(self.connections):
+            connection.close()
+        if self in self.state.agents:
+            self.state.agents.remove(self)
 
 
-class Call(asyncio.Protocol):
+class AgentConnection(asyncio.Protocol):
     """A connection to an agent, with the one call that waits on it."""
 
-    def __init__(self, agent: ProxyAgent) -> None:
-        self.agent, self.stream, self.deaf = agent, Stream(), False
-        self.since: int | None = None
-        self.waiting = False
-        self.timer: asyncio.TimerHandle | None = None
-        self.unheard: list[Message] = []
+    def __init__(self, agent: DiscoveryAgent) -> None:
+        self.is_abandoned = False
+        self._agent, self._reader = agent, MessageReader()
+        self._since: int | None = None  # of the last call
+        self._is_waiting = False
+        self._timer: asyncio.TimerHandle | None = None
+        self._unread_calls: list[Message] = []  # that came while discovery was down
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        self.agent.calls.add(self)
+        """Register with the agent."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._agent.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.agent.calls.discard(self)
-        if self.timer is not None:
-            self.timer.cancel()
+        """Drop the call that waits."""
+        self._agent.connections.discard(self)
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def close(self) -> None:
+        """Close after what is written."""
+        self._transport.close()
 
     def data_received(self, data: bytes) -> None:
-        for message in self.stream.feed(data):
-            self._ask(message)
+        """Take the calls that are whole."""
+        for message in self._reader.feed(data):
+            self._handle_call(message)
 
     def resume(self) -> None:
-        """Discovery is back: what was asked meanwhile is answered now."""
-        unheard, self.unheard = self.unheard, []
-        for message in unheard:
-            self._ask(message)
-        self._answer()
-
-    def _ask(self, message: Message) -> None:
-        if not self.agent.registry.up:
-            self.unheard.append(message)
+        """Answer what was asked while discovery was down."""
+        calls, self._unread_calls = self._unread_calls, []
+        for message in calls:
+            self._handle_call(message)
+        self._respond()
+
+    def _handle_call(self, message: Message) -> None:
+        if not self._agent.state.is_up:
+            self._unread_calls.append(message)
             return
-        found = SINCE.search(message.first)
-        self.since, self.waiting = (int(found[1]) if found else None), True
-        wait_s = int(found[2]) / 1000 if found else 0.0
-        if not self.look():
-            self.timer = asyncio.get_running_loop().call_later(wait_s, self._answer)
-
-    def look(self) -> bool:
-        """Answer if there is news; whether it has answered."""
-        since = self.since
-        if not self.waiting or (since is not None and since == self.agent.registry.rev):
+        query = WATCH_QUERY.search(message.start_line)
+        self._since = int(query[1]) if query else None
+        self._is_waiting = True
+        wait_s = int(query[2]) / 1000 if query else 0.0
+        if not self.respond_if_changed():
+            self._timer = asyncio.get_running_loop().call_later(wait_s, self._respond)
+
+    def respond_if_changed(self) -> bool:
+        """Answer the call that waits if its revision is not the latest; whether it was answered."""
+        if not self._is_waiting or self._since == self._agent.state.revision:
             return False
-        self._answer()
-        return not self.waiting
+        self._respond()
+        return not self._is_waiting
 
-    def _answer(self) -> None:
-        registry = self.agent.registry
-        if not self.waiting or self.deaf or not registry.up or self.transport.is_closing():
+    def _respond(self) -> None:
+        state = self._agent.state
+        if not self._is_waiting or self.is_abandoned or not state.is_up or self._transport.is_closing():
             return
-        if self.timer is not None:
-            self.timer.cancel()
-        self.waiting = False
-        listing = registry.listing(self.since)
-        drains = {entry["uid"] for entry in listing["targets"] if entry["state"] != "active"}
+        if self._timer is not None:
+            self._timer.cancel()
+        self._is_waiting = False
+        listing = state.listing(self._since)
+        self._record_notification(listing)
+        body = orjson.dumps(listing)
+        self._transport.write(RESPONSE_HEAD % len(body) + body)
+
+    def _record_notification(self, listing: dict[str, Any]) -> None:
+        ended = {entry["uid"] for entry in listing["targets"] if entry["state"] != "active"}
         if listing["all"]:
-            named = {entry["uid"] for entry in listing["targets"]}
-            drains |= {uid for uid in registry.entries if uid not in named}
+            listed = {entry["uid"] for entry in listing["targets"]}
+            ended |= self._agent.state.entries.keys() - listed
         now = asyncio.get_running_loop().time()
-        registry.journal.told.append(Told(self.agent.proxy, now, tuple(drains)))
-        body = orjson.dumps(listing)
-        head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body)
-        self.transport.write(head + body)
+        notification = ListNotification(self._agent.proxy, now, tuple(ended))
+        self._agent.state.record.notifications.append(notification)
--- /dev/null
+++ b/soak/environment.py
@@ -0,0 +1,143 @@
+"""Everything round the proxies of a soak, and the proxies."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+import socket
+import time
+from dataclasses import dataclass
+from pathlib import Path
+from random import Random
+from typing import Any
+
+from soak.backends import Backend
+from soak.configuration import (
+    COLD_S,
+    DRAIN_GRACE_S,
+    OVERLOAD_MULTIPLE,
+    OVERLOAD_WINDOW_S,
+    REQUEST_CLASSES,
+    SOCKET_LIMITS,
+    START_CAPACITY,
+    list_entry,
+    proxy_settings,
+)
+from soak.discovery import DiscoveryAgent, DiscoveryState
+from soak.gossip_relay import GossipRelay
+from soak.loopback import free_address
+from soak.proxies import ProxyProcess, build_fault_library
+from soak.records import ColdStartLimits, RunRecord
+
+SERVICE_S = 0.03
+CELL_COUNT = 4
+REMOVED_AFTER_S = 3.5  # from the start of a drain; its process ends as long after that
+
+
+@dataclass(frozen=True)
+class Plan:
+    """What to run."""
+
+    seed: int
+    proxies: int = 24
+    backends: int = 14
+    seconds: float = 20.0  # of load
+    rate: float = 6.0  # requests a second for each proxy
+    fault_count: int = 12
+    faulty_process_share: float = 0.4  # of the processes, whose system calls fail now and then
+    system_call_faults: bool = True
+
+
+class Environment:
+    """The backends, discovery and proxies of one run. `open` before use."""
+
+    def __init__(self, plan: Plan, folder: Path) -> None:
+        self.plan, self.random = plan, Random(plan.seed)
+        self.record = RunRecord(
+            REQUEST_CLASSES,
+            DRAIN_GRACE_S,
+            ColdStartLimits(
+                cold_s=COLD_S,
+                start_capacity=START_CAPACITY,
+                overload_multiple=OVERLOAD_MULTIPLE,
+                overload_window_s=OVERLOAD_WINDOW_S,
+                warm_rate=plan.rate * plan.proxies / plan.backends,
+            ),
+        )
+        self.discovery = DiscoveryState(self.record)
+        self.backends: dict[str, Backend] = {}
+        self.proxies: list[ProxyProcess] = []
+        self.agents: dict[int, DiscoveryAgent] = {}  # by proxy
+        self.fault_library: str | None = None
+        self._folder = folder
+        self._is_pushed = self.random.random() < 0.5
+        self._gossip_addresses: list[str] = []
+        self._gossip_relay = GossipRelay()
+        self._loop = asyncio.get_running_loop()
+
+    async def open(self) -> None:
+        """Start everything; returns when each proxy is ready or has ended."""
+        if self.plan.system_call_faults:
+            library = build_fault_library(self._folder)
+            self.fault_library = str(library) if library is not None else None
+        for _ in range(self.plan.backends):
+            await self.add_backend(is_cold=False)
+        for number in range(self.plan.proxies):
+            self._gossip_addresses.append(free_address(socket.SOCK_DGRAM))
+            await self.replace_agent(number)
+            self.proxies.append(ProxyProcess(number, self._folder, self.record, self._configuration))
+        await self._gossip_relay.open(self._gossip_addresses)
+        await asyncio.gather(*(proxy.start({}) for proxy in self.proxies))
+
+    async def add_backend(self, is_cold: bool) -> None:
+        """Start a backend and list it."""
+        backend_id = f"s-{self.random.getrandbits(32):08x}"
+        cell = self.random.randrange(CELL_COUNT)
+        backend = await Backend(backend_id, cell, self.record, self.random, SERVICE_S).open()
+        self.backends[backend_id] = backend
+        if is_cold:
+            backend.boot_ms = int(time.time() * 1000)
+            self.record.cold_started_at[backend_id] = self._loop.time()
+        self.discovery.put(list_entry(backend, "active"))
+
+    async def drain_backend(self, backend: Backend) -> None:
+        """Drain a backend, remove it from the list, and end its process."""
+        self.discovery.put(list_entry(backend, "leaving"))
+        await asyncio.sleep(REMOVED_AFTER_S)
+        self.discovery.put(list_entry(backend, "left"))
+        await asyncio.sleep(REMOVED_AFTER_S)
+        backend.kill()
+
+    async def replace_agent(self, proxy: int) -> None:
+        """Start another discovery agent for a proxy, at a new address."""
+        self.agents[proxy] = await DiscoveryAgent(self.discovery, proxy).open()
+
+    def _configuration(self, number: int) -> dict[str, Any]:
+        return {
+            "name": f"n{number}",
+            "listen": self.proxies[number].address,
+            "discovery": self.agents[number].address,
+            "seed": f"{self.random.getrandbits(64):016x}",
+            "limits": {
+                "cores": 1.0,
+                "memory_mb": 192,
+                "sockets": SOCKET_LIMITS[number % len(SOCKET_LIMITS)],
+            },
+            "peer_listen": self._gossip_addresses[number],
+            "peers": self._gossip_addresses,
+            "peers_all": self._gossip_relay.address,
+            "known": self.discovery.listing(None),
+            "settings": proxy_settings(number, self.plan.proxies, self._is_pushed),
+        }
+
+    async def stop_proxies(self) -> None:
+        """Stop all proxies in order, and what only they need."""
+        for proxy in self.proxies:
+            proxy.send_signal(signal.SIGTERM)
+        await asyncio.gather(*(proxy.wait_for_end() for proxy in self.proxies))
+        self._gossip_relay.close()
+
+    def kill_proxies(self) -> None:
+        """Kill the proxies that still run."""
+        for proxy in self.proxies:
+            proxy.send_signal(signal.SIGKILL)
--- /dev/null
+++ b/soak/fault_injection.py
@@ -0,0 +1,151 @@
+"""Carries out the faults of a run."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+from collections.abc import Callable, Coroutine
+from random import Random
+from typing import Any
+
+from soak.backends import BehaviourOverride
+from soak.clients import Clients
+from soak.environment import Environment
+from soak.faults import Fault, FaultKind, draw_process_environment
+from soak.proxies import ProxyProcess
+
+RESTART_DELAY_S = (0.05, 0.5)
+RELOAD_PAUSE_S = (0.0, 0.4)
+AGENT_CLOSE_DELAY_S = 1.5  # for which the old agent keeps its connections after SIGHUP
+PAUSE_S = (0.02, 0.15)  # between SIGSTOP and SIGCONT
+PAUSE_INTERVAL_S = (0.1, 1.0)  # between SIGCONT and SIGSTOP
+FLOOD_CONNECTIONS = 70
+MIN_BACKENDS = 6
+OVERRIDE_SHARE = (0.3, 1.0)  # of a bad backend's requests
+
+
+class FaultInjector:
+    """Carries out faults at their times, in tasks of its own."""
+
+    def __init__(self, environment: Environment, clients: Clients) -> None:
+        self._environment, self._clients = environment, clients
+        self._random = environment.random
+        self._loop = asyncio.get_running_loop()
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def schedule(self, faults: list[Fault]) -> None:
+        """Begin the faults at their times from now on."""
+        started_at = self._loop.time()
+        for fault in faults:
+            self._spawn(self._inject_at(fault, started_at + fault.at_s))
+
+    async def wait(self) -> None:
+        """Wait until all faults are over."""
+        while self._tasks:
+            await asyncio.wait(self._tasks)
+
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        task = self._loop.create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _inject_at(self, fault: Fault, time: float) -> None:
+        await asyncio.sleep(max(time - self._loop.time(), 0.0))
+        proxies = self._environment.proxies
+        chosen = self._random.sample(proxies, max(1, int(fault.share * len(proxies))))
+        proxy_fault = self._proxy_fault(fault)
+        if proxy_fault is None:
+            await self._inject_around_proxies(fault)
+            return
+        for proxy in chosen:
+            self._spawn(proxy_fault(proxy))
+
+    def _proxy_fault(self, fault: Fault) -> Callable[[ProxyProcess], Coroutine[Any, Any, None]] | None:
+        """Return what a fault does to each of the chosen proxies; None for one that is not about proxies."""
+        match fault.kind:
+            case FaultKind.STOP:
+                return lambda proxy: self._restart(proxy, signal.SIGTERM)
+            case FaultKind.KILL:
+                return lambda proxy: self._restart(proxy, signal.SIGKILL)
+            case FaultKind.RELOAD:
+                return lambda proxy: self._reload(proxy, times=self._random.randint(1, 2))
+            case FaultKind.PAUSE:
+                return lambda proxy: self._pause(proxy, fault.duration_s)
+            case FaultKind.CONNECTION_FLOOD:
+                return lambda proxy: self._clients.flood_connections(proxy, FLOOD_CONNECTIONS)
+            case _:
+                return None
+
+    async def _inject_around_proxies(self, fault: Fault) -> None:
+        environment = self._environment
+        match fault.kind:
+            case FaultKind.DISCOVERY_DOWN:
+                environment.discovery.stop()
+                await asyncio.sleep(fault.duration_s)
+                environment.discovery.resume()
+            case FaultKind.UNRESPONSIVE_WATCHES:
+                for agent in environment.agents.values():
+                    agent.abandon_watches()
+            case FaultKind.CLOSE_IDLE:
+                for backend in environment.backends.values():
+                    backend.close_idle_connections()
+            case FaultKind.BAD_BACKENDS:
+                await self._override_behaviour(fault)
+            case _:
+                await self._change_backends(fault)
+
+    async def _restart(self, proxy: ProxyProcess, signal_number: signal.Signals) -> None:
+        if not proxy.is_up():
+            return
+        proxy.send_signal(signal_number)
+        await proxy.wait_for_end()
+        await asyncio.sleep(self._random.uniform(*RESTART_DELAY_S))
+        # Random numbers of its own: what else was drawn by then depends on the order of events.
+        plan = self._environment.plan
+        random = Random(f"{plan.seed} {proxy.number} {proxy.incarnation_count}")
+        library = self._environment.fault_library
+        await proxy.start(draw_process_environment(random, library, plan.faulty_process_share))
+
+    async def _reload(self, proxy: ProxyProcess, times: int) -> None:
+        """Name another agent in the file; the old one takes nothing new and closes a while later."""
+        for _ in range(times):
+            if not proxy.is_up():
+                return
+            old_agent = self._environment.agents[proxy.number]
+            await self._environment.replace_agent(proxy.number)
+            proxy.write_configuration()
+            proxy.send_signal(signal.SIGHUP)
+            relocations = self._environment.record.relocated_at.setdefault(proxy.number, [])
+            relocations.append(self._loop.time())
+            old_agent.stop_listening()
+            self._loop.call_later(AGENT_CLOSE_DELAY_S, old_agent.close)
+            await asyncio.sleep(self._random.uniform(*RELOAD_PAUSE_S))
+
+    async def _pause(self, proxy: ProxyProcess, duration_s: float) -> None:
+        end = self._loop.time() + duration_s
+        while self._loop.time() < end:
+            proxy.send_signal(signal.SIGSTOP)
+            await asyncio.sleep(self._random.uniform(*PAUSE_S))
+            proxy.send_signal(signal.SIGCONT)
+            await asyncio.sleep(self._random.uniform(*PAUSE_INTERVAL_S))
+
+    async def _override_behaviour(self, fault: Fault) -> None:
+        backends = list(self._environment.backends.values())
+        chosen = self._random.sample(backends, max(1, int(fault.share * len(backends))))
+        override = BehaviourOverride(fault.behaviour, self._random.uniform(*OVERRIDE_SHARE))
+        for backend in chosen:
+            backend.overrides.append(override)
+        await asyncio.sleep(fault.duration_s)
+        for backend in chosen:
+            backend.overrides.remove(override)
+
+    async def _change_backends(self, fault: Fault) -> None:
+        backends = self._environment.backends
+        count = max(1, int(fault.share * len(backends)))
+        if fault.kind in (FaultKind.JOIN, FaultKind.REPLACE):
+            for _ in range(count):
+                await self._environment.add_backend(is_cold=True)
+        if fault.kind in (FaultKind.DRAIN, FaultKind.REPLACE):
+            most = max(len(backends) - MIN_BACKENDS, 0)
+            for backend_id in self._random.sample(sorted(backends), min(count, most)):
+                self._spawn(self._environment.drain_backend(backends.pop(backend_id)))
--- a/soak/proxies.py
+++ b/soak/proxies.py
@@ -5,7 +5,6 @@
 import asyncio
 import os
 import signal
-import socket
 import subprocess
 import sys
 from collections.abc import Callable
@@ -14,18 +13,20 @@
 
 import orjson
 
-from soak.records import Journal, Life
+from soak.loopback import free_address, split_address
+from soak.records import Incarnation, RunRecord
 
-SHIM_SOURCE = Path(__file__).parent / "shim" / "faults.c"
-READY = b"GET /health/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n"
-LOOK_S = 0.05  # between looks whether a proxy is ready
-LINES_KEPT = 2000  # of one log
+FAULT_LIBRARY_SOURCE = Path(__file__).parent / "shim" / "faults.c"
+READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n"
+READINESS_INTERVAL_S = 0.05
+MAX_LOG_LINES = 2000  # kept of one process
+TERMINATION_TIMEOUT_S = 6.0  # until a process that does not end on SIGTERM is killed, which breaks a rule
 
 
-def build_shim(folder: Path) -> Path | None:
-    """The library of faults, or None where there is no C compiler."""
+def build_fault_library(folder: Path) -> Path | None:
+    """Compile the library of system call faults; None where there is no C compiler."""
     library = folder / "faults.so"
-    command = ["cc", "-shared", "-fPIC", "-O1", "-o", str(library), str(SHIM_SOURCE), "-ldl"]
+    command = ["cc", "-shared", "-fPIC", "-O1", "-o", str(library), str(FAULT_LIBRARY_SOURCE), "-ldl"]
     try:
         subprocess.run(command, check=True, capture_output=True)
     except (OSError, subprocess.CalledProcessError):
@@ -33,105 +34,105 @@
     return library
 
 
-def own_host() -> str:
-    """A loopback host of this process alone: on the usual one the port of a proxy that restarts may be taken
-    by the near end of any connection meanwhile."""
-    process = os.getpid()
-    return f"127.{64 + process % 64}.{process // 64 % 256}.1"
-
-
-given: set[str] = set()  # addresses: the kernel may name one anew that nobody has bound yet
-
-
-def free_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> str:
-    while True:
-        with socket.socket(socket.AF_INET, kind) as sock:
-            sock.bind((own_host(), 0))
-            address = "{}:{}".format(*sock.getsockname())
-        if address not in given:
-            given.add(address)
-            return address
-
-
 class ProxyProcess:
-    """One proxy over all its lives: the address, the name and the file of its configuration stay."""
+    """One proxy over all its incarnations: the address, the name and the configuration file stay."""
 
     def __init__(
-        self, number: int, folder: Path, journal: Journal, configure: Callable[[int], dict[str, Any]]
+        self, number: int, folder: Path, record: RunRecord, configure: Callable[[int], dict[str, Any]]
     ) -> None:
-        self.number, self.journal, self.configure = number, journal, configure
-        self.listen = free_address()
-        self.path = folder / f"proxy-{number}.json"
-        self.process: asyncio.subprocess.Process | None = None
-        self.life: Life | None = None
-        self.reader: asyncio.Task[None] | None = None
-        self.lives = 0
-
-    def write(self) -> None:
-        """The configuration as it is now, put there whole."""
-        partial = self.path.with_suffix(".new")
-        partial.write_bytes(orjson.dumps(self.configure(self.number)))
-        partial.rename(self.path)
+        self.number = number
+        self.address = free_address()
+        self.incarnation: Incarnation | None = None
+        self.incarnation_count = 0
+        self._record, self._configure = record, configure
+        self._config_file = folder / f"proxy-{number}.json"
+        self._process: asyncio.subprocess.Process | None = None
+        self._log_reader: asyncio.Task[None] | None = None
+
+    def write_configuration(self) -> None:
+        """Replace the configuration file by the configuration as it is now."""
+        partial = self._config_file.with_suffix(".new")
+        partial.write_bytes(orjson.dumps(self._configure(self.number)))
+        partial.rename(self._config_file)
 
     async def start(self, environment: dict[str, str]) -> None:
-        self.write()
-        kept = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
+        """Start a new incarnation and wait until it is ready or has ended."""
+        self.write_configuration()
+        inherited = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
         loop = asyncio.get_running_loop()
-        self.lives += 1
-        self.life = Life(self.number, self.lives, loop.time())
-        self.journal.lives.append(self.life)
-        self.process = await asyncio.create_subprocess_exec(
+        self.incarnation_count += 1
+        incarnation = Incarnation(self.number, self.incarnation_count, loop.time())
+        self.incarnation = incarnation
+        self._record.incarnations.append(incarnation)
+        self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "dunecove",
-            env=kept | environment | {"LB_CONFIG": str(self.path)},
+            env=inherited | environment | {"LB_CONFIG": str(self._config_file)},
             stderr=asyncio.subprocess.PIPE,
         )
-        self.reader = loop.create_task(self._read(self.process, self.life))
-        await self._wait_until_ready(self.life)
+        self._log_reader = loop.create_task(self._read_log(self._process, incarnation))
+        await self._wait_until_ready(incarnation)
 
-    async def _read(self, process: asyncio.subprocess.Process, life: Life) -> None:
+    async def _read_log(self, process: asyncio.subprocess.Process, incarnation: Incarnation) -> None:
         assert process.stderr is not None
         while line := await process.stderr.readline():
-            if len(life.log) < LINES_KEPT:
-                life.log.append(line.decode(errors="replace").rstrip())
-        life.code = await process.wait()
-        life.ended = asyncio.get_running_loop().time()
-
-    async def _wait_until_ready(self, life: Life) -> None:
-        host, port = self.listen.split(":")
-        while life.ended is None:
-            try:
-                reader, writer = await asyncio.open_connection(host, int(port))
-                writer.write(READY)
-                line = await reader.readline()
-                writer.close()
-            except OSError:
-                line = b""
-            if b" 200 " in line:
-                life.ready = asyncio.get_running_loop().time()
+            if len(incarnation.log) < MAX_LOG_LINES:
+                incarnation.log.append(line.decode(errors="replace").rstrip())
+        incarnation.exit_code = await process.wait()
+        incarnation.ended_at = asyncio.get_running_loop().time()
+
+    async def _wait_until_ready(self, incarnation: Incarnation) -> None:
+        while incarnation.ended_at is None:
+            if await self._answers_ready():
+                incarnation.ready_at = asyncio.get_running_loop().time()
                 return
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(READINESS_INTERVAL_S)
 
-    def up(self) -> bool:
-        """Whether the front would deal out new connections to it."""
-        life = self.life
-        return life is not None and life.ready is not None and life.ended is None and life.stopping is None
+    async def _answers_ready(self) -> bool:
+        try:
+            reader, writer = await asyncio.open_connection(*split_address(self.address))
+            writer.write(READINESS_REQUEST)
+            status_line = await reader.readline()
+            writer.close()
+        except OSError:
+            return False
+        return b" 200 " in status_line
+
+    def is_up(self) -> bool:
+        """Whether the load balancer in front would open new connections to it."""
+        current = self.incarnation
+        return (
+            current is not None
+            and current.ready_at is not None
+            and current.ended_at is None
+            and current.stopping_at is None
+        )
 
-    def send(self, number: signal.Signals) -> None:
-        life = self.life
-        if self.process is None or life is None or life.ended is not None:
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process if it runs, and record SIGTERM and SIGKILL."""
+        incarnation = self.incarnation
+        if self._process is None or incarnation is None or incarnation.ended_at is not None:
             return
         now = asyncio.get_running_loop().time()
-        if number is signal.SIGTERM and life.stopping is None:
-            life.stopping = now
+        if number is signal.SIGTERM and incarnation.stopping_at is None:
+            incarnation.stopping_at = now
         elif number is signal.SIGKILL:
-            life.killed = now
+            incarnation.killed_at = now
         try:
-            self.process.send_signal(number)
+            self._process.send_signal(number)
         except ProcessLookupError:
             return
 
-    async def ended(self) -> None:
-        if self.reader is not None:
-            await self.reader
+    async def wait_for_end(self) -> None:
+        """Wait until the process has ended; it is killed when that takes too long."""
+        try:
+            async with asyncio.timeout(TERMINATION_TIMEOUT_S):
+                await asyncio.shield(self._wait_for_log_end())
+        except TimeoutError:
+            self.send_signal(signal.SIGKILL)
+            await self._wait_for_log_end()
+
+    async def _wait_for_log_end(self) -> None:
+        if self._log_reader is not None:
+            await self._log_reader
--- a/soak/shim/faults.c
+++ b/soak/shim/faults.c
@@ -25,40 +25,42 @@
 #include <time.h>
 #include <unistd.h>
 
-#define MOST_RULES 32
-#define LEAST_CUT 64 /* bytes: shorter transfers are the program's own signals, which the kernel moves whole */
+#define MAX_RULES 32
+#define MIN_SHORTENED 64 /* bytes: shorter transfers are the program's own signals, which the kernel moves whole */
 
-struct rule {
+struct fault_rule {
     char call[16];
     int error, percent;
     long from_ms, to_ms;
 };
 
-static struct rule rules[MOST_RULES];
+static struct fault_rule rules[MAX_RULES];
 static int rule_count;
-static long clock_ms;
-static uint64_t state = 88172645463325252ull;
-static struct timespec began;
+static long clock_offset_ms;
+static uint64_t random_state = 88172645463325252ull;
+static struct timespec started_at;
 
-#define REAL(type, name, ...)                                                                                     \
+/* Declares `real`, the function of that name that this library hides. */
+#define DECLARE_REAL(type, name, ...)                                                                             \
     static type (*real)(__VA_ARGS__);                                                                             \
     if (!real)                                                                                                    \
     real = (type(*)(__VA_ARGS__))dlsym(RTLD_NEXT, name)
 
 static int real_clock(clockid_t id, struct timespec *at) {
-    REAL(int, "clock_gettime", clockid_t, struct timespec *);
+    DECLARE_REAL(int, "clock_gettime", clockid_t, struct timespec *);
     return real(id, at);
 }
 
+/* Runs as the library is loaded. */
 __attribute__((constructor)) static void read_rules(void) {
     const char *text = getenv("SOAK_FAULTS"), *clock = getenv("SOAK_CLOCK_MS"), *seed = getenv("SOAK_SEED");
-    real_clock(CLOCK_MONOTONIC, &began);
+    real_clock(CLOCK_MONOTONIC, &started_at);
     if (clock)
-        clock_ms = atol(clock);
+        clock_offset_ms = atol(clock);
     if (seed)
-        state ^= (uint64_t)atoll(seed) * 2685821657736338717ull + 1;
-    while (text && *text && rule_count < MOST_RULES) {
-        struct rule *r = &rules[rule_count];
+        random_state ^= (uint64_t)atoll(seed) * 2685821657736338717ull + 1;
+    while (text && *text && rule_count < MAX_RULES) {
+        struct fault_rule *r = &rules[rule_count];
         int used = 0;
         if (sscanf(text, " %15[a-z]:%d:%d:%ld:%ld%n", r->call, &r->error, &r->percent, &r->from_ms, &r->to_ms, &used) < 5)
             break;
@@ -67,31 +69,33 @@
     }
 }
 
-static unsigned draw(unsigned below) {
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    return (unsigned)(state >> 11) % below;
+/* A pseudo-random number from 0 to below it: xorshift, so that a seed gives the same faults. */
+static unsigned draw_below(unsigned below) {
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    return (unsigned)(random_state >> 11) % below;
 }
 
 /* The errno with which the call has to fail now; 0 for none, -1 for a rule that has none. */
-static int fault(const char *call) {
+static int injected_error(const char *call) {
     struct timespec now;
     if (!rule_count)
         return 0;
     real_clock(CLOCK_MONOTONIC, &now);
-    long ms = (now.tv_sec - began.tv_sec) * 1000 + (now.tv_nsec - began.tv_nsec) / 1000000;
+    long ms = (now.tv_sec - started_at.tv_sec) * 1000 + (now.tv_nsec - started_at.tv_nsec) / 1000000;
     for (int i = 0; i < rule_count; i++) {
-        struct rule *r = &rules[i];
-        if (ms >= r->from_ms && ms < r->to_ms && !strcmp(r->call, call) && draw(100) < (unsigned)r->percent)
+        struct fault_rule *r = &rules[i];
+        if (ms >= r->from_ms && ms < r->to_ms && !strcmp(r->call, call) && draw_below(100) < (unsigned)r->percent)
             return r->error ? r->error : -1;
     }
     return 0;
 }
 
-#define FAIL(call)                                                                                                \
+/* Returns from the calling function if the call has to fail now. */
+#define FAIL_IF_INJECTED(call)                                                                                    \
     do {                                                                                                          \
-        int error = fault(call);                                                                                  \
+        int error = injected_error(call);                                                                         \
         if (error > 0) {                                                                                          \
             errno = error;                                                                                        \
             return -1;                                                                                            \
@@ -99,103 +103,105 @@
     } while (0)
 
 int socket(int domain, int type, int protocol) {
-    REAL(int, "socket", int, int, int);
-    FAIL("socket");
+    DECLARE_REAL(int, "socket", int, int, int);
+    FAIL_IF_INJECTED("socket");
     return real(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *to, socklen_t size) {
-    REAL(int, "connect", int, const struct sockaddr *, socklen_t);
-    FAIL("connect");
+    DECLARE_REAL(int, "connect", int, const struct sockaddr *, socklen_t);
+    FAIL_IF_INJECTED("connect");
     return real(fd, to, size);
 }
 
 int accept(int fd, struct sockaddr *from, socklen_t *size) {
-    REAL(int, "accept", int, struct sockaddr *, socklen_t *);
-    FAIL("accept");
+    DECLARE_REAL(int, "accept", int, struct sockaddr *, socklen_t *);
+    FAIL_IF_INJECTED("accept");
     return real(fd, from, size);
 }
 
 int accept4(int fd, struct sockaddr *from, socklen_t *size, int flags) {
-    REAL(int, "accept4", int, struct sockaddr *, socklen_t *, int);
-    FAIL("accept");
+    DECLARE_REAL(int, "accept4", int, struct sockaddr *, socklen_t *, int);
+    FAIL_IF_INJECTED("accept");
     return real(fd, from, size, flags);
 }
 
+/* Whether a file is the configuration of the proxy: no other one is made to fail. */
 static int is_config(const char *path) {
     const char *config = getenv("LB_CONFIG");
     return config && path && !strcmp(path, config);
 }
 
-#define OPEN(name)                                                                                                \
+#define DEFINE_OPEN(name)                                                                                         \
     int name(const char *path, int flags, ...) {                                                                  \
-        REAL(int, #name, const char *, int, ...);                                                                 \
-        va_list more;                                                                                             \
-        va_start(more, flags);                                                                                    \
-        mode_t mode = va_arg(more, mode_t);                                                                       \
-        va_end(more);                                                                                             \
+        DECLARE_REAL(int, #name, const char *, int, ...);                                                         \
+        va_list arguments;                                                                                        \
+        va_start(arguments, flags);                                                                               \
+        mode_t mode = va_arg(arguments, mode_t);                                                                  \
+        va_end(arguments);                                                                                        \
         if (is_config(path))                                                                                      \
-            FAIL("open");                                                                                         \
+            FAIL_IF_INJECTED("open");                                                                             \
         return real(path, flags, mode);                                                                           \
     }
-OPEN(open)
-OPEN(open64)
+DEFINE_OPEN(open)
+DEFINE_OPEN(open64)
 
 static int is_socket(int fd) {
-    struct stat about;
-    return fd > 2 && !fstat(fd, &about) && S_ISSOCK(about.st_mode);
+    struct stat status;
+    return fd > 2 && !fstat(fd, &status) && S_ISSOCK(status.st_mode);
 }
 
-static size_t cut(int fd, size_t size) {
-    if (size < LEAST_CUT || !rule_count || !is_socket(fd) || !fault("short"))
+/* The bytes that a transfer may move now: all, or fewer by a `short` rule. */
+static size_t shortened_size(int fd, size_t size) {
+    if (size < MIN_SHORTENED || !rule_count || !is_socket(fd) || !injected_error("short"))
         return size;
-    return 1 + draw((unsigned)(size - 1));
+    return 1 + draw_below((unsigned)(size - 1));
 }
 
 ssize_t write(int fd, const void *data, size_t size) {
-    REAL(ssize_t, "write", int, const void *, size_t);
+    DECLARE_REAL(ssize_t, "write", int, const void *, size_t);
     if (fd == 2)
-        FAIL("log");
-    return real(fd, data, cut(fd, size));
+        FAIL_IF_INJECTED("log");
+    return real(fd, data, shortened_size(fd, size));
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
-    REAL(ssize_t, "writev", int, const struct iovec *, int);
-    if (count > 0 && cut(fd, parts[0].iov_len) < parts[0].iov_len)
+    DECLARE_REAL(ssize_t, "writev", int, const struct iovec *, int);
+    if (count > 0 && shortened_size(fd, parts[0].iov_len) < parts[0].iov_len)
         return write(fd, parts[0].iov_base, 1 + parts[0].iov_len / 2);
     return real(fd, parts, count);
 }
 
 ssize_t read(int fd, void *data, size_t size) {
-    REAL(ssize_t, "read", int, void *, size_t);
-    size_t least = size > 200 ? 200 : size; /* a buffer is far longer than what comes: cut what comes */
-    return real(fd, data, cut(fd, size) < size ? 1 + draw((unsigned)least) : size);
+    DECLARE_REAL(ssize_t, "read", int, void *, size_t);
+    size_t limit = size > 200 ? 200 : size; /* a buffer is far longer than what comes: cut what comes */
+    return real(fd, data, shortened_size(fd, size) < size ? 1 + draw_below((unsigned)limit) : size);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
-    REAL(int, "epoll_wait", int, struct epoll_event *, int, int);
-    FAIL("wait");
-    return real(fd, events, most, timeout);
+int epoll_wait(int fd, struct epoll_event *events, int capacity, int timeout) {
+    DECLARE_REAL(int, "epoll_wait", int, struct epoll_event *, int, int);
+    FAIL_IF_INJECTED("wait");
+    return real(fd, events, capacity, timeout);
 }
 
-int epoll_pwait(int fd, struct epoll_event *events, int most, int timeout, const sigset_t *mask) {
-    REAL(int, "epoll_pwait", int, struct epoll_event *, int, int, const sigset_t *);
-    FAIL("wait");
-    return real(fd, events, most, timeout, mask);
+int epoll_pwait(int fd, struct epoll_event *events, int capacity, int timeout, const sigset_t *mask) {
+    DECLARE_REAL(int, "epoll_pwait", int, struct epoll_event *, int, int, const sigset_t *);
+    FAIL_IF_INJECTED("wait");
+    return real(fd, events, capacity, timeout, mask);
 }
 
 int clock_gettime(clockid_t id, struct timespec *at) {
     int result = real_clock(id, at);
     if (!result && id == CLOCK_REALTIME)
-        at->tv_sec += clock_ms / 1000;
+        at->tv_sec += clock_offset_ms / 1000;
     return result;
 }
 
 int gettimeofday(struct timeval *restrict at, void *restrict zone) {
-    REAL(int, "gettimeofday", struct timeval *, void *);
+    DECLARE_REAL(int, "gettimeofday", struct timeval *, void *);
     int result = real(at, zone);
     if (!result)
-        at->tv_sec += clock_ms / 1000;
+        at->tv_sec += clock_offset_ms / 1000;
     return result;
 }
 
