--- a/scale/child_process.py
+++ b/scale/child_process.py
@@ -1,4 +1,4 @@
-"""Child processes of this tool that are told lines on standard input and answer in JSON lines."""
+"""Child processes of this tool that read lines on standard input and answer in JSON lines."""
 
 from __future__ import annotations
 
--- a/scale/fleet/cli.py
+++ b/scale/fleet/cli.py
@@ -5,6 +5,7 @@
 import json
 import sys
 from pathlib import Path
+from typing import Any
 
 import click
 
@@ -42,7 +43,7 @@
 @click.option("--frozen", default=0, help="Proxies with a planted fault: their list stays as it was.")
 @click.option("--memory-mb", default=0.0, help="Give up beyond this; 0 for half of the machine's.")
 @click.option("--json", "path", type=click.Path(path_type=Path), help="Write the figures to this file, too.")
-def fleet(path: Path | None, **options: int | float | str | bool) -> None:
+def fleet(path: Path | None, **options: Any) -> None:
     """Run simulated proxies against a simulated discovery service, and count what it costs.
 
     All of it runs in this process on a virtual clock.
@@ -50,7 +51,7 @@
     try:
         if path is not None:
             path.touch()  # a run may be long, and must not end in a file that can't be written
-        figures = Fleet(Plan(**options)).run()  # type: ignore[arg-type]
+        figures = Fleet(Plan(**options)).run()
         if path is not None:
             path.write_text(json.dumps(figures, indent=1) + "\n")
     except (InvalidPlanError, OSError) as error:
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -303,7 +303,7 @@
             del self._requests[request_id]
 
     def _count_forward(self, backend_id: str) -> None:
-        """Count an attempt by what discovery had told of its backend."""
+        """Count an attempt by what discovery had published of its backend."""
         counts, backend = self.metrics.counts, self._cluster.backends[backend_id]
         counts[Count.FORWARDS] += 1
         if not backend.is_up:
--- a/scale/memory_child.py
+++ b/scale/memory_child.py
@@ -52,19 +52,17 @@
     return engine
 
 
-def _create_balancer_and_parser(proxy_settings: dict[str, Any], seed: int) -> object:
-    settings = read_settings(proxy_settings)
-    return Balancer(settings, seed), Reader(settings, read_wire(proxy_settings))
-
-
 async def hold_classes(count: int, seed: int) -> object:
-    """Return a balancer and a request parser with `count` request classes."""
-    return _create_balancer_and_parser(synthetic.settings(PROXIES, classes=count), seed)
+    """Return a balancer and a request parser with `count` request classes, each with settings of its own."""
+    raw = synthetic.settings(PROXIES, classes=count)
+    return Balancer(read_settings(raw), seed), Reader(read_settings(raw), read_wire(raw))
 
 
 async def hold_tenants(count: int, seed: int) -> object:
-    """Return a balancer and a request parser with `count` tenants that have a quota."""
-    return _create_balancer_and_parser(synthetic.settings(PROXIES, tenants=count), seed)
+    """Return a balancer and a request parser with `count` tenants that have a quota; they share settings."""
+    raw = synthetic.settings(PROXIES, tenants=count)
+    settings = read_settings(raw)
+    return Balancer(settings, seed), Reader(settings, read_wire(raw))
 
 
 async def hold_peers(count: int, seed: int) -> object:
--- a/soak/records.py
+++ b/soak/records.py
@@ -25,7 +25,7 @@
     cell: int
     first_byte_at: float
     last_byte_at: float
-    budget_ms: int  # the remaining time that it was told
+    budget_ms: int  # the remaining time that the proxy named
     execution: Execution = Execution.UNKNOWN
     closed_at: float | None = None  # its connection ended, or its response was written
 
