--- a/scale/memory_child.py
+++ b/scale/memory_child.py
@@ -25,8 +25,8 @@
 from dunecove.proxy.discovery_client import read_listing
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.gossip import Peers, Tier
-from dunecove.proxy.listener import Frontend
-from dunecove.proxy.request_parser import Reader
+from dunecove.proxy.listener import Listener
+from dunecove.proxy.request_parser import RequestParser
 from dunecove.settings import read_settings, read_wire
 from scale import synthetic
 from scale.process_memory import resident_bytes
@@ -55,14 +55,14 @@
 async def hold_classes(count: int, seed: int) -> object:
     """Return a balancer and a request parser with `count` request classes, each with settings of its own."""
     raw = synthetic.settings(PROXIES, classes=count)
-    return Balancer(read_settings(raw), seed), Reader(read_settings(raw), read_wire(raw))
+    return Balancer(read_settings(raw), seed), RequestParser(read_settings(raw), read_wire(raw))
 
 
 async def hold_tenants(count: int, seed: int) -> object:
     """Return a balancer and a request parser with `count` tenants that have a quota; they share settings."""
     raw = synthetic.settings(PROXIES, tenants=count)
     settings = read_settings(raw)
-    return Balancer(settings, seed), Reader(settings, read_wire(raw))
+    return Balancer(settings, seed), RequestParser(settings, read_wire(raw))
 
 
 async def hold_peers(count: int, seed: int) -> object:
@@ -82,13 +82,13 @@
     entries = [synthetic.list_entry(number, address=backend_address) for number in range(CONNECTION_BACKENDS)]
     wire = read_wire(proxy_settings)
     engine.on_list(read_listing(synthetic.endpoint_list(1, entries), wire), ListUpdateKind.SNAPSHOT)
-    frontend = Frontend(engine, Reader(read_settings(proxy_settings), wire), CLIENT_SLOTS)
-    frontend.listen("127.0.0.1:0")
+    listener = Listener(engine, RequestParser(read_settings(proxy_settings), wire), CLIENT_SLOTS)
+    listener.listen("127.0.0.1:0")
     clients_connected = asyncio.Event()
     asyncio.get_running_loop().add_reader(0, clients_connected.set)
-    print(json.dumps(frontend.address), flush=True)
+    print(json.dumps(listener.address), flush=True)
     await clients_connected.wait()
-    return engine, frontend
+    return engine, listener
 
 
 HOLDERS: dict[str, Callable[[int, int], Awaitable[object]]] = {
--- a/tests/tools/fleet/test_run.py
+++ b/tests/tools/fleet/test_run.py
@@ -77,7 +77,7 @@
 
 def test_a_balancer_that_fails_is_counted_and_replaced() -> None:
     run = Fleet(Plan(**SMALL))
-    run.loop.call_later(15.0, lambda: setattr(run.proxies[1].balancer, "near", None))
+    run.loop.call_later(15.0, lambda: setattr(run.proxies[1].balancer.backends, "subset", None))
     figures = run.run()
     assert figures["counts"]["module exceptions"] == 1
     assert run.proxies[1].metrics.counts["module exceptions"] == 1
