--- a/scale/fleet/cluster.py
+++ b/scale/fleet/cluster.py
@@ -59,9 +59,12 @@
     def __init__(self, number: int, zone: int, rack: int, service: int, boot_ms: float) -> None:
         self.backend_id = f"s-{number:08x}"
         self.address = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:3000"
-        self.zone, self.rack, self.service = zone, rack, service
+        self.zone = zone
+        self.rack = rack
+        self.service = service
         self.boot_ms = boot_ms  # when it started; 0 for long ago
-        self.state, self.weight = ACTIVE, 1.0
+        self.state = ACTIVE
+        self.weight = 1.0
         self.is_up = True  # the machine is there, whatever the list says
 
     @property
@@ -96,7 +99,9 @@
     def __init__(
         self, loop: VirtualLoop, size: int, seed: int, settings: ClusterSettings, services: int = 1
     ) -> None:
-        self.loop, self.settings, self.services = loop, settings, services
+        self.loop = loop
+        self.settings = settings
+        self.services = services
         self.random = Random(f"world {seed}")
         self.discovery = SimulatedDiscovery(loop)
         self.listed: dict[str, SimulatedBackend] = {}
@@ -155,7 +160,8 @@
 
     def _replace(self, backends: list[SimulatedBackend]) -> None:
         for backend in backends:
-            backend.state, backend.is_up = REMOVED, False
+            backend.state = REMOVED
+            backend.is_up = False
         now_ms = self.loop.now_ms()
         added = [self._add(backend.zone, backend.rack, backend.service, now_ms) for backend in backends]
         self.publish([*backends, *added])
@@ -181,7 +187,9 @@
 
     def _restart(self, backends: list[SimulatedBackend]) -> None:
         for backend in backends:
-            backend.state, backend.is_up, backend.boot_ms = ACTIVE, True, self.loop.now_ms()
+            backend.state = ACTIVE
+            backend.is_up = True
+            backend.boot_ms = self.loop.now_ms()
         self.publish(backends)
 
     def separate(self, regions: frozenset[int], duration_s: float) -> None:
--- a/scale/fleet/discovery.py
+++ b/scale/fleet/discovery.py
@@ -44,11 +44,13 @@
     """
 
     def __init__(self, loop: VirtualLoop) -> None:
-        self.loop, self.revision = loop, 1
+        self.loop = loop
+        self.revision = 1
         self.unreachable_regions: set[int] = set()
         self.entries: dict[str, bytes] = {}
         self._published_at: list[float] = [loop.time()]  # of each revision, the first at index 0
-        self.calls, self.http_bytes = PerSecondSeries(), PerSecondSeries()
+        self.calls = PerSecondSeries()
+        self.http_bytes = PerSecondSeries()
         self.snapshots_sent = 0
         self._changes: deque[tuple[int, tuple[EntryChange, ...]]] = deque()
         self._kept_entries = 0
@@ -65,7 +67,8 @@
         """Publish one new revision with these changes and answer the open watches. Returns the revision."""
         self.revision += 1
         self._published_at.append(self.loop.time())
-        self._snapshot, self._deltas = b"", {}
+        self._snapshot = b""
+        self._deltas = {}
         for change in changes:
             if change.is_removed:
                 self.entries.pop(change.backend_id, None)
--- a/scale/fleet/disruptions.py
+++ b/scale/fleet/disruptions.py
@@ -20,7 +20,9 @@
     """Draws what happens to a cluster from the cluster's own random numbers."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
-        self._cluster, self._random, self._loop = cluster, cluster.random, cluster.loop
+        self._cluster = cluster
+        self._random = cluster.random
+        self._loop = cluster.loop
 
     def start_churn(self, factor: float) -> None:
         """Drain and lose single backends, so many times as often as on the ordinary day."""
--- a/scale/fleet/figures.py
+++ b/scale/fleet/figures.py
@@ -50,7 +50,8 @@
     plan: Plan, cluster: SimulatedCluster, proxies: list[SimulatedProxy], memory: MemoryUse, cpu_s: float
 ) -> dict[str, Any]:
     """Return a JSON object; `a proxy` figures are means over the proxies unless they say otherwise."""
-    discovery, loop = cluster.discovery, cluster.loop
+    discovery = cluster.discovery
+    loop = cluster.loop
     metrics = [proxy.metrics for proxy in proxies]
     counts: Counter[str] = Counter()
     for one in metrics:
@@ -109,7 +110,8 @@
     waits_ms: list[float] = []
     reachable_waits_ms: list[float] = []
     overdue = missed = changes = 0
-    end, first = cluster.loop.time(), ORIGIN_S + plan.started_at
+    end = cluster.loop.time()
+    first = ORIGIN_S + plan.started_at
     for revision in range(1, cluster.discovery.revision + 1):
         published_at = cluster.discovery.published_at(revision)
         if published_at < first:
@@ -150,7 +152,9 @@
 
 def format_figures(figures: dict[str, Any]) -> str:
     """Return the figures for a person, in lines."""
-    plan, memory, spread = figures["plan"], figures["memory"], figures["spread"]
+    plan = figures["plan"]
+    memory = figures["memory"]
+    spread = figures["spread"]
     listed = figures["list"]
     mode = "pushed" if plan["pushed"] else "asked for"
     weights = ", live weights" if plan["weights"] else ""
--- a/scale/fleet/metrics.py
+++ b/scale/fleet/metrics.py
@@ -69,7 +69,8 @@
     """One proxy's figures. Processor time is in seconds; bytes are those of HTTP, with no TCP/IP headers."""
 
     def __init__(self) -> None:
-        self.cpu_s, self.http_bytes = PerSecondSeries(), PerSecondSeries()
+        self.cpu_s = PerSecondSeries()
+        self.http_bytes = PerSecondSeries()
         self.counts: Counter[str] = Counter()  # by Count, and by the reason of a failed call
         self.restart(0.0)
 
--- a/scale/fleet/network.py
+++ b/scale/fleet/network.py
@@ -23,7 +23,8 @@
     """The service as one region reaches it: what crosses a cut is lost, and connecting hangs."""
 
     def __init__(self, discovery: SimulatedDiscovery, region: int) -> None:
-        self.discovery, self._region = discovery, region
+        self.discovery = discovery
+        self._region = region
 
     def is_unreachable(self) -> bool:
         """Whether the region is cut off from the service."""
@@ -44,7 +45,8 @@
 
     def __init__(self, connection: DiscoveryConnection) -> None:
         super().__init__({"socket": UNCONNECTED_SOCKET})
-        self._connection, self._is_closing = connection, False
+        self._connection = connection
+        self._is_closing = False
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """Send bytes of a call."""
@@ -78,8 +80,10 @@
     """The service's end of a connection, one call at a time."""
 
     def __init__(self, endpoint: RegionEndpoint, protocol: asyncio.Protocol) -> None:
-        self._endpoint, self._protocol = endpoint, protocol
-        self._discovery, self._loop = endpoint.discovery, endpoint.discovery.loop
+        self._endpoint = endpoint
+        self._protocol = protocol
+        self._discovery = endpoint.discovery
+        self._loop = endpoint.discovery.loop
         self._metrics: ProxyMetrics | None = CURRENT_METRICS.get()
         self._proxy_context = copy_context()
         self._service_context = copy_context()  # the service's processor time is nobody's
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -108,8 +108,11 @@
     def __init__(
         self, cluster: SimulatedCluster, number: int, options: ProxyOptions, frozen: bool = False
     ) -> None:
-        self._cluster, self._loop, self._number = cluster, cluster.loop, number
-        self._options, self._is_frozen = options, frozen
+        self._cluster = cluster
+        self._loop = cluster.loop
+        self._number = number
+        self._options = options
+        self._is_frozen = frozen
         self._raw_settings = proxy_settings(number, options.tier, options.pushed, cluster.settings)
         self.region = region_of(number % ZONE_COUNT)
         self.metrics = ProxyMetrics()
@@ -134,7 +137,8 @@
         self.stop()
         self.metrics.restart(self._loop.time())
         # The program reads its configuration at the start only; a whole list is not shared between proxies.
-        self._settings, wire = read_settings(self._raw_settings), read_wire(self._raw_settings)
+        self._settings = read_settings(self._raw_settings)
+        wire = read_wire(self._raw_settings)
         listing = read_listing(orjson.loads(cached), wire)
         self._backends = Backends(wire.connect_timeout_ms, wire.conn_idle_ms, 1)
         self.balancer = self._create_balancer(0)
@@ -202,7 +206,8 @@
             return
         self._step_is_scheduled = False
         events: list[Event] = [*self._list_updates, *self._events]
-        self._list_updates, self._events = [], []
+        self._list_updates = []
+        self._events = []
         try:
             actions = self.balancer.step(self._loop.now_ms(), events)
         except Exception:
@@ -223,7 +228,8 @@
         self.balancer = self._create_balancer(self._incarnation)
         infos = self._backends.infos(list(self._backends.targets))
         self._list_updates = [BackendListUpdate(ListUpdateKind.CACHED, infos)]
-        self._events, self._requests = [], {}
+        self._events = []
+        self._requests = {}
         self._step_is_scheduled = True
         self._loop.call_later(BALANCER_RESTART_S, self._step, self._incarnation)
         self._start_load()
@@ -304,7 +310,8 @@
 
     def _count_forward(self, backend_id: str) -> None:
         """Count an attempt by what discovery had published of its backend."""
-        counts, backend = self.metrics.counts, self._cluster.backends[backend_id]
+        counts = self.metrics.counts
+        backend = self._cluster.backends[backend_id]
         counts[Count.FORWARDS] += 1
         if not backend.is_up:
             counts[Count.FORWARDS_TO_GONE] += 1
--- a/scale/fleet/run.py
+++ b/scale/fleet/run.py
@@ -28,7 +28,8 @@
 
     def __init__(self, plan: Plan) -> None:
         plan.check()
-        self.plan, self.loop = plan, create_virtual_loop()
+        self.plan = plan
+        self.loop = create_virtual_loop()
         settings = ClusterSettings(plan.grace_ms)
         self.cluster = SimulatedCluster(self.loop, plan.backends, plan.seed, settings, plan.services)
         self._disruptions = Disruptions(self.cluster)
@@ -46,7 +47,8 @@
 
     def run(self) -> dict[str, Any]:
         """Run the whole plan and return its figures. InvalidPlanError where memory does not suffice."""
-        plan, progress = self.plan, ProgressReport(self.plan.seconds)
+        plan = self.plan
+        progress = ProgressReport(self.plan.seconds)
         self._start_proxies()
         self._disruptions.start_churn(plan.churn)
         if plan.weights:
@@ -76,11 +78,13 @@
     def _check_memory(self) -> None:
         self._memory.max_bytes = max(self._memory.max_bytes, resident_bytes())
         if self._memory.max_bytes > self._max_memory_bytes:
-            used_mb, allowed_mb = self._memory.max_bytes / 1e6, self._max_memory_bytes / 1e6
+            used_mb = self._memory.max_bytes / 1e6
+            allowed_mb = self._max_memory_bytes / 1e6
             raise InvalidPlanError(f"memory: {used_mb:.0f} MB is more than the {allowed_mb:.0f} allowed")
 
     def _begin_event(self) -> None:
-        plan, disruptions = self.plan, self._disruptions
+        plan = self.plan
+        disruptions = self._disruptions
         match FleetEvent(plan.event):
             case FleetEvent.STEADY:
                 pass
--- a/scale/load_clients.py
+++ b/scale/load_clients.py
@@ -65,12 +65,14 @@
     """Sends the requests of one plan and counts what comes of them."""
 
     def __init__(self, plan: LoadPlan, loop: asyncio.AbstractEventLoop) -> None:
-        self._plan, self.loop = plan, loop
+        self._plan = plan
+        self.loop = loop
         self._random = Random(plan.seed)
         self._addresses = [
             (host, int(port)) for host, _, port in (address.rpartition(":") for address in plan.addresses)
         ]
-        self._added, self._lateness = create_histogram(), create_histogram()
+        self._added = create_histogram()
+        self._lateness = create_histogram()
         self._answered = self._rejected = self._failed = self._counted = self._in_flight = 0
         self._idle: dict[Address, list[ClientConnection]] = {address: [] for address in self._addresses}
         self._connections = 0
@@ -215,7 +217,8 @@
 
     def send(self, due_s: float, request: bytes) -> None:
         """Write a request that was due at `due_s` (s after the start)."""
-        self._due_s, self._buffer = due_s, b""
+        self._due_s = due_s
+        self._buffer = b""
         self._transport.write(request)
 
     def data_received(self, data: bytes) -> None:
--- a/scale/load_report.py
+++ b/scale/load_report.py
@@ -69,7 +69,8 @@
 
     Times are in ms, but `..._us_each` in us a request. `run_s` is the length of a run, warm-up included.
     """
-    added, late = merge_histograms(runs, "added"), merge_histograms(runs, "late")
+    added = merge_histograms(runs, "added")
+    late = merge_histograms(runs, "late")
     p99s_ms = [run["added_ms"]["p99"] for run in runs]
     core_share = None
     if path == "proxy":
--- a/scale/measure_process.py
+++ b/scale/measure_process.py
@@ -102,7 +102,8 @@
         take_ms = proxy.cpu_ms() - before_ms
         resident_mb = proxy.resident_bytes() / 1e6
         rest = measure_core_share(proxy, REST_S)
-        before_ms, started_at = proxy.cpu_ms(), time.monotonic()
+        before_ms = proxy.cpu_ms()
+        started_at = time.monotonic()
         publish_changes(discovery, revision)
         time.sleep(AFTER_CHANGES_S)
         change_ms = proxy.cpu_ms() - before_ms - rest * 1000 * (time.monotonic() - started_at)
@@ -170,7 +171,8 @@
 
 def measure_core_share(proxy: ProxyProcess, seconds: float) -> float:
     """Return the share of a core that the proxy takes over so long."""
-    before_ms, started_at = proxy.cpu_ms(), time.monotonic()
+    before_ms = proxy.cpu_ms()
+    started_at = time.monotonic()
     time.sleep(seconds)
     return (proxy.cpu_ms() - before_ms) / 1000 / (time.monotonic() - started_at)
 
--- a/scale/readiness_probe.py
+++ b/scale/readiness_probe.py
@@ -43,7 +43,9 @@
     """Probe `host:port` until standard input ends."""
     host, port = address.rsplit(":", 1)
     client = ReadinessClient(host, int(port))
-    last_response, longest_s, responses = time.monotonic(), 0.0, 0
+    last_response = time.monotonic()
+    longest_s = 0.0
+    responses = 0
     while True:
         if not client.ask():
             time.sleep(PAUSE_S)
@@ -56,7 +58,9 @@
             if not sys.stdin.readline():
                 return
             print(json.dumps([longest_s * 1000, responses]), flush=True)
-            last_response, longest_s, responses = time.monotonic(), 0.0, 0
+            last_response = time.monotonic()
+            longest_s = 0.0
+            responses = 0
 
 
 if __name__ == "__main__":
--- a/scale/stub_backends.py
+++ b/scale/stub_backends.py
@@ -44,7 +44,8 @@
 
 async def serve(count: int, service_ms: float) -> None:
     """Run `count` backends until standard input ends."""
-    loop, input_ended = asyncio.get_running_loop(), asyncio.Event()
+    loop = asyncio.get_running_loop()
+    input_ended = asyncio.Event()
     servers = [
         await loop.create_server(lambda: BackendConnection(service_ms / 1000), "127.0.0.1", 0)
         for _ in range(count)
--- a/scale/stub_discovery.py
+++ b/scale/stub_discovery.py
@@ -33,7 +33,8 @@
     """One connection of a proxy to the service."""
 
     def __init__(self, discovery: StubDiscovery) -> None:
-        self._discovery, self._buffer = discovery, b""
+        self._discovery = discovery
+        self._buffer = b""
         self._update_unacknowledged = False  # the last answer was an update, and no call has come since
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -69,7 +70,8 @@
     """
 
     def __init__(self, snapshot: bytes, answer_at_once: bool = False) -> None:
-        self._snapshot, self._answer_at_once = snapshot, answer_at_once
+        self._snapshot = snapshot
+        self._answer_at_once = answer_at_once
         self.updates: dict[int, bytes] = {}  # bodies by the revision that they start from
         self.exchanges: list[Exchange] = []
         self.was_refused = False  # an update was answered with the end of the connection
@@ -105,7 +107,8 @@
         if query is None:
             connection.respond(len(head), self._snapshot)
             return
-        since, wait_ms = int(query[1]), int(query[2])
+        since = int(query[1])
+        wait_ms = int(query[2])
         if since in self.updates:
             connection.respond(len(head), self.updates[since], is_update=True)
         elif self._answer_at_once:
--- a/soak/backends.py
+++ b/soak/backends.py
@@ -54,12 +54,15 @@
     def __init__(
         self, backend_id: str, cell: int, record: RunRecord, random: Random, service_s: float
     ) -> None:
-        self.backend_id, self.cell, self.record = backend_id, cell, record
+        self.backend_id = backend_id
+        self.cell = cell
+        self.record = record
         self.overrides: list[BehaviourOverride] = []
         self.connections: set[BackendConnection] = set()
         self.address = ""
         self.boot_ms = 0  # on the wall clock; 0 for long ago
-        self._random, self._service_s = random, service_s
+        self._random = random
+        self._service_s = service_s
         self._server: asyncio.Server | None = None
 
     async def open(self) -> Backend:
@@ -102,7 +105,8 @@
     """A connection of a proxy, with one request at a time."""
 
     def __init__(self, backend: Backend) -> None:
-        self._backend, self._reader = backend, MessageReader()
+        self._backend = backend
+        self._reader = MessageReader()
         self._loop = asyncio.get_running_loop()
         self._attempt: Attempt | None = None
         self._first_byte_at: float | None = None
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -51,9 +51,11 @@
 
     def __init__(self, clients: Clients, proxy: ProxyProcess) -> None:
         assert proxy.incarnation is not None
-        self.proxy_number, self.incarnation = proxy.number, proxy.incarnation.number
+        self.proxy_number = proxy.number
+        self.incarnation = proxy.incarnation.number
         self.was_used = self.is_lost = False
-        self._clients, self._reader = clients, MessageReader()
+        self._clients = clients
+        self._reader = MessageReader()
         self._in_flight: list[Request] = []
         self._misbehaving: MisbehavingClient | None = None
 
@@ -116,7 +118,9 @@
             self._end_misbehaviour(now)
             return
         request = self._in_flight.pop(0)
-        request.answered_at, request.status, request.body = now, status, message.body
+        request.answered_at = now
+        request.status = status
+        request.body = message.body
         if message.headers.get(b"connection") == b"close":
             self._transport.close()
         elif not self._in_flight and self._misbehaving is None:
@@ -130,7 +134,10 @@
         self, proxies: Sequence[ProxyProcess], record: RunRecord, random: Random, rate: float
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self._proxies, self._record, self._random, self._rate = proxies, record, random, rate
+        self._proxies = proxies
+        self._record = record
+        self._random = random
+        self._rate = rate
         self._shares = BehaviourShares()
         self._idle: dict[int, list[ClientConnection]] = {proxy.number: [] for proxy in proxies}
         self._request_numbers = count()
@@ -154,7 +161,8 @@
             await asyncio.wait(self._tasks)
 
     def _draw_behaviour(self) -> Behaviour:
-        drawn, shares = self._random.random(), self._shares
+        drawn = self._random.random()
+        shares = self._shares
         for share, behaviour in (
             (shares.disconnect, self._send_and_disconnect),
             (shares.slow, self._send_slowly),
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -20,7 +20,8 @@
     """The endpoint list, with the revision in which each backend has changed."""
 
     def __init__(self, record: RunRecord) -> None:
-        self.record, self.revision = record, 1
+        self.record = record
+        self.revision = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.agents: list[DiscoveryAgent] = []
         self.is_up = True
@@ -47,14 +48,16 @@
 
     def stop(self) -> None:
         """Become unresponsive for all proxies."""
-        self.is_up, now = False, asyncio.get_running_loop().time()
+        self.is_up = False
+        now = asyncio.get_running_loop().time()
         for spans in self.record.reachable.values():
             if spans[-1].ended_at is None:
                 spans[-1].ended_at = now
 
     def resume(self) -> None:
         """Respond again, also to what was asked meanwhile."""
-        self.is_up, now = True, asyncio.get_running_loop().time()
+        self.is_up = True
+        now = asyncio.get_running_loop().time()
         for spans in self.record.reachable.values():
             if spans[-1].ended_at is not None:
                 spans.append(ReachableSpan(now))
@@ -66,7 +69,8 @@
     """The agent on the machine of one proxy. `open` before use."""
 
     def __init__(self, state: DiscoveryState, proxy: int) -> None:
-        self.state, self.proxy = state, proxy
+        self.state = state
+        self.proxy = proxy
         self.connections: set[AgentConnection] = set()
         self.address = ""
         state.agents.append(self)
@@ -111,7 +115,8 @@
 
     def __init__(self, agent: DiscoveryAgent) -> None:
         self.is_abandoned = False
-        self._agent, self._reader = agent, MessageReader()
+        self._agent = agent
+        self._reader = MessageReader()
         self._since: int | None = None  # of the last call
         self._is_waiting = False
         self._timer: asyncio.TimerHandle | None = None
--- a/soak/environment.py
+++ b/soak/environment.py
@@ -52,7 +52,8 @@
     """The backends, discovery and proxies of one run. `open` before use."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
-        self.plan, self.random = plan, Random(plan.seed)
+        self.plan = plan
+        self.random = Random(plan.seed)
         self.record = RunRecord(
             REQUEST_CLASSES,
             DRAIN_GRACE_S,
--- a/soak/fault_injection.py
+++ b/soak/fault_injection.py
@@ -28,7 +28,8 @@
     """Carries out faults at their times, in tasks of its own."""
 
     def __init__(self, environment: Environment, clients: Clients) -> None:
-        self._environment, self._clients = environment, clients
+        self._environment = environment
+        self._clients = clients
         self._random = environment.random
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
--- a/soak/proxies.py
+++ b/soak/proxies.py
@@ -44,7 +44,8 @@
         self.address = free_address()
         self.incarnation: Incarnation | None = None
         self.incarnation_count = 0
-        self._record, self._configure = record, configure
+        self._record = record
+        self._configure = configure
         self._config_file = folder / f"proxy-{number}.json"
         self._process: asyncio.subprocess.Process | None = None
         self._log_reader: asyncio.Task[None] | None = None
--- a/soak/rules.py
+++ b/soak/rules.py
@@ -202,7 +202,8 @@
         for last, time in enumerate(times):
             while times[first] <= time - limits.overload_window_s:
                 first += 1
-            age_s, count = time - started_at, last - first + 1
+            age_s = time - started_at
+            count = last - first + 1
             if 0 <= age_s < limits.cold_s and count > max_cold_requests(record, age_s):
                 allowed = f"{max_cold_requests(record, age_s):.1f} allowed"
                 text = f"{count} in a window, {allowed}, {age_s:.1f} s after its start"
--- a/soak/run.py
+++ b/soak/run.py
@@ -49,7 +49,8 @@
 
 async def apply_load(environment: Environment, faults: list[Fault]) -> None:
     """Send requests while the faults come and go, until all are over."""
-    plan, record = environment.plan, environment.record
+    plan = environment.plan
+    record = environment.record
     lag = asyncio.get_running_loop().create_task(measure_lag(record))
     await asyncio.sleep(SETTLE_BEFORE_S)
     clients = Clients(environment.proxies, record, environment.random, plan.rate * plan.proxies)
--- a/tests/tools/fleet/support.py
+++ b/tests/tools/fleet/support.py
@@ -22,7 +22,9 @@
     """Raw bytes to the service and from it."""
 
     def __init__(self) -> None:
-        self.data, self.reads, self.lost = b"", 0, False
+        self.data = b""
+        self.reads = 0
+        self.lost = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -48,7 +50,8 @@
 
 def connect_client(size: int = 40) -> tuple[SimulatedCluster, RawClient]:
     loop = create_virtual_loop()
-    cluster, client = SimulatedCluster(loop, size, 1, ClusterSettings()), RawClient()
+    cluster = SimulatedCluster(loop, size, 1, ClusterSettings())
+    client = RawClient()
     loop.listeners["10.0.0.1", 80] = RegionEndpoint(cluster.discovery, 0)
     task = loop.create_task(loop.create_connection(lambda: client, "10.0.0.1", 80))
     advance(loop, 0.1)
--- a/tests/tools/fleet/test_clock.py
+++ b/tests/tools/fleet/test_clock.py
@@ -7,7 +7,8 @@
 
 
 def test_timers_run_in_order_of_time_then_of_creation() -> None:
-    loop, ran = create_virtual_loop(), list[str]()
+    loop = create_virtual_loop()
+    ran = list[str]()
     loop.call_later(2.0, ran.append, "late")
     loop.call_later(1.0, ran.append, "first")
     loop.call_later(1.0, ran.append, "second")
@@ -19,7 +20,8 @@
 
 
 def test_a_callback_that_raises_ends_itself_only() -> None:
-    loop, ran = create_virtual_loop(), list[str]()
+    loop = create_virtual_loop()
+    ran = list[str]()
     loop.call_soon(int, "no number")
     loop.call_soon(ran.append, "next")
     advance(loop, 0.1)
--- a/tests/tools/fleet/test_proxy.py
+++ b/tests/tools/fleet/test_proxy.py
@@ -16,7 +16,8 @@
 
 def test_when_a_proxy_counts_as_notified_of_a_change() -> None:
     run = Fleet(Plan(**SMALL))
-    cluster, proxy = run.cluster, run.proxies[3]
+    cluster = run.cluster
+    proxy = run.proxies[3]
     assert proxy.region in SEPARATED_REGIONS
     cluster.cut_discovery(SEPARATED_REGIONS, 10.0)
     advance(run.loop, 1.0)
@@ -31,13 +32,12 @@
 
 def test_how_attempts_end() -> None:
     run = Fleet(Plan(**SMALL))
-    cluster, rng = run.cluster, Random(1)
+    cluster = run.cluster
+    rng = Random(1)
     other = [backend for backend in cluster.active_backends() if backend.region not in SEPARATED_REGIONS]
-    lost, drained, apart = (
-        other[0],
-        other[1],
-        cluster.active_backends(lambda backend: backend.region in SEPARATED_REGIONS)[0],
-    )
+    lost = other[0]
+    drained = other[1]
+    apart = cluster.active_backends(lambda backend: backend.region in SEPARATED_REGIONS)[0]
     assert cluster.attempt(lost.backend_id, 0, rng)[0] is AttemptResult.OK
     cluster.lose([lost])
     cluster.drain([drained])
--- a/tests/tools/fleet/test_run.py
+++ b/tests/tools/fleet/test_run.py
@@ -22,7 +22,8 @@
 @pytest.mark.parametrize("event", ["zone", "restart"])
 def test_one_seed_gives_the_same_counts(event: str) -> None:
     plan = Plan(**SMALL, event=event, churn=20_000.0)
-    first, second = Fleet(plan).run(), Fleet(plan).run()
+    first = Fleet(plan).run()
+    second = Fleet(plan).run()
     assert machine_independent(first) == machine_independent(second)
     assert first["other_errors"] == first["counts"]["module exceptions"] == 0
     assert first["counts"]["served"] > 0
--- a/tests/tools/scale/test_slopes.py
+++ b/tests/tools/scale/test_slopes.py
@@ -56,7 +56,8 @@
 def test_bytes_and_messages_are_the_same_in_two_runs(tmp_path: Path) -> None:
     names = ("wire-list", "wire-change", "wire-watch", "messages")
     what = [part for name in names for part in ("--what", name)]
-    first, second = slopes(tmp_path, *what), slopes(tmp_path, *what)
+    first = slopes(tmp_path, *what)
+    second = slopes(tmp_path, *what)
     assert first["series"] == second["series"]
 
 
--- a/tests/tools/soak/test_rules.py
+++ b/tests/tools/soak/test_rules.py
@@ -43,7 +43,8 @@
         reachable={0: [ReachableSpan(0.0)]},
     )
     for class_index in (IDEMPOTENT, NON_IDEMPOTENT, KEYED):
-        name, at = f"r{class_index}", 10.0 + class_index
+        name = f"r{class_index}"
+        at = 10.0 + class_index
         record.requests[name] = Request(
             name, 0, 1, class_index, at, 0.8, False, None, at + 0.1, 200, f"s {name}".encode()
         )
