--- a/dunecove/proxy/http_request.py
+++ b/dunecove/proxy/http_request.py
@@ -8,9 +8,11 @@
 
 import httptools
 
-from dunecove.proxy.http1 import MAX_BODY, MAX_HEAD, Headers
+from dunecove.proxy.http_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
 
-MAX_REQUEST_BYTES = MAX_HEAD + 4 * MAX_BODY  # of one request as sent, the framing of its chunks included
+MAX_REQUEST_BYTES = (
+    MAX_HEAD_BYTES + 4 * MAX_BODY_BYTES
+)  # of one request as sent, the framing of its chunks included
 MAX_LENGTH_DIGITS = 18  # of a content-length that is worth converting
 BUDGET_MS_PATTERN = re.compile(rb"0{0,8}[1-9][0-9]{0,8}")
 
@@ -55,7 +57,7 @@
     if lengths:
         if not lengths[0].isdigit():
             raise RequestError(400)
-        if len(lengths[0]) > MAX_LENGTH_DIGITS or int(lengths[0]) > MAX_BODY:
+        if len(lengths[0]) > MAX_LENGTH_DIGITS or int(lengths[0]) > MAX_BODY_BYTES:
             raise RequestError(413)
 
 
@@ -94,7 +96,7 @@
             if self._completed and isinstance(self._completed[-1], HttpRequest):
                 self._completed.pop()
             self._fail(400)
-        if not self._is_head_complete and self.size_bytes > MAX_HEAD:
+        if not self._is_head_complete and self.size_bytes > MAX_HEAD_BYTES:
             self._fail(400)
         elif self.size_bytes > MAX_REQUEST_BYTES:
             self._fail(413)
@@ -142,7 +144,7 @@
         except RequestError as error:
             self._fail(error.status)
             return
-        if sum(len(name) + len(value) for name, value in self._headers) + len(self._target) > MAX_HEAD:
+        if sum(len(name) + len(value) for name, value in self._headers) + len(self._target) > MAX_HEAD_BYTES:
             self._fail(400)
         elif (b"expect", b"100-continue") in self._headers and not self._completed:
             self.expects_continue = True
@@ -151,7 +153,7 @@
         """Handle a part of the body."""
         if self.has_failed:
             return
-        if len(self._body) + len(body) > MAX_BODY:
+        if len(self._body) + len(body) > MAX_BODY_BYTES:
             self._fail(413)
         else:
             self._body += body
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -23,8 +23,10 @@
     TimerFired,
 )
 from dunecove.policy.models import AttemptResult
-from dunecove.proxy.connection_pool import Backends
-from dunecove.proxy.discovery_client import Discovery, Listing, read_listing
+from dunecove.proxy.connection_pool import ConnectionPool
+from dunecove.proxy.discovery_client import DiscoveryClient
+from dunecove.proxy.endpoint_json import read_list_update
+from dunecove.proxy.endpoint_list import EndpointListUpdate
 from dunecove.settings import read_settings, read_wire
 from scale.fleet.cluster import (
     ACTIVE,
@@ -120,7 +122,7 @@
         self._context = copy_context()
         self._context.run(CURRENT_METRICS.set, self.metrics)
         self._incarnation = self._arrivals = 0
-        self._discovery: Discovery | None = None
+        self._discovery: DiscoveryClient | None = None
 
     def start(self, cached: bytes) -> None:
         """Start a new process with this cached list, as its configuration would hold it."""
@@ -131,7 +133,7 @@
         self._incarnation += 1
         if self._discovery is not None:
             self._discovery.close()
-            self._backends.close()
+            self._pool.close()
 
     def _start(self, cached: bytes) -> None:
         self.stop()
@@ -139,25 +141,25 @@
         # The program reads its configuration at the start only; a whole list is not shared between proxies.
         self._settings = read_settings(self._raw_settings)
         wire = read_wire(self._raw_settings)
-        listing = read_listing(orjson.loads(cached), wire)
-        self._backends = Backends(wire.connect_timeout_ms, wire.conn_idle_ms, 1)
+        update = read_list_update(orjson.loads(cached), wire)
+        self._pool = ConnectionPool(wire.connect_timeout_ms, wire.conn_idle_ms, 1)
         self.balancer = self._create_balancer(0)
         self._list_updates: list[BackendListUpdate] = []
         self._events: list[Event] = []
         self._requests: dict[str, RequestState] = {}
         self._step_is_scheduled = False
         host, port = discovery_address(self.region)
-        self._discovery = Discovery(
+        self._discovery = DiscoveryClient(
             f"{host}:{port}",
             wire,
-            listing.rev,
+            update.revision,
             self._on_list,
             self._on_discovery_failure,
             self._options.pushed,
             memory_mb=MEMORY_MB,
-            held=self._backends.targets,
+            endpoints=self._pool.endpoints,
         )
-        self._apply(listing, ListUpdateKind.CACHED)
+        self._apply(update, ListUpdateKind.CACHED)
         self._start_load()
 
     def _create_balancer(self, seed_offset: int) -> Balancer:
@@ -173,15 +175,15 @@
 
     # The list
 
-    def _on_list(self, listing: Listing) -> None:
+    def _on_list(self, update: EndpointListUpdate) -> None:
         if not self._is_frozen:
-            self._apply(listing, ListUpdateKind.SNAPSHOT if listing.whole else ListUpdateKind.DELTA)
+            self._apply(update, ListUpdateKind.SNAPSHOT if update.is_snapshot else ListUpdateKind.DELTA)
 
-    def _apply(self, listing: Listing, kind: ListUpdateKind) -> None:
-        self._backends.update(listing.targets, listing.whole)
-        infos = tuple(target.info for target in listing.targets)
+    def _apply(self, update: EndpointListUpdate, kind: ListUpdateKind) -> None:
+        self._pool.update(update.endpoints, update.is_snapshot)
+        infos = tuple(endpoint.info for endpoint in update.endpoints)
         self._list_updates.append(BackendListUpdate(kind, infos))
-        self.metrics.applied.record(listing.rev, self._loop.time())
+        self.metrics.applied.record(update.revision, self._loop.time())
         self._schedule_step()
 
     def _on_discovery_failure(self, reason: str) -> None:
@@ -226,7 +228,7 @@
         counts[Count.BALANCER_ERRORS] += 1
         self._incarnation += 1
         self.balancer = self._create_balancer(self._incarnation)
-        infos = self._backends.infos(list(self._backends.targets))
+        infos = self._pool.backend_infos(list(self._pool.endpoints))
         self._list_updates = [BackendListUpdate(ListUpdateKind.CACHED, infos)]
         self._events = []
         self._requests = {}
--- a/scale/load.py
+++ b/scale/load.py
@@ -9,7 +9,7 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from dunecove.proxy.http1 import split_address
+from dunecove.proxy.addresses import split_address
 from scale import report, synthetic
 from scale.child_process import ChildProcess
 from scale.load_clients import LoadPlan, encode_plan
--- a/scale/measure_discovery.py
+++ b/scale/measure_discovery.py
@@ -6,8 +6,10 @@
 
 import orjson
 
-from dunecove.proxy.connection_pool import Backends
-from dunecove.proxy.discovery_client import Discovery, Listing, read_listing
+from dunecove.proxy.connection_pool import ConnectionPool
+from dunecove.proxy.discovery_client import DiscoveryClient
+from dunecove.proxy.endpoint_json import read_list_update
+from dunecove.proxy.endpoint_list import EndpointListUpdate
 from dunecove.settings import read_wire
 from scale import synthetic
 from scale.measurement import (
@@ -31,7 +33,7 @@
     "parse",
     "backend",
     Series("parse-json", "ms", "the bytes of a whole list become objects: orjson alone"),
-    Series("parse", "ms", "the bytes of a whole list become a Listing: orjson and read_listing"),
+    Series("parse", "ms", "the bytes of a whole list become an EndpointListUpdate"),
 )
 def parse_cpu(parameters: RunParameters, size: int) -> Values:
     """Measure decoding a snapshot."""
@@ -39,35 +41,35 @@
     wire = read_wire(synthetic.settings(parameters.proxies))
     return {
         "parse-json": cpu_time_ms(lambda: orjson.loads(body)),
-        "parse": cpu_time_ms(lambda: read_listing(orjson.loads(body), wire)),
+        "parse": cpu_time_ms(lambda: read_list_update(orjson.loads(body), wire)),
     }
 
 
 @measurement(
     "pools",
     "backend",
-    Series("pools-list", "ms", "Backends takes over a whole list, holding nothing before"),
-    Series("pools-again", "ms", "Backends takes over the same whole list once more"),
-    Series("pools-change", "ms", "Backends takes a change of two entries"),
+    Series("pools-list", "ms", "ConnectionPool takes over a whole list, holding nothing before"),
+    Series("pools-again", "ms", "ConnectionPool takes over the same whole list once more"),
+    Series("pools-change", "ms", "ConnectionPool takes a change of two entries"),
 )
 def pool_update_cpu(parameters: RunParameters, size: int) -> Values:
     """Measure the connection pools taking a snapshot, the same again, and a delta."""
     wire = read_wire(synthetic.settings(parameters.proxies))
     snapshot = synthetic.snapshot_body(1, size)
     updates = {
-        "pools-list": read_listing(orjson.loads(snapshot), wire),
-        "pools-again": read_listing(orjson.loads(snapshot), wire),
-        "pools-change": read_listing(orjson.loads(synthetic.delta_body(2, 2)), wire),
+        "pools-list": read_list_update(orjson.loads(snapshot), wire),
+        "pools-again": read_list_update(orjson.loads(snapshot), wire),
+        "pools-change": read_list_update(orjson.loads(synthetic.delta_body(2, 2)), wire),
     }
 
     async def run() -> Values:
-        backends = Backends(CONNECT_TIMEOUT_MS, IDLE_TIMEOUT_MS, POOL_CONNECTIONS)
+        pool = ConnectionPool(CONNECT_TIMEOUT_MS, IDLE_TIMEOUT_MS, POOL_CONNECTIONS)
 
-        def update_cpu_ms(listing: Listing) -> float:
-            return cpu_time_ms(lambda: backends.update(listing.targets, listing.whole))
+        def update_cpu_ms(update: EndpointListUpdate) -> float:
+            return cpu_time_ms(lambda: pool.update(update.endpoints, update.is_snapshot))
 
-        values: Values = {name: update_cpu_ms(listing) for name, listing in updates.items()}
-        backends.close()
+        values: Values = {name: update_cpu_ms(update) for name, update in updates.items()}
+        pool.close()
         return values
 
     return asyncio.run(run())
@@ -86,7 +88,7 @@
         async def run() -> None:
             wire = read_wire(synthetic.settings(proxies))
             failures: list[str] = []
-            discovery = Discovery(service.address, wire, revision, lambda listing: None, failures.append)
+            discovery = DiscoveryClient(service.address, wire, revision, lambda update: None, failures.append)
             discovery.watch()
             give_up_at = asyncio.get_running_loop().time() + CALLS_TIMEOUT_S
             while len(service.exchanges) < calls and not failures:
--- a/scale/measure_memory.py
+++ b/scale/measure_memory.py
@@ -5,7 +5,7 @@
 import socket
 from contextlib import ExitStack, closing
 
-from dunecove.proxy.http1 import split_address
+from dunecove.proxy.addresses import split_address
 from scale.child_process import ChildProcess
 from scale.measurement import MeasurementError, RunParameters, Series, Values, measurement
 from scale.memory_child import BACKEND_ADDRESS_VARIABLE
--- a/scale/memory_child.py
+++ b/scale/memory_child.py
@@ -22,7 +22,7 @@
 
 from dunecove.policy.balancer import Balancer
 from dunecove.policy.events import ListUpdateKind
-from dunecove.proxy.discovery_client import read_listing
+from dunecove.proxy.endpoint_json import read_list_update
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.gossip import Peers, Tier
 from dunecove.proxy.listener import Listener
@@ -47,8 +47,8 @@
     """Return an engine that knows `count` backends."""
     proxy_settings = synthetic.settings(PROXIES)
     engine = create_engine(proxy_settings, seed)
-    listing = read_listing(orjson.loads(synthetic.snapshot_body(1, count)), read_wire(proxy_settings))
-    engine.on_list(listing, ListUpdateKind.SNAPSHOT)
+    update = read_list_update(orjson.loads(synthetic.snapshot_body(1, count)), read_wire(proxy_settings))
+    engine.on_list(update, ListUpdateKind.SNAPSHOT)
     return engine
 
 
@@ -81,7 +81,7 @@
     backend_address = os.environ[BACKEND_ADDRESS_VARIABLE]
     entries = [synthetic.list_entry(number, address=backend_address) for number in range(CONNECTION_BACKENDS)]
     wire = read_wire(proxy_settings)
-    engine.on_list(read_listing(synthetic.endpoint_list(1, entries), wire), ListUpdateKind.SNAPSHOT)
+    engine.on_list(read_list_update(synthetic.endpoint_list(1, entries), wire), ListUpdateKind.SNAPSHOT)
     listener = Listener(engine, RequestParser(read_settings(proxy_settings), wire), CLIENT_SLOTS)
     listener.listen("127.0.0.1:0")
     clients_connected = asyncio.Event()
