--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -9,9 +9,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from random import Random
-from typing import Any
 
 from dunecove.policy.actions import (
     Action,
@@ -97,19 +95,6 @@
         self._is_started = False
         self._slow_tick_at = 0.0  # the last one
         self._actions: list[Action] = []
-        self._handlers = self._handlers_by_event()
-
-    def _handlers_by_event(self) -> dict[type, Callable[[float, Any], None]]:
-        return {
-            RequestArrived: self._on_arrival,
-            AttemptEnded: self._on_attempt_ended,
-            ResponseStarted: self._on_response_started,
-            ClientDisconnected: self._on_client_disconnected,
-            BackendListUpdate: self._on_list_update,
-            DiscoveryMoved: self._on_discovery_moved,
-            GossipReceived: self._outliers.on_gossip,
-            TimerFired: self._on_tick,
-        }
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
         """Take a batch of events that happened up to `now`; return the actions in order."""
@@ -117,9 +102,7 @@
         if not self._is_started and events:
             self._start(now)
         for event in events:
-            handler = self._handlers.get(type(event))
-            if handler is not None:
-                handler(now, event)
+            self._handle(now, event)
         if self.pinned_retries.waiting:
             self._actions += self.pinned_retries.dispatch(now)
         self._actions += self._dispatcher.dispatch(now)
@@ -137,6 +120,25 @@
         self._actions.append(SetTimer(TICK_MS, 0))
         self.polling.start(now)
 
+    def _handle(self, now: float, event: Event) -> None:
+        match event:
+            case RequestArrived():
+                self._on_arrival(now, event)
+            case AttemptEnded():
+                self._on_attempt_ended(now, event)
+            case TimerFired():
+                self._on_tick(now)
+            case ClientDisconnected():
+                self._on_client_disconnected(event)
+            case BackendListUpdate():
+                self._on_list_update(now, event)
+            case GossipReceived():
+                self._outliers.on_gossip(now, event)
+            case DiscoveryMoved():
+                self._on_discovery_moved(now)
+            case ResponseStarted():
+                self._on_response_started(event)
+
     # Requests
 
     def _on_arrival(self, now: float, event: RequestArrived) -> None:
@@ -194,12 +196,12 @@
             self.pinned_retries.add(request)
             self._timeouts.start_pinned(request, executed)
 
-    def _on_response_started(self, _now: float, event: ResponseStarted) -> None:
+    def _on_response_started(self, event: ResponseStarted) -> None:
         request = self.requests.get(event.request_id)
         if request is not None:
             request.is_queued = False
 
-    def _on_client_disconnected(self, _now: float, event: ClientDisconnected) -> None:
+    def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         request = self.requests.get(event.request_id)
         if request is None:
             return
@@ -241,14 +243,15 @@
             self.polling.on_update()
         self._list_updates.apply(now, update)
 
-    def _on_discovery_moved(self, now: float, _event: DiscoveryMoved) -> None:
+    def _on_discovery_moved(self, now: float) -> None:
         self.polling.on_moved(now)
         self._actions.append(PollDiscovery())
 
-    def _on_tick(self, now: float, _event: TimerFired) -> None:
+    def _on_tick(self, now: float) -> None:
         self._actions.append(SetTimer(TICK_MS, 0))
         self._expire(now)
-        self._slow_start.refill(now, self.backends.cold_subset, self.backends.proxies_per_backend())
+        cold = self.backends.cold_subset
+        self._slow_start.refill(now, cold, self.backends.proxies_per_backend() if cold else 1.0)
         if self.polling.take_due(now):
             self._actions.append(PollDiscovery())
         if now - self._slow_tick_at >= SLOW_TICK_MS:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -2,6 +2,9 @@
 
 from __future__ import annotations
 
+import gc
+from weakref import ref
+
 import pytest
 
 from dunecove.policy.actions import (
@@ -134,3 +137,17 @@
     driver.end(request, AttemptResult.OK)
     assert not of_type(Forward, driver.run_ticks(2000))
     assert driver.balancer.requests == {}
+
+
+def test_a_balancer_that_is_replaced_is_freed_without_the_garbage_collector() -> None:
+    # The program keeps the first list's objects from the collector: in a reference cycle they would stay.
+    driver = Driver(settings(proxy_count=300), *fleet(40))
+    driver.end(driver.arrive())
+    driver.arrive()
+    old = ref(driver.balancer)
+    gc.disable()
+    try:
+        driver.balancer = Balancer(settings(), 1)
+        assert old() is None
+    finally:
+        gc.enable()
