--- a/dunecove/__main__.py
+++ b/dunecove/__main__.py
@@ -19,6 +19,7 @@
 import orjson
 import uvloop
 
+from dunecove.errors import ConfigurationError, InvalidFieldError, MalformedInputError, UnreadableFileError
 from dunecove.policy.settings import Settings
 from dunecove.proxy.connection_pool import OWN_LACK
 from dunecove.proxy.discovery_client import Discovery, Saved, check_ip, read_saved
@@ -29,20 +30,16 @@
 from dunecove.proxy.listener import Frontend
 from dunecove.proxy.request_parser import Reader
 from dunecove.proxy.telemetry import Telemetry, log, take_library_logs
-from dunecove.settings import (
-    Malformed,
-    Message,
-    Unreadable,
-    Wire,
-    given,
-    listing,
-    mapping,
-    number,
-    read_settings,
-    read_wire,
-    text,
-    whole,
+from dunecove.wire.fields import (
+    JsonObject,
+    as_array,
+    as_integer,
+    as_number,
+    as_object,
+    as_string,
+    default_if_none,
 )
+from dunecove.wire.settings import ProxySettings, read_proxy_settings, read_settings
 
 ACCEPT_ON_S = 0.55  # s after SIGTERM in which connections still come, and a little more for a busy machine
 # s, the longest deadline that the platform counts: 0.7 s after it a stopping proxy is ended by force.
@@ -66,59 +63,62 @@
 BACKEND_PART = 0.42
 
 
-def read_tier(raw: Message) -> Tier | None:
+def read_tier(raw: JsonObject) -> Tier | None:
     """Where the other proxies are, if the platform says so."""
     if not raw.get("peers"):
         return None
-    addresses = tuple(text(address, "peers") for address in listing(raw["peers"], "peers"))
-    tier = Tier(text(raw["peer_listen"], "peer_listen"), addresses, text(raw["peers_all"], "peers_all"))
+    addresses = tuple(as_string(address, "peers") for address in as_array(raw["peers"], "peers"))
+    tier = Tier(
+        as_string(raw["peer_listen"], "peer_listen"), addresses, as_string(raw["peers_all"], "peers_all")
+    )
     for address in (tier.listen, tier.everyone, *tier.peers):
         check_ip(split_address(address)[0])
     return tier
 
 
 class Config:
-    """What the platform tells the proxy, checked; Malformed says what is wrong with it."""
+    """What the platform tells the proxy, checked; ConfigurationError says what is wrong with it."""
 
     def __init__(self, env: dict[str, str], again: bool = False) -> None:
         """Read `again`, a long saved list is of no use any more and passed over."""
         path = env.get("LB_CONFIG")
         if not path:
-            raise Malformed("LB_CONFIG is not set")
+            raise ConfigurationError("LB_CONFIG is not set")
         try:
             outline, is_long = without(in_pieces(read(path), "known"))
-            raw = mapping(outline, "configuration")
+            raw = as_object(outline, "configuration")
         except OSError as error:
-            raise Unreadable(path, error) from None
+            raise UnreadableFileError(path, error) from None
         except orjson.JSONDecodeError as error:
-            raise Malformed(f"{path}: not JSON: {error}") from None
+            raise ConfigurationError(f"{path}: not JSON: {error}") from None
+        except InvalidFieldError as error:
+            raise ConfigurationError(f"{path}: {error}") from None
         try:
-            info = mapping(raw["settings"], "settings")
+            info = as_object(raw["settings"], "settings")
             # The limit tells what the simulator's clients are given; HTTP has Retry-After for all of them.
             self.settings: Settings = replace(read_settings(info), sends_retry_after=True)
-            self.settings.check()
-            self.wire: Wire = read_wire(info)
+            self.wire: ProxySettings = read_proxy_settings(info)
             ahead = in_pieces(read(path), "known") if is_long and not again else ()
             self.known: Saved = read_saved(raw["known"], self.wire, ahead)
-            self.name = env.get("LB_NAME") or text(raw["name"], "name")
-            self.listen = env.get("LB_LISTEN") or text(raw["listen"], "listen")
-            self.discovery = env.get("LB_DISCOVERY") or text(raw["discovery"], "discovery")
-            self.seed = int(text(raw["seed"], "seed"), 16)
-            limits: dict[str, Any] = mapping(raw.get("limits") or {}, "limits")
-            self.sockets = whole(given(limits, "sockets", 1024), "sockets")
+            self.name = env.get("LB_NAME") or as_string(raw["name"], "name")
+            self.listen = env.get("LB_LISTEN") or as_string(raw["listen"], "listen")
+            self.discovery = env.get("LB_DISCOVERY") or as_string(raw["discovery"], "discovery")
+            self.seed = int(as_string(raw["seed"], "seed"), 16)
+            limits: dict[str, Any] = as_object(raw.get("limits") or {}, "limits")
+            self.sockets = as_integer(default_if_none(limits, "sockets", 1024), "sockets")
             self.sockets = min(self.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
             if self.sockets < LEAST_SOCKETS:
-                raise Malformed(f"sockets: {self.sockets} are too few, {LEAST_SOCKETS} are needed")
-            self.memory_mb = number(given(limits, "memory_mb", 192), "memory_mb")
+                raise InvalidFieldError(f"sockets: {self.sockets} are too few, {LEAST_SOCKETS} are needed")
+            self.memory_mb = as_number(default_if_none(limits, "memory_mb", 192), "memory_mb")
             if not 0 < self.memory_mb < inf:
-                raise Malformed(f"memory_mb: {self.memory_mb} can't be")
+                raise InvalidFieldError(f"memory_mb must be above 0 and finite: {self.memory_mb}")
             self.tier = read_tier(raw) if self.settings.may_gossip else None
             split_address(self.discovery)
             check_ip(split_address(self.listen)[0])
         except KeyError as error:
-            raise Malformed(f"{path}: {error.args[0]} is missing") from None
-        except ValueError as error:
-            raise Malformed(f"{path}: {error}") from None
+            raise ConfigurationError(f"{path}: {error.args[0]} is missing") from None
+        except (MalformedInputError, ValueError) as error:
+            raise ConfigurationError(f"{path}: {error}") from None
 
 
 def places(sockets: int) -> tuple[int, int]:
@@ -181,7 +181,7 @@
         """A file that can't be read now may be readable soon, and nobody sends another signal for it."""
         try:
             config = Config(self.environment, True)
-        except Malformed as error:
+        except ConfigurationError as error:
             self.engine.telemetry.count("reload.failed")
             if not failures:
                 log(f"reload: {error}; going on as before")
@@ -260,7 +260,7 @@
     while True:
         try:
             return begin()
-        except (OSError, Unreadable) as error:
+        except (OSError, UnreadableFileError) as error:
             if error.errno not in MOMENTARY or time.monotonic() >= until:
                 raise
         time.sleep(START_RETRY_S)
@@ -275,7 +275,10 @@
     try:
         config = patiently(lambda: Config(dict(os.environ)), until)
         patiently(lambda: run_loop(config), until)
-    except (Malformed, OSError) as error:  # the configuration is bad, or the address is not to be had
+    except (
+        ConfigurationError,
+        OSError,
+    ) as error:  # the configuration is bad, or the address is not to be had
         log(str(error))
         return 2
     return 0
--- /dev/null
+++ b/dunecove/errors.py
@@ -0,0 +1,60 @@
+"""The errors that the program raises and expects. The text of each is for a person, on one line."""
+
+from __future__ import annotations
+
+
+class DunecoveError(Exception):
+    """Base of all errors of this program."""
+
+
+class MalformedInputError(DunecoveError):
+    """JSON that breaks its format; the text names the key, and the value where that is short."""
+
+
+class MissingFieldError(MalformedInputError):
+    """An object lacks a required field."""
+
+    def __init__(self, key: str) -> None:
+        """`key` is the field's name in JSON."""
+        super().__init__(f"{key} is missing")
+
+
+class InvalidFieldError(MalformedInputError):
+    """A field has a value that is not allowed."""
+
+
+class MalformedMessageError(MalformedInputError):
+    """A line on the simulator's wire can't be used."""
+
+
+class MalformedEndpointListError(MalformedInputError):
+    """An endpoint list can't be used."""
+
+
+class InvalidSettingError(DunecoveError, ValueError):
+    """A setting has a value that no deployment can have."""
+
+    def __init__(self, setting: str, problem: str, class_index: int | None = None) -> None:
+        """Name the field of `Settings`, or that of the request class at `class_index`."""
+        self.setting = setting
+        self.problem = problem
+        self.class_index = class_index
+        super().__init__(self.describe(setting))
+
+    def describe(self, key: str) -> str:
+        """Return the error's text with `key` as the setting's name."""
+        prefix = "" if self.class_index is None else f"class {self.class_index}: "
+        return f"{prefix}{key} {self.problem}"
+
+
+class ConfigurationError(DunecoveError):
+    """The proxy's configuration can't be used."""
+
+
+class UnreadableFileError(ConfigurationError):
+    """The configuration file could not be read at all; `errno` says why."""
+
+    def __init__(self, path: str, error: OSError) -> None:
+        """Name the file and the system's reason."""
+        super().__init__(f"{path}: {error.strerror}")
+        self.errno = error.errno
--- a/dunecove/policy/settings.py
+++ b/dunecove/policy/settings.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass
 from math import inf
 
+from dunecove.errors import InvalidSettingError
 from dunecove.policy.models import DeduplicationScope, Idempotency
 
 
@@ -53,20 +54,20 @@
     slow_start_window_ms: float = 1000.0  # for this long
 
     def check(self) -> None:
-        """Raise ValueError for settings that no deployment can have."""
+        """Raise InvalidSettingError for settings that no deployment can have."""
         if not self.classes:
-            raise ValueError("classes: settings name no request class")
-        for number, request_class in enumerate(self.classes):
-            _check_class(request_class, f"class {number}: ")
+            raise InvalidSettingError("classes", "names no request class")
+        for class_index, request_class in enumerate(self.classes):
+            _check_class(request_class, class_index)
         if not any(request_class.priority_weight > 0 for request_class in self.classes):
-            raise ValueError("priority_weight: no class is worth anything")
+            raise InvalidSettingError("priority_weight", "must be above 0 for at least one class")
         for name in ("proxy_count", "max_attempts", "zone_count"):
             if not getattr(self, name) >= 1:
-                raise ValueError(f"{name} must be at least 1")
+                raise InvalidSettingError(name, f"must be at least 1: {getattr(self, name)!r}")
         _check_positive(self, _POSITIVE)
         _check_not_negative(self, _NOT_NEGATIVE)
         if not all(0 <= quota < inf for quota in self.tenant_quotas):
-            raise ValueError("tenant_quotas must not be negative or infinite")
+            raise InvalidSettingError("tenant_quotas", "must not be negative or infinite")
 
 
 _POSITIVE = (
@@ -84,22 +85,30 @@
 )
 
 
-def _check_class(request_class: RequestClass, prefix: str) -> None:
-    _check_positive(request_class, ("latency_objective_ms", "deadline_ms"), prefix)
-    _check_not_negative(request_class, ("priority_weight", "late_weight", "dedup_window_ms"), prefix)
+def _check_class(request_class: RequestClass, class_index: int) -> None:
+    _check_positive(request_class, ("latency_objective_ms", "deadline_ms"), class_index)
+    _check_not_negative(request_class, ("priority_weight", "late_weight", "dedup_window_ms"), class_index)
     if not isinstance(request_class.idempotency, Idempotency):
-        raise ValueError(f"{prefix}idempotency is unknown: {request_class.idempotency!r}")
+        problem = f"is unknown: {request_class.idempotency!r}"
+        raise InvalidSettingError("idempotency", problem, class_index)
     if not isinstance(request_class.dedup_scope, DeduplicationScope):
-        raise ValueError(f"{prefix}dedup_scope is unknown: {request_class.dedup_scope!r}")
+        problem = f"is unknown: {request_class.dedup_scope!r}"
+        raise InvalidSettingError("dedup_scope", problem, class_index)
 
 
-def _check_positive(checked: RequestClass | Settings, names: Iterable[str], prefix: str = "") -> None:
+def _check_positive(
+    checked: RequestClass | Settings, names: Iterable[str], class_index: int | None = None
+) -> None:
     for name in names:
-        if not 0 < getattr(checked, name) < inf:
-            raise ValueError(f"{prefix}{name} must be above 0 and finite")
+        value = getattr(checked, name)
+        if not 0 < value < inf:
+            raise InvalidSettingError(name, f"must be above 0 and finite: {value!r}", class_index)
 
 
-def _check_not_negative(checked: RequestClass | Settings, names: Iterable[str], prefix: str = "") -> None:
+def _check_not_negative(
+    checked: RequestClass | Settings, names: Iterable[str], class_index: int | None = None
+) -> None:
     for name in names:
-        if not 0 <= getattr(checked, name) < inf:
-            raise ValueError(f"{prefix}{name} must not be negative or infinite")
+        value = getattr(checked, name)
+        if not 0 <= value < inf:
+            raise InvalidSettingError(name, f"must not be negative or infinite: {value!r}", class_index)
--- a/dunecove/proxy/discovery_client.py
+++ b/dunecove/proxy/discovery_client.py
@@ -15,13 +15,15 @@
 
 import orjson
 
+from dunecove.errors import MalformedEndpointListError
 from dunecove.policy.models import BackendInfo, BackendState
 from dunecove.proxy.http1 import Exchange, Response, split_address
 from dunecove.proxy.incremental_json import consumed, in_pieces
 from dunecove.proxy.sharded_table import Table
-from dunecove.settings import Malformed, Wire, choice, listing, mapping, number, text, whole
+from dunecove.wire.endpoint_list import BACKEND_STATES
+from dunecove.wire.fields import as_array, as_choice, as_integer, as_number, as_object, as_string
+from dunecove.wire.settings import ProxySettings
 
-STATES = {"active": BackendState.ACTIVE, "leaving": BackendState.DRAINING, "left": BackendState.REMOVED}
 FIRST_WAIT_MS = 1  # a new watch asks for what is known now, so that success shows at once
 # What a silent watch misses counts as told 6 s after it fell silent. By then it must have been found silent,
 # opened anew, and once more if connecting hangs; so it waits for a second and is given a second to answer.
@@ -85,7 +87,7 @@
     """The number of a zone or kind; one that the settings do not name gets the next."""
     if value is None:
         return 0
-    return value if type(value) is int else names.setdefault(text(value, member), len(names))
+    return value if type(value) is int else names.setdefault(as_string(value, member), len(names))
 
 
 def check_ip(host: str) -> None:
@@ -96,32 +98,32 @@
         ip_address(host)
 
 
-def read_target(raw: object, wire: Wire) -> Target:
-    entry = mapping(raw, "targets")
-    uid, started = text(entry["uid"], "uid"), entry.get("boot_ms")
-    host, port = split_address(text(entry["endpoint"], "endpoint"))
+def read_target(raw: object, wire: ProxySettings) -> Target:
+    entry = as_object(raw, "targets")
+    uid, started = as_string(entry["uid"], "uid"), entry.get("boot_ms")
+    host, port = split_address(as_string(entry["endpoint"], "endpoint"))
     check_ip(host)
     info = BackendInfo(
         uid,
-        choice(STATES, entry["state"], "state"),
+        as_choice(BACKEND_STATES, entry["state"], "state"),
         place(wire.zones, entry.get("az"), "az"),
         place(wire.kinds, entry.get("model"), "model"),
-        whole(entry.get("pod_group") or 0, "pod_group"),
-        number(started, "boot_ms") if started else None,
-        number(entry.get("capacity_hint") or 1, "capacity_hint"),
+        as_integer(entry.get("pod_group") or 0, "pod_group"),
+        as_number(started, "boot_ms") if started else None,
+        as_number(entry.get("capacity_hint") or 1, "capacity_hint"),
     )
     return Target(uid, host, port, info)
 
 
-def read_listing(raw: object, wire: Wire) -> Listing:
+def read_listing(raw: object, wire: ProxySettings) -> Listing:
     try:
-        data = mapping(raw, "list")
-        targets = tuple(read_target(entry, wire) for entry in listing(data["targets"], "targets"))
-        return Listing(whole(data["rev"], "rev"), data["all"] is True, targets)
+        data = as_object(raw, "list")
+        targets = tuple(read_target(entry, wire) for entry in as_array(data["targets"], "targets"))
+        return Listing(as_integer(data["rev"], "rev"), data["all"] is True, targets)
     except KeyError as error:
-        raise Malformed(f"list: {error.args[0]} is missing") from None
+        raise MalformedEndpointListError(f"list: {error.args[0]} is missing") from None
     except ValueError as error:
-        raise Malformed(f"list: {error}") from None
+        raise MalformedEndpointListError(f"list: {error}") from None
 
 
 class Saved(NamedTuple):
@@ -132,12 +134,12 @@
     table: Table
 
 
-def read_saved(raw: object, wire: Wire, ahead: Iterable[list[Any]]) -> Saved:
+def read_saved(raw: object, wire: ProxySettings, ahead: Iterable[list[Any]]) -> Saved:
     """`ahead` has the entries that are not in `raw`; of a long list no more than some are there at a time."""
     try:
-        data, saved = mapping(raw, "list"), Table()
+        data, saved = as_object(raw, "list"), Table()
         uids: list[str] = []
-        for entries in chain(ahead, [listing(data["targets"], "targets")]):
+        for entries in chain(ahead, [as_array(data["targets"], "targets")]):
             for entry in entries:
                 target = read_target(entry, wire)
                 held = saved.of(target.uid)
@@ -147,11 +149,11 @@
                     held[target.uid] = pack(target)
                 else:
                     held.pop(target.uid, None)
-        return Saved(whole(data["rev"], "rev"), uids, saved)
+        return Saved(as_integer(data["rev"], "rev"), uids, saved)
     except KeyError as error:
-        raise Malformed(f"list: {error.args[0]} is missing") from None
+        raise MalformedEndpointListError(f"list: {error.args[0]} is missing") from None
     except ValueError as error:
-        raise Malformed(f"list: {error}") from None
+        raise MalformedEndpointListError(f"list: {error}") from None
 
 
 class Call(Exchange):
@@ -198,7 +200,7 @@
     def __init__(
         self,
         address: str,
-        wire: Wire,
+        wire: ProxySettings,
         rev: int | None,
         on_list: Callable[[Listing], None],
         on_failure: Callable[[str], None],
@@ -325,7 +327,7 @@
             path += f"?since={self.rev}&timeout_ms={wait}"
         response = await call.get(f"GET {path} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode())
         if response.status != 200:
-            raise Malformed(f"status {response.status}")
+            raise MalformedEndpointListError(f"status {response.status}")
         return [response.body, *response.rest]
 
     async def _take(self, parts: Parts) -> int:
@@ -337,7 +339,7 @@
             if news.whole and len(self.held) > LONG_HELD:
                 return await self._take_long(parts)
         except orjson.JSONDecodeError as error:
-            raise Malformed(f"not JSON: {error}") from None
+            raise MalformedEndpointListError(f"not JSON: {error}") from None
         self.on_list(news)
         return news.rev
 
@@ -373,20 +375,20 @@
                 try:
                     look(next(reading))
                 except StopIteration as end:
-                    rest = mapping(end.value, "list")
+                    rest = as_object(end.value, "list")
                     break
                 await asyncio.sleep(0)
-            last = listing(rest["targets"], "targets")
+            last = as_array(rest["targets"], "targets")
             for at in range(0, len(last), PIECE):
                 look(last[at : at + PIECE])
                 await asyncio.sleep(0)
-            rev, is_whole = whole(rest["rev"], "rev"), rest["all"] is True
+            rev, is_whole = as_integer(rest["rev"], "rev"), rest["all"] is True
         except KeyError as error:
-            raise Malformed(f"list: {error.args[0]} is missing") from None
+            raise MalformedEndpointListError(f"list: {error.args[0]} is missing") from None
         except orjson.JSONDecodeError:
             raise
         except ValueError as error:
-            raise Malformed(f"list: {error}") from None
+            raise MalformedEndpointListError(f"list: {error}") from None
         while news:
             self.on_list(Listing(rev, False, tuple(unpack(*pair) for pair in news.popleft().items())))
             await asyncio.sleep(0)
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -48,7 +48,7 @@
 from dunecove.proxy.gossip import Peers
 from dunecove.proxy.http1 import Response
 from dunecove.proxy.telemetry import Telemetry, log
-from dunecove.settings import Wire
+from dunecove.wire.settings import ProxySettings
 
 MODULE_REST_S = 0.1  # s from the end of a broken module to the first step of the next
 KNOWN_S = 4.0  # s at least that an id is remembered after its request came: no client waits for longer
@@ -92,7 +92,7 @@
 
 
 class Engine:
-    def __init__(self, settings: Settings, wire: Wire, seed: int, most_connections: int) -> None:
+    def __init__(self, settings: Settings, wire: ProxySettings, seed: int, most_connections: int) -> None:
         self.settings, self.seed = settings, seed
         self.telemetry = Telemetry()
         self.balancer = Balancer(settings, seed)
--- a/dunecove/proxy/request_parser.py
+++ b/dunecove/proxy/request_parser.py
@@ -13,7 +13,7 @@
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.engine import Answer, Taken
 from dunecove.proxy.http1 import MAX_BODY, Headers
-from dunecove.settings import Wire
+from dunecove.wire.settings import ProxySettings
 
 # What goes on to a backend. Anything else is the client's own affair, and one way less to make a backend
 # hang up, and so fail a request that it was made to look guilty of.
@@ -85,7 +85,7 @@
 class Reader:
     """Knows the deployment's classes and tenants."""
 
-    def __init__(self, settings: Settings, wire: Wire) -> None:
+    def __init__(self, settings: Settings, wire: ProxySettings) -> None:
         self.settings, self.wire = settings, wire
 
     def read(self, message: Message, answer: Callable[[Answer], None], gone: Callable[[], bool]) -> Taken:
--- /dev/null
+++ b/dunecove/wire/settings.py
@@ -0,0 +1,147 @@
+"""The settings of a deployment as JSON, read for both programs: the simulator's adapter and the proxy."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from math import inf
+
+from dunecove.errors import InvalidFieldError, InvalidSettingError
+from dunecove.policy.models import DeduplicationScope, Idempotency
+from dunecove.policy.settings import RequestClass, Settings
+from dunecove.wire.fields import (
+    JsonObject,
+    as_array,
+    as_choice,
+    as_integer,
+    as_number,
+    as_object,
+    as_objects,
+    as_string,
+    default_if_none,
+    required,
+)
+
+_IDEMPOTENCY = {
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.KEYED,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
+}
+_DEDUPLICATION_SCOPES = {scope.value: scope for scope in DeduplicationScope}
+# By field of `Settings` and `RequestClass`: its key in JSON. Errors name that.
+_SETTING_KEYS = {
+    "classes": "Lanes",
+    "latency_objective_ms": "AimMs",
+    "deadline_ms": "HardLimitMs",
+    "idempotency": "Effect",
+    "dedup_scope": "KeyScope",
+    "dedup_window_ms": "KeyTtlMs",
+    "priority_weight": "Points",
+    "late_weight": "LateWorth",
+    "proxy_count": "Balancers",
+    "proxy_index": "Me",
+    "zone_count": "Dcs",
+    "tenant_quotas": "QuotaPerS",
+    "over_quota_weight": "OverShareWorth",
+    "step_interval_ms": "TickMs",
+    "max_poll_interval_ms": "MustAskInMs",
+    "max_retry_after_ms": "MaxRetryAfterMs",
+    "max_attempts": "MostTries",
+    "slow_start_capacity": "StartCapacity",
+    "slow_start_ms": "ColdMs",
+    "slow_start_overload_factor": "FallMultiple",
+    "slow_start_window_ms": "OverloadForMs",
+}
+
+
+def read_settings(info: JsonObject) -> Settings:
+    """Return the settings, checked; MalformedInputError with the key of what is wrong."""
+    limits = as_object(info.get("Limits") or {}, "Limits")
+    obligations = as_object(info.get("Obligations") or {}, "Obligations")
+    domain = as_object(info.get("Domain") or {}, "Domain")
+    tenants = as_objects(info.get("Projects") or [], "Projects")
+    settings = Settings(
+        classes=tuple(_read_class(entry) for entry in as_objects(required(info, "Lanes"), "Lanes")),
+        proxy_count=as_integer(default_if_none(info, "Balancers", 1), "Balancers"),
+        proxy_index=as_integer(default_if_none(info, "Me", 0), "Me"),
+        zone=as_integer(info.get("Az") or 0, "Az"),
+        zone_count=max(1, len(as_array(info.get("Dcs") or [], "Dcs"))),
+        tenant_quotas=tuple(as_number(required(tenant, "QuotaPerS"), "QuotaPerS") for tenant in tenants),
+        over_quota_weight=as_number(default_if_none(info, "OverShareWorth", 1), "OverShareWorth"),
+        step_interval_ms=as_number(default_if_none(info, "TickMs", 1), "TickMs"),
+        polls_discovery=info.get("Discovery") == "ask",
+        max_poll_interval_ms=as_number(default_if_none(obligations, "MustAskInMs", 10000), "MustAskInMs"),
+        may_cancel=bool(limits.get("MayCancel")),
+        may_hedge=bool(limits.get("MayDuplicate")),
+        may_health_check=bool(limits.get("Probes")),
+        may_gossip=bool(limits.get("Peers")),
+        sends_retry_after=bool(limits.get("RetryAfter")),
+        max_retry_after_ms=as_number(limits.get("MaxRetryAfterMs") or 0, "MaxRetryAfterMs"),
+        max_attempts=as_integer(default_if_none(limits, "MostTries", 1), "MostTries"),
+        key_affinity=bool(domain.get("WarmKeys")),
+        slow_start_capacity=as_number(default_if_none(obligations, "StartCapacity", 1), "StartCapacity"),
+        slow_start_ms=as_number(obligations.get("ColdMs") or 0, "ColdMs"),
+        slow_start_overload_factor=as_number(default_if_none(obligations, "FallMultiple", 2), "FallMultiple"),
+        slow_start_window_ms=as_number(default_if_none(obligations, "OverloadForMs", 1000), "OverloadForMs"),
+    )
+    try:
+        settings.check()
+    except InvalidSettingError as error:
+        raise InvalidFieldError(error.describe(_SETTING_KEYS[error.setting])) from None
+    return settings
+
+
+def _read_class(entry: JsonObject) -> RequestClass:
+    return RequestClass(
+        latency_objective_ms=as_number(required(entry, "AimMs"), "AimMs"),
+        deadline_ms=as_number(required(entry, "HardLimitMs"), "HardLimitMs"),
+        idempotency=as_choice(_IDEMPOTENCY, required(entry, "Effect"), "Effect"),
+        dedup_scope=as_choice(_DEDUPLICATION_SCOPES, entry.get("KeyScope") or "all", "KeyScope"),
+        dedup_window_ms=as_number(entry.get("KeyTtlMs") or 0, "KeyTtlMs"),
+        priority_weight=as_number(default_if_none(entry, "Points", 1), "Points"),
+        late_weight=as_number(entry.get("LateWorth") or 0, "LateWorth"),
+        streams_response=bool(entry.get("Stream")),
+    )
+
+
+@dataclass(frozen=True, slots=True)
+class ProxySettings:
+    """What only a proxy on sockets needs: the names that clients and discovery use, and connection limits.
+
+    The names are mapped to the indexes that `Settings`, events and actions use.
+    """
+
+    classes: dict[str, int]
+    tenants: dict[str, int]
+    zones: dict[str, int]
+    kinds: dict[str, int]
+    connect_timeout_ms: float
+    conn_idle_ms: float
+    drain_grace_ms: float = inf  # from being told of a drain to the last attempt that may be written
+
+
+def read_proxy_settings(info: JsonObject) -> ProxySettings:
+    """Return the proxy's own part of the settings; MalformedInputError with the key of what is wrong."""
+    limits = as_object(info.get("Limits") or {}, "Limits")
+    obligations = as_object(info.get("Obligations") or {}, "Obligations")
+    classes = as_objects(required(info, "Lanes"), "Lanes")
+    tenants = as_objects(info.get("Projects") or [], "Projects")
+    return ProxySettings(
+        classes=_index_by_name([required(entry, "Name") for entry in classes], "Name"),
+        tenants=_index_by_name([required(entry, "Name") for entry in tenants], "Name"),
+        zones=_index_by_name(as_array(info.get("Dcs") or [], "Dcs"), "Dcs"),
+        kinds=_index_by_name(as_array(info.get("Kinds") or [], "Kinds"), "Kinds"),
+        connect_timeout_ms=_as_duration(limits, "ConnectTimeoutMs", 250),
+        conn_idle_ms=_as_duration(limits, "ConnIdleMs", 15000),
+        drain_grace_ms=as_number(default_if_none(obligations, "DrainGraceMs", inf), "DrainGraceMs"),
+    )
+
+
+def _index_by_name(names: list[object], key: str) -> dict[str, int]:
+    return {as_string(name, key): index for index, name in enumerate(names)}
+
+
+def _as_duration(limits: JsonObject, key: str, default: float) -> float:
+    duration = as_number(default_if_none(limits, key, default), key)
+    if not 0 < duration < inf:
+        raise InvalidFieldError(f"{key} must be above 0 and finite: {duration}")
+    return duration
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -24,7 +24,7 @@
 from dunecove.policy.models import AttemptResult
 from dunecove.proxy.connection_pool import Backends
 from dunecove.proxy.discovery_client import Discovery, Listing, read_listing
-from dunecove.settings import read_settings, read_wire
+from dunecove.wire.settings import read_proxy_settings, read_settings
 from scale.fleet.account import ACCOUNT, Account
 from scale.fleet.world import LEAVING, LEFT, REGIONS, ZONES, Rules, World, region_of, zone_name
 
@@ -95,7 +95,7 @@
         self.stop()
         self.account.start(self.loop.time())
         # The program reads its configuration at the start only; a whole list is not shared between proxies.
-        self.settings, self.wire = read_settings(self.info), read_wire(self.info)
+        self.settings, self.wire = read_settings(self.info), read_proxy_settings(self.info)
         listing = read_listing(orjson.loads(known), self.wire)
         self.backends = Backends(self.wire.connect_timeout_ms, self.wire.conn_idle_ms, 1)
         self.balancer = Balancer(self.settings, self.seed * 100_003 + self.number)
--- a/scale/held.py
+++ b/scale/held.py
@@ -27,7 +27,7 @@
 from dunecove.proxy.gossip import Peers, Tier
 from dunecove.proxy.listener import Frontend
 from dunecove.proxy.request_parser import Reader
-from dunecove.settings import read_settings, read_wire
+from dunecove.wire.settings import read_proxy_settings, read_settings
 from scale import made
 
 PROXIES = 3400
@@ -35,26 +35,26 @@
 
 
 def engine_with(info: dict[str, Any], seed: int, most: int = 100) -> Engine:
-    return Engine(read_settings(info), read_wire(info), seed, most)
+    return Engine(read_settings(info), read_proxy_settings(info), seed, most)
 
 
 async def backends(count: int, seed: int) -> object:
     info = made.settings(PROXIES)
     engine = engine_with(info, seed)
-    listing = read_listing(orjson.loads(made.list_bytes(1, count)), read_wire(info))
+    listing = read_listing(orjson.loads(made.list_bytes(1, count)), read_proxy_settings(info))
     engine.on_list(listing, ListUpdateKind.SNAPSHOT)
     return engine
 
 
 async def classes(count: int, seed: int) -> object:
     info = made.settings(PROXIES, classes=count)
-    return Balancer(read_settings(info), seed), Reader(read_settings(info), read_wire(info))
+    return Balancer(read_settings(info), seed), Reader(read_settings(info), read_proxy_settings(info))
 
 
 async def tenants(count: int, seed: int) -> object:
     info = made.settings(PROXIES, tenants=count)
     settings = read_settings(info)
-    return Balancer(settings, seed), Reader(settings, read_wire(info))
+    return Balancer(settings, seed), Reader(settings, read_proxy_settings(info))
 
 
 async def peers(count: int, seed: int) -> object:
@@ -68,8 +68,8 @@
     engine = engine_with(info, seed, 2000)
     at = os.environ["SCALE_BACKEND"]
     listing = made.listing(1, [made.entry(number, endpoint=at) for number in range(POOLS)])
-    engine.on_list(read_listing(listing, read_wire(info)), ListUpdateKind.SNAPSHOT)
-    frontend = Frontend(engine, Reader(read_settings(info), read_wire(info)), 2000)
+    engine.on_list(read_listing(listing, read_proxy_settings(info)), ListUpdateKind.SNAPSHOT)
+    frontend = Frontend(engine, Reader(read_settings(info), read_proxy_settings(info)), 2000)
     frontend.listen("127.0.0.1:0")
     return engine, frontend, frontend.address
 
--- a/scale/messages.py
+++ b/scale/messages.py
@@ -19,7 +19,7 @@
     TimerFired,
 )
 from dunecove.policy.models import AttemptResult
-from dunecove.settings import read_settings
+from dunecove.wire.settings import read_settings
 from scale import made
 from scale.measures import Plan, Series, Values, measure
 
--- a/scale/module.py
+++ b/scale/module.py
@@ -10,7 +10,7 @@
 from dunecove.policy.events import AttemptEnded, BackendListUpdate, ListUpdateKind, RequestArrived
 from dunecove.policy.events import TimerFired as Beat
 from dunecove.policy.models import AttemptResult, BackendInfo, BackendState
-from dunecove.settings import read_settings
+from dunecove.wire.settings import read_settings
 from scale import made
 from scale.measures import Plan, Series, Trouble, Values, measure, spent_ms
 
--- a/scale/wire.py
+++ b/scale/wire.py
@@ -8,7 +8,7 @@
 
 from dunecove.proxy.connection_pool import Backends
 from dunecove.proxy.discovery_client import Discovery, Listing, read_listing
-from dunecove.settings import read_wire
+from dunecove.wire.settings import read_proxy_settings
 from scale import made
 from scale.measures import Plan, Series, Trouble, Values, measure, spent_ms
 from scale.registry import HEAD, Exchanged, Registry, change, nothing
@@ -23,7 +23,7 @@
     Series("parse", "ms", "the bytes of a whole list become a Listing: orjson and read_listing"),
 )
 def parse(plan: Plan, size: int) -> Values:
-    body, wire = made.list_bytes(1, size), read_wire(made.settings(plan.proxies))
+    body, wire = made.list_bytes(1, size), read_proxy_settings(made.settings(plan.proxies))
     return {
         "parse-json": spent_ms(lambda: orjson.loads(body)),
         "parse": spent_ms(lambda: read_listing(orjson.loads(body), wire)),
@@ -38,7 +38,7 @@
     Series("pools-change", "ms", "Backends takes a change of two entries"),
 )
 def pools(plan: Plan, size: int) -> Values:
-    wire = read_wire(made.settings(plan.proxies))
+    wire = read_proxy_settings(made.settings(plan.proxies))
     known = read_listing(orjson.loads(made.list_bytes(1, size)), wire)
     again = read_listing(orjson.loads(made.list_bytes(1, size)), wire)
     news = read_listing(orjson.loads(change(2, 2)), wire)
@@ -60,7 +60,7 @@
         registry.news.update(news)
 
         async def run() -> None:
-            wire = read_wire(made.settings(plan.proxies))
+            wire = read_proxy_settings(made.settings(plan.proxies))
             failures: list[str] = []
             discovery = Discovery(registry.address, wire, rev, taken, failures.append)
             discovery.watch()
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -11,12 +11,12 @@
 import pytest
 
 from dunecove.__main__ import Config, start
-from dunecove.adapter import Host
+from dunecove.adapter import Adapter
+from dunecove.errors import ConfigurationError
 from dunecove.policy.actions import SendGossip
 from dunecove.policy.events import BackendListUpdate, GossipReceived, ListUpdateKind
 from dunecove.policy.models import AttemptResult
 from dunecove.proxy.gossip import Peers, Tier
-from dunecove.settings import Malformed
 from tests.loopback import configuration, run
 from tests.support import Driver, fleet, of, settings
 
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize("bad", [{"peers": "x"}, {"peer_listen": "here"}, {"peers_all": 5}])
 def test_bad_addresses_of_peers_are_named(tmp_path: Path, bad: dict[str, Any]) -> None:
     good = {"peer_listen": "127.0.0.1:1", "peers": ["127.0.0.1:1"], "peers_all": "127.0.0.1:2"}
-    with pytest.raises(Malformed, match="peer|address"):
+    with pytest.raises(ConfigurationError, match="peer|address"):
         with_peers(tmp_path, **(good | bad))
 
 
@@ -174,11 +174,11 @@
         "Balancers": 40,
         "Limits": {"Peers": True},
     }
-    host = Host()
+    adapter = Adapter()
 
     def batch(now: float, *news: dict[str, Any]) -> list[dict[str, Any]]:
         line = json.dumps({"TsMs": now, "news": [entry | {"ProxyId": 0} for entry in news]})
-        reply: list[dict[str, Any]] = json.loads(host.batch(line.encode()))["cmds"]
+        reply: list[dict[str, Any]] = json.loads(adapter.handle_batch(line.encode()))["cmds"]
         return reply
 
     entry = {"Backend": "10.0.0.1:80", "State": "active"}
@@ -194,5 +194,5 @@
     assert told["Recipient"] == "all"
     heard = {"what": "FromPeer", "Raw": told["Raw"]}
     batch(10.0, heard | {"SrcPeer": 7}, heard | {"SrcPeer": 8})
-    (server,) = host.instances[0][0].servers.values()
+    (server,) = adapter.instances[0].balancer.servers.values()
     assert [by for _, by in server.blames] == [0, 7, 8]
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -19,7 +19,7 @@
 from dunecove.policy.models import BackendState
 from dunecove.proxy import discovery_client as discovery_client_module
 from dunecove.proxy.discovery_client import MIB, Discovery, Listing
-from dunecove.settings import Wire
+from dunecove.wire.settings import ProxySettings
 from tests.loopback import Call, Peer, listing, proxy, run, target
 from tests.support import Driver, fleet, of, settings
 
@@ -28,7 +28,7 @@
 
 class Heard:
     def __init__(self, address: str) -> None:
-        wire = Wire({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
+        wire = ProxySettings({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
         self.lists: asyncio.Queue[Listing] = asyncio.Queue()
         self.failures: asyncio.Queue[str] = asyncio.Queue()
         self.discovery = Discovery(address, wire, 41, self.lists.put_nowait, self.failures.put_nowait)
@@ -204,7 +204,7 @@
 
 
 def times(pushed: bool, grace_ms: float) -> Discovery:
-    wire = Wire({}, {}, {}, {}, 1000.0, 1000.0, grace_ms)
+    wire = ProxySettings({}, {}, {}, {}, 1000.0, 1000.0, grace_ms)
     return Discovery(ADDRESS, wire, 1, lambda _: None, lambda _: None, pushed)
 
 
--- a/tests/proxy/test_incremental_json.py
+++ b/tests/proxy/test_incremental_json.py
@@ -16,11 +16,12 @@
 from hypothesis import strategies as st
 
 from dunecove.__main__ import Config
+from dunecove.errors import ConfigurationError, MalformedEndpointListError
 from dunecove.policy.models import BackendState
 from dunecove.proxy import incremental_json
 from dunecove.proxy.discovery_client import LONG_BYTES, PIECE, Discovery, Listing, check_ip, pack, unpack
 from dunecove.proxy.incremental_json import consumed, in_pieces
-from dunecove.settings import Malformed, Wire
+from dunecove.wire.settings import ProxySettings
 from tests.loopback import Proxy, configuration, listing, proxy, run, target
 
 TEXT = st.text(alphabet='ab{}[],:"\\ \n', max_size=8)
@@ -118,7 +119,7 @@
     """A watch whose news change what it holds, and a count of the loop's turns."""
 
     def __init__(self) -> None:
-        wire = Wire({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
+        wire = ProxySettings({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
         self.told: list[tuple[int, Listing]] = []
         self.turns = 0
         self.discovery = Discovery("127.0.0.1:9", wire, 1, self.on_list, lambda _: None)
@@ -188,12 +189,12 @@
         before = watched.held()
         watched.told.clear()
         bad = [*entries(1, 7, "leaving"), *entries(1500, 1000), {"uid": "odd"}]
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedEndpointListError):
             await watched.take(listing(3, *bad))
         assert watched.held() == before - {"s-00000007"}
         assert [news.rev for _, news in watched.told] == [1]  # nothing newer is held: it is asked for again
         assert watched.told[0][0] < watched.turns - 5  # long before the fault was met
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedEndpointListError):
             await watched.take({"rev": 3, "targets": entries(900)})
 
     run(test())
@@ -238,7 +239,7 @@
 
 
 def test_a_list_beyond_what_memory_bears_is_a_failed_call() -> None:
-    wire = Wire({}, {}, {}, {}, 1000.0, 1000.0)
+    wire = ProxySettings({}, {}, {}, {}, 1000.0, 1000.0)
     most = [
         Discovery("127.0.0.1:9", wire, 1, lambda _: None, lambda _: None, memory_mb=mb).most
         for mb in (16.0, 192.0)
@@ -258,7 +259,7 @@
     assert len(Config({"LB_CONFIG": str(path)}, again=True).known.uids) < 200
     bad = config | {"known": listing(7, *entries(900), {"uid": "odd"}, *entries(900, 900))}
     path.write_text(json.dumps(bad))
-    with pytest.raises(Malformed, match="endpoint"):
+    with pytest.raises(ConfigurationError, match="endpoint"):
         Config({"LB_CONFIG": str(path)})
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from dunecove.adapter import Host, read_arrival
+from dunecove.adapter import Adapter
 from dunecove.policy.balancer import Balancer
-from dunecove.policy.events import RequestArrived
+from dunecove.wire.simulator import read_request_arrived
 
 INFO: dict[str, Any] = {
     "Balancers": 2,
@@ -85,19 +85,19 @@
     def broken(*_: object) -> None:
         raise ZeroDivisionError("by a latency of nothing")
 
-    host = Host()
-    host.batch(batch(1, *START).encode())
+    adapter = Adapter()
+    adapter.handle_batch(batch(1, *START).encode())
     monkeypatch.setattr(Balancer, "step", broken)
-    reply = json.loads(host.batch(batch(2, CALL).encode()))
+    reply = json.loads(adapter.handle_batch(batch(2, CALL).encode()))
     assert reply["cmds"] == [
         {"what": "GiveIn", "ProxyId": 3, "Msg": "ZeroDivisionError: by a latency of nothing"}
     ]
 
 
 def test_the_registered_size_is_read() -> None:
-    host = Host()
-    host.batch(batch(1, START[0], START[1] | {"Records": [ENTRY | {"Rating": 2.5}]}).encode())
-    assert [s.weight for s in host.instances[3][0].active] == [2.5]
+    adapter = Adapter()
+    adapter.handle_batch(batch(1, START[0], START[1] | {"Records": [ENTRY | {"Rating": 2.5}]}).encode())
+    assert [s.weight for s in adapter.instances[3].balancer.active] == [2.5]
 
 
 def without(event: dict[str, Any], member: str) -> dict[str, Any]:
@@ -140,5 +140,4 @@
 @pytest.mark.parametrize(("bits", "work"), [(0, 0.0), (1, 12.5), (3, 12.5)])
 def test_a_hint_of_the_work_counts_only_where_it_is_said_to_be_valid(bits: int, work: float) -> None:
     raw = {"Call": "a", "Lane": 0, "GiveUpAtMs": 9.0, "EffortMs": 12.5, "Bitmap": bits}
-    arrival = read_arrival(raw, 1)
-    assert isinstance(arrival, RequestArrived) and arrival.work_hint_ms == work
+    assert read_request_arrived(raw, 1).work_hint_ms == work
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -77,8 +77,8 @@
         (GOOD | {"limits": {"memory_mb": 0}}, "memory_mb"),
         (GOOD | {"settings": {"Lanes": []}}, "class"),
         (GOOD | {"settings": {}}, "Lanes"),
-        (GOOD | {"settings": GOOD["settings"] | {"TickMs": 0}}, "step_interval_ms"),
-        (GOOD | {"settings": GOOD["settings"] | {"Limits": {"ConnIdleMs": -1}}}, "conn_idle_ms"),
+        (GOOD | {"settings": GOOD["settings"] | {"TickMs": 0}}, "TickMs"),
+        (GOOD | {"settings": GOOD["settings"] | {"Limits": {"ConnIdleMs": -1}}}, "ConnIdleMs"),
     ],
 )
 def test_a_bad_configuration_ends_it_with_one_plain_line(tmp_path: Path, config: Any, words: str) -> None:
