--- /dev/null
+++ b/dunecove/config.py
@@ -0,0 +1,157 @@
+"""The configuration of a proxy, from its environment and a JSON file, and what follows from its limits."""
+
+from __future__ import annotations
+
+import resource
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, replace
+from math import inf
+from typing import Any, NamedTuple
+
+import orjson
+
+from dunecove.errors import ConfigurationError, InvalidFieldError, MalformedInputError, UnreadableFileError
+from dunecove.policy.settings import Settings
+from dunecove.proxy.discovery_client import Saved, check_ip, read_saved
+from dunecove.proxy.gossip import PeerAddresses
+from dunecove.proxy.http1 import split_address
+from dunecove.proxy.incremental_json import in_pieces, read, without
+from dunecove.wire.fields import (
+    JsonObject,
+    as_array,
+    as_integer,
+    as_number,
+    as_object,
+    as_string,
+    default_if_none,
+    required,
+)
+from dunecove.wire.settings import ProxySettings, read_proxy_settings, read_settings
+
+DISCOVERY_VARIABLE = "LB_DISCOVERY"
+DEFAULT_MAX_DESCRIPTORS = 1024
+DEFAULT_MEMORY_MB = 192
+MIN_DESCRIPTORS = 32  # with fewer hardly anybody could be served
+# Descriptors for the program itself, discovery, and those that are just closing.
+RESERVED_DESCRIPTORS = 40
+# With few descriptors a quarter of them, but no fewer than these: a running program has 16 of its own, peers
+# and discovery among them, and one more for each connection that is accepted or opened as another closes.
+MIN_RESERVED_DESCRIPTORS = 24
+# Of the other descriptors: clients hold a third of all for requests at most, each in flight once or waiting
+# here, and beside them there are kept and silent ones.
+BACKEND_SHARE = 0.42
+
+
+class ConnectionLimits(NamedTuple):
+    """How many connections there may be."""
+
+    clients: int
+    backends: int
+
+
+@dataclass(frozen=True, slots=True)
+class Config:
+    """What the platform tells the proxy, checked."""
+
+    name: str
+    listen_address: str
+    discovery_address: str
+    seed: int
+    settings: Settings
+    proxy_settings: ProxySettings
+    cached_list: Saved
+    max_descriptors: int
+    memory_mb: float
+    peer_addresses: PeerAddresses | None  # None where there is no gossip
+
+
+def read_config(environment: Mapping[str, str], *, skips_long_list: bool = False) -> Config:
+    """Return the configuration; ConfigurationError with a text for a person if it can't be used.
+
+    With `skips_long_list` the entries of a long cached list are passed over, as a running proxy has no use
+    for them.
+    """
+    path = environment.get("LB_CONFIG")
+    if not path:
+        raise ConfigurationError("LB_CONFIG is not set")
+    try:
+        fields, has_long_list = _read_outline(path)
+        entries = in_pieces(read(path), "known") if has_long_list and not skips_long_list else ()
+        return _parse(fields, environment, entries)
+    except (MalformedInputError, ValueError) as error:
+        raise ConfigurationError(f"{path}: {error}") from None
+
+
+def connection_limits(max_descriptors: int) -> ConnectionLimits:
+    """Return how many connections clients may have, and how many may lead to backends."""
+    reserved = max(min(RESERVED_DESCRIPTORS, max_descriptors // 4), MIN_RESERVED_DESCRIPTORS)
+    available = max_descriptors - reserved
+    backends = int(available * BACKEND_SHARE)
+    return ConnectionLimits(available - backends, backends)
+
+
+def _read_outline(path: str) -> tuple[JsonObject, bool]:
+    """Return the file's object without the entries of a long cached list, and whether it has a long one."""
+    try:
+        outline, has_long_list = without(in_pieces(read(path), "known"))
+    except OSError as error:
+        raise UnreadableFileError(path, error) from None
+    except orjson.JSONDecodeError as error:
+        raise ConfigurationError(f"{path}: not JSON: {error}") from None
+    return as_object(outline, "configuration"), has_long_list
+
+
+def _parse(fields: JsonObject, environment: Mapping[str, str], entries: Iterable[list[Any]]) -> Config:
+    info = as_object(required(fields, "settings"), "settings")
+    # The limit tells what the simulator's clients are given; HTTP has Retry-After for all of them.
+    settings = replace(read_settings(info), sends_retry_after=True)
+    proxy_settings = read_proxy_settings(info)
+    limits = as_object(fields.get("limits") or {}, "limits")
+    config = Config(
+        settings=settings,
+        proxy_settings=proxy_settings,
+        cached_list=read_saved(required(fields, "known"), proxy_settings, entries),
+        name=environment.get("LB_NAME") or _string(fields, "name"),
+        listen_address=environment.get("LB_LISTEN") or _string(fields, "listen"),
+        discovery_address=environment.get(DISCOVERY_VARIABLE) or _string(fields, "discovery"),
+        seed=int(_string(fields, "seed"), 16),
+        max_descriptors=_max_descriptors(limits),
+        memory_mb=_memory_mb(limits),
+        peer_addresses=_peer_addresses(fields) if settings.may_gossip else None,
+    )
+    split_address(config.discovery_address)
+    check_ip(split_address(config.listen_address)[0])
+    return config
+
+
+def _string(fields: JsonObject, key: str) -> str:
+    return as_string(required(fields, key), key)
+
+
+def _max_descriptors(limits: JsonObject) -> int:
+    configured = as_integer(default_if_none(limits, "sockets", DEFAULT_MAX_DESCRIPTORS), "sockets")
+    max_descriptors = min(configured, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+    if max_descriptors < MIN_DESCRIPTORS:
+        raise InvalidFieldError(f"sockets: {max_descriptors} are too few, {MIN_DESCRIPTORS} are needed")
+    return max_descriptors
+
+
+def _memory_mb(limits: JsonObject) -> float:
+    memory_mb = as_number(default_if_none(limits, "memory_mb", DEFAULT_MEMORY_MB), "memory_mb")
+    if not 0 < memory_mb < inf:
+        raise InvalidFieldError(f"memory_mb must be above 0 and finite: {memory_mb}")
+    return memory_mb
+
+
+def _peer_addresses(fields: JsonObject) -> PeerAddresses | None:
+    """Return where the other proxies are, if the platform says so."""
+    if not fields.get("peers"):
+        return None
+    addresses = PeerAddresses(
+        peers=tuple(as_string(address, "peers") for address in as_array(fields["peers"], "peers")),
+        listen=_string(fields, "peer_listen"),
+        broadcast=_string(fields, "peers_all"),
+    )
+    for address in (addresses.listen, addresses.broadcast, *addresses.peers):
+        check_ip(split_address(address)[0])
+    return addresses
--- a/dunecove/proxy/__init__.py
+++ b/dunecove/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy on real sockets: carries out what the decision module decides."""
+"""The proxy on real sockets: executes what the balancer decides."""
--- /dev/null
+++ b/dunecove/proxy/cached_list_feed.py
@@ -0,0 +1,41 @@
+"""Tells a balancer that has just begun the endpoint list that the proxy has, a slice in each step."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from dunecove.policy.events import BackendListUpdate, ListUpdateKind
+from dunecove.policy.models import BackendInfo
+from dunecove.proxy.connection_pool import Backends
+from dunecove.proxy.discovery_client import PIECE
+
+
+class CachedListFeed:
+    """The backends that the balancer has still to hear of.
+
+    A long list in one step would hold up requests.
+    """
+
+    def __init__(self, backends: Backends) -> None:
+        """Read the backends' present entries from `backends` as each slice is told."""
+        self._backends = backends
+        self._pending: list[str] = []  # ids, the next one last
+
+    @property
+    def is_done(self) -> bool:
+        """The balancer has heard of all."""
+        return not self._pending
+
+    def start(self, backend_ids: Iterable[str]) -> BackendListUpdate:
+        """Begin anew with these backends, in their order; return the first update."""
+        self._pending = list(backend_ids)[::-1]
+        return BackendListUpdate(ListUpdateKind.CACHED, self._next_slice())
+
+    def next_update(self) -> BackendListUpdate:
+        """Return the next update, while the feed is not done."""
+        return BackendListUpdate(ListUpdateKind.CACHED_CONTINUED, self._next_slice())
+
+    def _next_slice(self) -> tuple[BackendInfo, ...]:
+        slice_ids = self._pending[-PIECE:][::-1]
+        del self._pending[-PIECE:]
+        return self._backends.infos(slice_ids)
--- a/dunecove/proxy/clock.py
+++ b/dunecove/proxy/clock.py
@@ -4,8 +4,9 @@
 
 import time
 
-_ANCHOR = (time.time() - time.monotonic()) * 1000
+_ANCHOR_MS = (time.time() - time.monotonic()) * 1000
 
 
 def now_ms() -> float:
-    return _ANCHOR + time.monotonic() * 1000
+    """Return the time in ms; it never goes back."""
+    return _ANCHOR_MS + time.monotonic() * 1000
--- a/dunecove/proxy/gossip.py
+++ b/dunecove/proxy/gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams between the proxies of a tier: short, unanswered, and perhaps lost on the way."""
+"""Datagrams between the proxies of a deployment: short, unanswered, and perhaps lost on the way."""
 
 from __future__ import annotations
 
@@ -9,56 +9,65 @@
 
 from dunecove.proxy.http1 import split_address
 
-MAX_DATAGRAM = 256  # bytes; a longer one is not allowed
-READ_AT_ONCE = 64  # datagrams a turn: requests must not wait for a flood of them
+MAX_DATAGRAM_BYTES = 256
+MAX_READS_PER_TURN = 64  # requests must not wait for a flood of datagrams
 
 
-class Tier(NamedTuple):
-    """The addresses that the platform gives a proxy for its own tier."""
+class PeerAddresses(NamedTuple):
+    """The addresses that the platform gives a proxy for gossip, as `host:port`."""
 
     listen: str
-    peers: tuple[str, ...]  # by number, this proxy's own among them
-    everyone: str
+    peers: tuple[str, ...]  # by proxy index, this proxy's own among them
+    broadcast: str  # reaches all peers
 
 
-class Peers:
-    """One socket. Raises OSError if the address to listen on is not to be had."""
+class GossipChannel:
+    """One socket for messages to and from the other proxies."""
 
-    def __init__(self, tier: Tier, on_message: Callable[[int, bytes], None]) -> None:
-        self.on_message = on_message
-        self.numbers = {split_address(address): number for number, address in enumerate(tier.peers)}
-        self.own, self.everyone = split_address(tier.listen), split_address(tier.everyone)
-        self.loop = asyncio.get_running_loop()
-        self.sock = socket.socket(
-            socket.AF_INET6 if ":" in self.own[0] else socket.AF_INET, socket.SOCK_DGRAM
-        )
+    def __init__(self, addresses: PeerAddresses, on_message: Callable[[int, bytes], None]) -> None:
+        """Listen for messages, each given to `on_message` with its sender's index.
+
+        Raises OSError if the address to listen on is not to be had.
+        """
+        self._on_message = on_message
+        self._peer_indexes = {split_address(address): index for index, address in enumerate(addresses.peers)}
+        self._own_address = split_address(addresses.listen)
+        self._broadcast_address = split_address(addresses.broadcast)
+        self._loop = asyncio.get_running_loop()
+        family = socket.AF_INET6 if ":" in self._own_address[0] else socket.AF_INET
+        self.sock = socket.socket(family, socket.SOCK_DGRAM)
         try:
             self.sock.setblocking(False)
-            self.sock.bind(self.own)
+            self.sock.bind(self._own_address)
         except OSError:
             self.sock.close()
             raise
-        self.loop.add_reader(self.sock.fileno(), self._read)
+        self._loop.add_reader(self.sock.fileno(), self._read)
 
-    def tell(self, data: bytes) -> None:
-        if len(data) > MAX_DATAGRAM:
-            raise ValueError(f"a datagram of {len(data)} bytes is too long")
+    def send(self, payload: bytes) -> None:
+        """Send a message to all other proxies; ValueError if it is too long."""
+        if len(payload) > MAX_DATAGRAM_BYTES:
+            raise ValueError(f"a datagram of {len(payload)} bytes is too long")
         try:
-            self.sock.sendto(data, self.everyone)
+            self.sock.sendto(payload, self._broadcast_address)
         except OSError:
-            return  # full, or no way there: as good as lost on the way, which all must bear anyhow
+            return  # as good as lost on the way, which the balancer has to bear anyhow
 
     def _read(self) -> None:
-        for _ in range(READ_AT_ONCE):
+        for _ in range(MAX_READS_PER_TURN):
             try:
-                data, sender = self.sock.recvfrom(MAX_DATAGRAM + 1)
-            except OSError:  # nothing more, or word of one of ours that did not arrive
+                payload, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
+            except OSError:  # nothing more, or the error of a message of ours that did not arrive
                 return
-            number = self.numbers.get(sender[:2])
-            # From nobody of the tier, from this proxy itself, or longer than any of them sends.
-            if number is not None and sender[:2] != self.own and len(data) <= MAX_DATAGRAM:
-                self.on_message(number, data)
+            self._handle(payload, sender[:2])
+
+    def _handle(self, payload: bytes, sender: tuple[str, int]) -> None:
+        """Pass over what comes from no peer, from this proxy itself, or is longer than any of them sends."""
+        index = self._peer_indexes.get(sender)
+        if index is not None and sender != self._own_address and len(payload) <= MAX_DATAGRAM_BYTES:
+            self._on_message(index, payload)
 
     def close(self) -> None:
-        self.loop.remove_reader(self.sock.fileno())
+        """Close the socket."""
+        self._loop.remove_reader(self.sock.fileno())
         self.sock.close()
--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -12,8 +12,9 @@
 import httptools
 
 from dunecove.policy.request_rules import RESPONSE_GRACE_MS, Violation, may_close_connection
+from dunecove.proxy.client_messages import ClientResponse
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.engine import Answer, Engine
+from dunecove.proxy.engine import Engine
 from dunecove.proxy.http1 import (
     MAX_BODY,
     MAX_HEAD,
@@ -24,9 +25,10 @@
     split_address,
     unread,
 )
+from dunecove.proxy.log_writer import log
 from dunecove.proxy.receive_buffer import ReadAhead
 from dunecove.proxy.request_parser import Bad, Message, Reader, check_framing
-from dunecove.proxy.telemetry import log
+from dunecove.proxy.telemetry import CounterName
 
 BACKLOG = 512
 ACCEPT_AT_ONCE = 16  # connections a turn: requests on open ones must not wait for a flood of new ones
@@ -120,7 +122,7 @@
         self.rest.clear()
         self.queue.clear()
         if self.request_id is not None:
-            self.frontend.engine.client_gone(self.request_id)
+            self.frontend.engine.requests.client_disconnected(self.request_id)
             self.request_id = None
 
     def gone(self) -> bool:
@@ -155,9 +157,9 @@
             return
         self.close_reason = reason
         telemetry = self.frontend.engine.telemetry
-        telemetry.count(f"close.{reason.value}")
+        telemetry.count(CounterName.CONNECTION_CLOSED, reason.value)
         if self._owes_answers() and reason is not CloseReason.CLIENT:
-            telemetry.violation(Violation.UNANSWERED, self.request_id or "", f"closed: {reason.value}")
+            telemetry.report_violation(Violation.UNANSWERED, self.request_id or "", f"closed: {reason.value}")
 
     def data_received(self, data: bytes) -> None:
         if self.closing and self._owes_answers():
@@ -228,7 +230,7 @@
             return
         times = [behind.give_up() for behind in self.queue if isinstance(behind, Message)]
         if times:
-            self.frontend.engine.hurry(self.request_id, min(times) + BEHIND_MS)
+            self.frontend.engine.requests.shorten_deadline(self.request_id, min(times) + BEHIND_MS)
 
     def _feed(self, piece: bytes) -> None:
         assert self.parser is not None
@@ -318,7 +320,7 @@
             self.bad += 1
             if self.bad >= BAD_IN_A_ROW:
                 self.keep = False
-            self.write(Answer(bad.status))
+            self.write(ClientResponse(bad.status))
 
     def _take(self, message: Message) -> None:
         frontend = self.frontend
@@ -327,20 +329,20 @@
         if message.target.split(b"?", 1)[0] == READY_PATH:
             if message.method != b"GET":
                 raise Bad(405)
-            self.write(Answer(200 if frontend.ready() else 503))
+            self.write(ClientResponse(200 if frontend.ready() else 503))
             return
         taken = frontend.reader.read(message, self.answer, self.gone)
-        if not frontend.engine.take(taken):
+        if not frontend.engine.requests.accept(taken):
             raise Bad(400)
-        self.request_id = taken.id
+        self.request_id = taken.request_id
 
-    def answer(self, answer: Answer) -> None:
+    def answer(self, answer: ClientResponse) -> None:
         if self.request_id is not None:
             self.request_id = None
             self.write(answer)
             self._go_on()
 
-    def write(self, answer: Answer) -> None:
+    def write(self, answer: ClientResponse) -> None:
         if self.transport.is_closing():
             return
         # What was sent ahead on this connection is taken too: it closes after the last of it.
@@ -506,7 +508,7 @@
             for client, since in places.items():
                 if since > now - spared_ms:
                     break
-                if self._unflushed(client) and since > now - self.engine.longest_ms - UNREAD_MS:
+                if self._unflushed(client) and since > now - self.engine.requests.max_deadline_ms - UNREAD_MS:
                     continue  # closed, it would keep its descriptor until it has read what waits for it
                 # What the kernel holds already is a request that was sent in time.
                 if not client.reads() if places is self.ending else client.may_close():
@@ -584,7 +586,7 @@
             self.sock = None
         self._close_unasked()
         if not await self._emptied(until - self.loop.time()):
-            self.engine.give_up()
+            self.engine.requests.expire_all()
             if not await self._emptied(LAST_WORDS_S):
                 log(f"stop: {self.held} client connections were still open")
         if self.sweeper is not None:
--- a/dunecove/proxy/request_parser.py
+++ b/dunecove/proxy/request_parser.py
@@ -1,4 +1,4 @@
-"""Checking a client's request: from a message read whole to `Taken`, or the status that refuses it."""
+"""Checking a client's request: from a complete message to `ParsedRequest`, or the status that refuses it."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from dunecove.policy.models import Idempotency
 from dunecove.policy.settings import Settings
+from dunecove.proxy.client_messages import ClientResponse, ParsedRequest
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.engine import Answer, Taken
 from dunecove.proxy.http1 import MAX_BODY, Headers
 from dunecove.wire.settings import ProxySettings
 
@@ -88,7 +88,9 @@
     def __init__(self, settings: Settings, wire: ProxySettings) -> None:
         self.settings, self.wire = settings, wire
 
-    def read(self, message: Message, answer: Callable[[Answer], None], gone: Callable[[], bool]) -> Taken:
+    def read(
+        self, message: Message, answer: Callable[[ClientResponse], None], gone: Callable[[], bool]
+    ) -> ParsedRequest:
         headers = dict(message.headers)
         names = [name for name, _ in message.headers if name in SINGLE]
         if len(names) != len(set(names)) or b"host" not in headers or not TARGET.fullmatch(message.target):
@@ -115,7 +117,7 @@
                 lines.append(b"%b: %b\r\n" % (name, value))
         if message.method == b"POST":
             lines.append(b"content-length: %d\r\n" % len(message.body))
-        return Taken(
+        return ParsedRequest(
             request_id.decode(),
             cls,
             self._tenant(headers.get(b"x-caller")),
--- a/dunecove/proxy/telemetry.py
+++ b/dunecove/proxy/telemetry.py
@@ -1,121 +1,99 @@
-"""What the program tells of itself: log lines, counters, and the last events of each request."""
+"""Counters, and the last events of each request, for when one of them breaks a rule."""
 
 from __future__ import annotations
 
-import logging
-import os
-import select
 from collections import Counter, deque
+from enum import Enum
 from typing import NamedTuple
 
 import orjson
 
 from dunecove.policy.request_rules import Violation
 from dunecove.proxy.clock import now_ms
+from dunecove.proxy.log_writer import log
 
-STDERR = 2
-LOG_LINES = 20  # lines a second: whatever floods the log must not keep the proxy from its work
-WRITE_BYTES = 4096  # written at once: a pipe that tells it has room takes so many without waiting
-EVENTS_KEPT = 2048  # of all requests together, some 20 s of an ordinary proxy
-EVENTS_SHOWN = 40  # of one request in a line
+MAX_EVENTS = 2048  # of all requests together, some 20 s of an ordinary proxy
+MAX_EVENTS_PER_LINE = 40  # of one request
 
 
-def write_all(data: bytes) -> bool:
-    """To standard error, as much as it takes at once; whether that was all.
+class CounterName(Enum):
+    """What is counted beside the stages of requests; some have a detail behind a dot."""
 
-    A disk without room, a reader that has gone and one that does not read must not end the proxy's work or
-    hold it up.
-    """
-    poll = select.poll()
-    poll.register(STDERR, select.POLLOUT)
-    while data:
-        try:
-            if not poll.poll(0):
-                return False
-            written = os.write(STDERR, data[:WRITE_BYTES])
-        except OSError:
-            return False
-        data = data[written:]
-    return True
+    CONNECTION_CLOSED = "close"  # a client's; detail: why
+    DISCOVERY_MOVED = "discovery.moved"
+    DUPLICATE_REQUEST_ID = "request.duplicate_id"
+    LIST_UPDATE = "list"  # detail: its kind
+    RELOAD_FAILED = "reload.failed"
+    RELOAD_SUCCEEDED = "reload.succeeded"
+    VIOLATION = "violation"  # of a rule; detail: which
 
 
-class Logger:
-    """Lines to standard error, so many a second; how many more there were is told in the next one. It never
-    raises and never waits."""
+class RequestStage(Enum):
+    """A step in the way of a request."""
 
-    def __init__(self) -> None:
-        self.second, self.lines, self.dropped = 0, 0, 0
-        self.cut = False  # the last line was written in part
-
-    def __call__(self, line: str) -> None:
-        second = int(now_ms() / 1000)
-        if second != self.second:
-            self.second, self.lines = second, 0
-        self.lines += 1
-        if self.lines > LOG_LINES:
-            self.dropped += 1
-            return
-        told = f" ({self.dropped} lines before it left out)" if self.dropped else ""
-        start = "\n" if self.cut else ""
-        if write_all(f"{start}dunecove: {line}{told}\n".encode(errors="backslashreplace")):
-            self.dropped, self.cut = 0, False
-        else:
-            self.dropped, self.cut = self.dropped + 1, True
-
-
-log = Logger()
-
-
-class LibraryHandler(logging.Handler):
-    """What the libraries log, by the same way: theirs would wait for a pipe that nobody reads."""
+    ACCEPTED = "accepted"
+    ANSWERED = "answered"  # detail: why so
+    ATTEMPT_DENIED = "denied"  # detail: why
+    ATTEMPT_ENDED = "attempt_ended"  # detail: its result
+    ATTEMPT_STARTED = "attempt_started"
+    CLIENT_DISCONNECTED = "client_disconnected"
 
-    def emit(self, record: logging.LogRecord) -> None:
-        log(f"{record.name}: {record.getMessage()}")
 
+class ResponseReason(Enum):
+    """Why a request was answered as it was, where the balancer or a rule did not say so."""
 
-def take_library_logs() -> None:
-    """Once, at the start of the program."""
-    logging.basicConfig(handlers=[LibraryHandler()], level=logging.WARNING)
+    BALANCER_FAILED = "balancer_failed"
+    DEADLINE = "deadline"
+    PIPELINE_DEADLINE = "pipeline_deadline"  # that of a request behind it on its connection
+    SERVED = "served"  # by a backend
 
 
 class RequestEvent(NamedTuple):
-    """One step in the life of a request."""
+    """One step in the way of a request."""
 
     at_ms: float
-    request: str
-    name: str
+    request_id: str
+    stage: str
     detail: str
 
 
 class Telemetry:
-    """Counters by name, and the last events of all requests, for when one of them breaks a rule."""
+    """Counters by name, and the last events of all requests."""
 
     def __init__(self) -> None:
+        """Begin with nothing counted."""
         self.counts: Counter[str] = Counter()
-        self.events: deque[RequestEvent] = deque(maxlen=EVENTS_KEPT)
-        self.reported: Counter[str] = Counter()
-
-    def count(self, name: str) -> None:
-        self.counts[name] += 1
-
-    def note(self, request: str, name: str, detail: str = "") -> None:
-        """Keep an event and count it."""
-        self.counts[f"{name}.{detail}" if detail else name] += 1
-        self.events.append(RequestEvent(now_ms(), request, name, detail))
-
-    def violation(self, kind: Violation, request: str, detail: str) -> None:
-        """Count it, and log it with all that is still known of that request."""
-        self.counts[f"violation.{kind.value}"] += 1
-        known = [event for event in self.events if event.request == request][-EVENTS_SHOWN:]
-        steps = [f"{event.at_ms:.1f} {event.name} {event.detail}".rstrip() for event in known]
-        log(f"violation: {kind.value}: request {request}: {detail}: {'; '.join(steps)}")
-
-    def violations(self) -> int:
-        return sum(number for name, number in self.counts.items() if name.startswith("violation."))
+        self._events: deque[RequestEvent] = deque(maxlen=MAX_EVENTS)
+        self._reported_counts: Counter[str] = Counter()
+
+    def count(self, name: CounterName, detail: str = "") -> None:
+        """Count something that has happened."""
+        self.counts[_counter_key(name.value, detail)] += 1
+
+    def record(self, request_id: str, stage: RequestStage, detail: str = "") -> None:
+        """Keep an event of a request, and count it."""
+        self.counts[_counter_key(stage.value, detail)] += 1
+        self._events.append(RequestEvent(now_ms(), request_id, stage.value, detail))
+
+    def report_violation(self, violation: Violation, request_id: str, detail: str) -> None:
+        """Count a violation, and log it with all that is still known of that request."""
+        self.count(CounterName.VIOLATION, violation.value)
+        events = [event for event in self._events if event.request_id == request_id][-MAX_EVENTS_PER_LINE:]
+        steps = [f"{event.at_ms:.1f} {event.stage} {event.detail}".rstrip() for event in events]
+        log(f"violation: {violation.value}: request {request_id}: {detail}: {'; '.join(steps)}")
+
+    def violation_count(self) -> int:
+        """Return how many violations there were."""
+        prefix = f"{CounterName.VIOLATION.value}."
+        return sum(count for name, count in self.counts.items() if name.startswith(prefix))
 
     def report(self) -> None:
         """Log the counters as one JSON object, if any has changed since the last time."""
-        if self.counts == self.reported:
+        if self.counts == self._reported_counts:
             return
-        self.reported = Counter(self.counts)
+        self._reported_counts = Counter(self.counts)
         log(f"counters {orjson.dumps(self.counts, option=orjson.OPT_SORT_KEYS).decode()}")
+
+
+def _counter_key(name: str, detail: str) -> str:
+    return f"{name}.{detail}" if detail else name
--- a/scale/held.py
+++ b/scale/held.py
@@ -24,7 +24,7 @@
 from dunecove.policy.events import ListUpdateKind
 from dunecove.proxy.discovery_client import read_listing
 from dunecove.proxy.engine import Engine
-from dunecove.proxy.gossip import Peers, Tier
+from dunecove.proxy.gossip import GossipChannel, PeerAddresses
 from dunecove.proxy.listener import Frontend
 from dunecove.proxy.request_parser import Reader
 from dunecove.wire.settings import read_proxy_settings, read_settings
@@ -59,7 +59,7 @@
 
 async def peers(count: int, seed: int) -> object:
     addresses = tuple(made.address(number, 7946) for number in range(count))
-    return Peers(Tier("127.0.0.1:0", addresses, "127.0.0.1:9"), lambda *_: None)
+    return GossipChannel(PeerAddresses("127.0.0.1:0", addresses, "127.0.0.1:9"), lambda *_: None)
 
 
 async def connections(count: int, seed: int) -> object:
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -196,5 +196,5 @@
             if took > longest + STOP_BEYOND_S + journal.lag_s:
                 yield Breach(Rule.STOP, name, f"took {took:.2f} s")
     for line in life.log:
-        if "violation" in line.split("counters", 1)[0] or "bug:" in line or "module broke" in line:
+        if "violation" in line.split("counters", 1)[0] or "bug:" in line or "balancer failed" in line:
             yield Breach(Rule.SELF, name, line)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,10 +15,11 @@
 
 import uvloop
 
-from dunecove.__main__ import Config, start
+from dunecove.config import read_config
 from dunecove.proxy.connection_pool import Backends
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.listener import Frontend
+from dunecove.server import start
 
 LIMIT_S = 60.0  # far beyond what any test needs; only a hang comes near it
 PURCHASE = {
@@ -254,7 +255,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(configuration(registry.address, *targets, **limits)))
-        engine, frontend = start(Config({"LB_CONFIG": str(path)}))
+        engine, frontend = start(read_config({"LB_CONFIG": str(path)}))
     try:
         yield Proxy(engine, frontend, peers, registry)
     finally:
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -10,13 +10,14 @@
 
 import pytest
 
-from dunecove.__main__ import Config, start
 from dunecove.adapter import Adapter
+from dunecove.config import Config, read_config
 from dunecove.errors import ConfigurationError
 from dunecove.policy.actions import SendGossip
 from dunecove.policy.events import BackendListUpdate, GossipReceived, ListUpdateKind
 from dunecove.policy.models import AttemptResult
-from dunecove.proxy.gossip import Peers, Tier
+from dunecove.proxy.gossip import GossipChannel, PeerAddresses
+from dunecove.server import start
 from tests.loopback import configuration, run
 from tests.support import Driver, fleet, of, settings
 
@@ -30,8 +31,8 @@
     return sock, "{}:{}".format(*sock.getsockname())
 
 
-def address_of(peers: Peers) -> tuple[str, int]:
-    host, port = peers.sock.getsockname()[:2]
+def address_of(channel: GossipChannel) -> tuple[str, int]:
+    host, port = channel.sock.getsockname()[:2]
     return host, port
 
 
@@ -39,20 +40,20 @@
     async def test() -> None:
         (first, one), (second, two), (stranger, _) = bound(), bound(), bound()
         heard: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
-        tier = Tier("127.0.0.1:0", (one, two), one)
-        peers = Peers(tier, lambda number, data: heard.put_nowait((number, data)))
-        stranger.sendto(b"not of the tier", address_of(peers))
-        first.sendto(b"x" * 257, address_of(peers))
-        second.sendto(b"second", address_of(peers))
+        addresses = PeerAddresses("127.0.0.1:0", (one, two), one)
+        channel = GossipChannel(addresses, lambda number, data: heard.put_nowait((number, data)))
+        stranger.sendto(b"not of the tier", address_of(channel))
+        first.sendto(b"x" * 257, address_of(channel))
+        second.sendto(b"second", address_of(channel))
         assert await heard.get() == (1, b"second")
-        first.sendto(b"first", address_of(peers))
+        first.sendto(b"first", address_of(channel))
         assert await heard.get() == (0, b"first")
         assert heard.empty()
-        peers.tell(b"to all")
+        channel.send(b"to all")
         assert first.recv(512) == b"to all"
         with pytest.raises(ValueError, match="too long"):
-            peers.tell(b"x" * 257)
-        peers.close()
+            channel.send(b"x" * 257)
+        channel.close()
         for sock in (first, second, stranger):
             sock.close()
 
@@ -63,7 +64,7 @@
     raw = configuration("127.0.0.1:1", Peers=True)
     path = folder / "config.json"
     path.write_text(json.dumps(raw | more))
-    return Config({"LB_CONFIG": str(path)})
+    return read_config({"LB_CONFIG": str(path)})
 
 
 def test_the_program_tells_and_hears_peers_where_the_settings_allow_it(
@@ -75,16 +76,16 @@
         other, address = bound()
         config = with_peers(tmp_path, peer_listen="127.0.0.1:0", peers=[address], peers_all=address)
         engine, frontend = start(config)
-        assert engine.peers is not None
+        assert engine.gossip is not None
 
         def step(_: float, events: list[Any]) -> list[Any]:
             seen.extend(events)
             return []
 
         monkeypatch.setattr(engine.balancer, "step", step)
-        engine._carry_out(SendGossip(b"\x01abcd"))
+        engine._execute(SendGossip(b"\x01abcd"))
         assert other.recv(512) == b"\x01abcd"
-        other.sendto(b"\x01efgh", address_of(engine.peers))
+        other.sendto(b"\x01efgh", address_of(engine.gossip))
         while GossipReceived(0, b"\x01efgh") not in seen:
             await asyncio.sleep(0.001)
         await frontend.finish(0.0)
@@ -98,8 +99,8 @@
     async def test() -> None:
         where = "203.0.113.1:1"
         engine, frontend = start(with_peers(tmp_path, peer_listen=where, peers=[where], peers_all=where))
-        assert engine.peers is None and frontend.address
-        engine._carry_out(SendGossip(b"\x01"))
+        assert engine.gossip is None and frontend.address
+        engine._execute(SendGossip(b"\x01"))
         await frontend.finish(0.0)
         engine.close()
 
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -35,7 +35,7 @@
             reply = await client.reply()
             assert (reply.body, reply.headers["connection"]) == (b"r" * 65536, "close")
             assert await client.ended()
-            assert p.backends[0].calls.empty() and not p.engine.requests
+            assert p.backends[0].calls.empty() and not p.engine.requests.open
             client.close()
 
     run(test())
@@ -142,7 +142,7 @@
                 while p.frontend.accepting:  # no place is to be had while its answer may yet be read
                     await asyncio.sleep(0.001)
                 assert p.frontend._victim() is None and p.frontend.held == 1
-                p.engine.longest_ms = -1000.0
+                p.engine.requests.max_deadline_ms = -1000.0
                 assert (await other.reply()).status == 200
             else:
                 client.writer.write_eof()
@@ -212,17 +212,17 @@
             client.writer.write(sent[:-2])
             await until(lambda: any(inside.begun for inside in p.frontend.clients))
             p.frontend.stop_keeping()
-            give_up = p.engine.give_up
+            give_up = p.engine.requests.expire_all
 
             def rest_comes_then() -> None:
                 give_up()
                 client.writer.write(sent[-2:])
 
-            monkeypatch.setattr(p.engine, "give_up", rest_comes_then)
+            monkeypatch.setattr(p.engine.requests, "expire_all", rest_comes_then)
             await p.frontend.finish(0.0)
             reply = await client.reply()
             assert (reply.status, reply.headers["connection"]) == (503, "close")
-            assert p.backends[0].calls.empty() and not p.engine.requests
+            assert p.backends[0].calls.empty() and not p.engine.requests.open
 
     run(test())
 
@@ -238,7 +238,7 @@
             call.reply()
             assert (await client.reply()).status == 200
             assert await client.ended()
-            assert p.engine.telemetry.violations() == 0 and p.backends[0].calls.empty()
+            assert p.engine.telemetry.violation_count() == 0 and p.backends[0].calls.empty()
 
     run(test())
 
@@ -293,7 +293,7 @@
             other.send(x_call_id="other")
             calls.append(await p.backends[0].calls.get())
             assert [call.headers["x-call-id"] for call in calls] == ["f0", "other"]
-            assert list(p.engine.requests) == ["f0", "other"]  # one of a connection at a time
+            assert list(p.engine.requests.open) == ["f0", "other"]  # one of a connection at a time
             for call in calls:
                 call.reply(call.headers["x-call-id"].encode())
             assert (await other.reply()).body == b"other"
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -34,8 +34,8 @@
 from dunecove.policy.settings import Settings
 from dunecove.proxy import engine as engine_module
 from dunecove.proxy import listener as listener_module
+from dunecove.proxy import log_writer as log_writer_module
 from dunecove.proxy import request_parser as request_parser_module
-from dunecove.proxy import telemetry as telemetry_module
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.http1 import hung_up, unread
 from tests.loopback import Client, Gate, Proxy, proxy, request, reset, run, until
@@ -63,7 +63,7 @@
     Script.act, Script.batches, Script.lives = staticmethod(lambda events: []), [], 0
     monkeypatch.setattr(engine_module, "Balancer", Script)
     # So many lines a second are for one program: what tests before this one wrote must not use them up.
-    monkeypatch.setattr(telemetry_module.log, "lines", 0)
+    monkeypatch.setattr(log_writer_module.log, "line_count", 0)
     return Script
 
 
@@ -156,10 +156,10 @@
         async with proxy() as p:
             await until(lambda: script.batches)
             script.batches.clear()
-            p.engine.client_gone("nobody")  # no longer held: no event
-            p.engine._on_timer(7, p.engine.life)
+            p.engine.requests.client_disconnected("nobody")  # no longer held: no event
+            p.engine._on_timer(7, p.engine._incarnation)
             p.engine.on_list_failure("test")
-            p.engine._on_timer(8, p.engine.life)
+            p.engine._on_timer(8, p.engine._incarnation)
             await until(lambda: script.batches)
             assert script.batches == [
                 [BackendListUpdate(ListUpdateKind.FAILED), TimerFired(7), TimerFired(8)]
@@ -201,7 +201,7 @@
                 (AttemptResult.WITHDRAWN, True)
             ]
             assert p.backends[0].connections == 0
-            await until(lambda: not p.engine.requests)
+            await until(lambda: not p.engine.requests.open)
 
     run(test())
 
@@ -224,16 +224,16 @@
             client = await p.client()
             client.send()
             await p.backends[0].calls.get()
-            held = p.engine.requests["c1"]
+            held = p.engine.requests.open["c1"]
             held.attempts[0].end(AttemptResult.REJECTED)
-            p.engine.client_gone("c1")
+            p.engine.requests.client_disconnected("c1")
             await until(lambda: len(events(AttemptEnded)) == 2)
             assert [(e.attempt_index, e.result) for e in events(AttemptEnded)] == [
                 (0, AttemptResult.REJECTED),
                 (1, AttemptResult.WITHDRAWN),
             ]
             assert p.backends[0].calls.empty()
-            await until(lambda: not p.engine.requests)
+            await until(lambda: not p.engine.requests.open)
 
     run(test())
 
@@ -287,7 +287,7 @@
                 p.frontend._look_at_paused()
             assert len(polls) == 1
             await until(lambda: len(p.frontend.clients) == 200)
-            await until(lambda: not p.engine.events)  # the module hears of them a turn later
+            await until(lambda: not p.engine._events)  # the module hears of them a turn later
             assert {e.request_id for e in events(ClientDisconnected)} == {f"{n}-1" for n in range(0, 300, 3)}
             assert len(p.frontend.paused) == 200 and p.frontend.looker is not None
             p.frontend.looker.cancel()
@@ -352,7 +352,7 @@
             assert call.headers["x-call-id"] == "other" and p.backends[0].calls.empty()
             call.reply()
             assert (await other.reply()).status == 200
-            await until(lambda: len(p.frontend.clients) == 1 and not p.engine.requests)
+            await until(lambda: len(p.frontend.clients) == 1 and not p.engine.requests.open)
             assert p.backends[0].connections == 1
 
     run(test())
@@ -433,11 +433,11 @@
                 (await p.backends[0].calls.get()).reply(status=500)
                 await until(lambda: events(AttemptEnded))
             await leave_unseen(p, client, how)
-            p.engine._on_timer(7, p.engine.life)
+            p.engine._on_timer(7, p.engine._incarnation)
             await until(lambda: len(events(AttemptEnded)) == 1 + further)
             assert events(AttemptEnded)[-1][:3] == ("c1", int(further), AttemptResult.WITHDRAWN)
             await until(
-                lambda: events(ClientDisconnected) and not p.engine.requests and not p.frontend.clients
+                lambda: events(ClientDisconnected) and not p.engine.requests.open and not p.frontend.clients
             )
             assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].calls.empty()
             assert p.backends[0].connections == int(further)
@@ -461,7 +461,7 @@
             comes_up.set()
             await until(lambda: events(AttemptEnded))
             assert [e[:3] for e in events(AttemptEnded)] == [("c1", 0, AttemptResult.WITHDRAWN)]
-            await until(lambda: not p.engine.requests and not p.engine.backends.connections)
+            await until(lambda: not p.engine.requests.open and not p.engine.backends.connections)
             assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].calls.empty()
 
     run(test())
@@ -478,7 +478,7 @@
     def act(batch: list[Any]) -> list[Action]:
         arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "late" in arrivals:  # as if this step had begun so long ago
-            engines[0].stepped = now_ms() - 1_000_000.0
+            engines[0]._step_time = now_ms() - 1_000_000.0
             return [Forward("late", "s0", limit, within)]
         return [Forward(request, "s0", 9000.0) for request in arrivals]
 
@@ -596,7 +596,7 @@
             clock[0] = 5000.0
             call.reply()
             await until(lambda: len(events(RequestArrived)) == 2)
-            p.engine.give_up()
+            p.engine.requests.expire_all()
             for _ in range(6):
                 await client.reply()
             assert [e.request_id for e in events(RequestArrived)] == ["c1", "c2"]
@@ -657,7 +657,7 @@
 
     run(test())
     shown = capfd.readouterr().err
-    assert shown.count("the decision module broke") == 1 and "in the module" in shown
+    assert shown.count("the balancer failed") == 1 and "in the module" in shown
 
 
 def test_a_request_sent_ahead_of_a_break_is_served_by_the_new_module(script: type[Script]) -> None:
@@ -702,9 +702,9 @@
             gate = Gate.of(p.engine.backends)
             clients["coming"].send(x_call_id="coming")
             comes_up = await gate.knocks.get()
-            await until(lambda: "held" in p.engine.requests)
+            await until(lambda: "held" in p.engine.requests.open)
             # Both in the batch that breaks: its client's leaving is not heard by any module.
-            p.engine.client_gone("left")
+            p.engine.requests.client_disconnected("left")
             clients["break"].send(x_call_id="break")
             for name in ("held", "out", "coming", "break"):
                 assert (await clients[name].reply()).status == 500
@@ -717,7 +717,7 @@
             assert call.headers["x-call-id"] == "later"
             call.reply()
             assert (await clients["later"].reply()).status == 200
-            assert p.backends[1].calls.empty() and not p.engine.requests.keys() - {"later"}
+            assert p.backends[1].calls.empty() and not p.engine.requests.open.keys() - {"later"}
 
     run(test())
 
@@ -754,13 +754,13 @@
 
 
 def test_a_flood_of_log_lines_is_cut_and_told(capfd: pytest.CaptureFixture[str]) -> None:
-    log = telemetry_module.Logger()
+    log = log_writer_module.LogWriter()
     for number in range(1000):
         log(f"line {number}")
-    log.second -= 1  # the next second
+    log._second -= 1  # the next second
     log("later")
     lines = capfd.readouterr().err.splitlines()
-    assert len(lines) < 3 * telemetry_module.LOG_LINES and "left out" in lines[-1]
+    assert len(lines) < 3 * log_writer_module.MAX_LINES_PER_S and "left out" in lines[-1]
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_incremental_json.py
+++ b/tests/proxy/test_incremental_json.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dunecove.__main__ import Config
+from dunecove.config import read_config
 from dunecove.errors import ConfigurationError, MalformedEndpointListError
 from dunecove.policy.models import BackendState
 from dunecove.proxy import incremental_json
@@ -201,7 +201,7 @@
 
 
 async def taken(p: Proxy, n: int) -> None:
-    while p.engine.balancer.listed != n or p.engine.turn is not None:
+    while p.engine.balancer.listed != n or p.engine._next_step is not None:
         await asyncio.sleep(0.001)
 
 
@@ -253,23 +253,23 @@
     for indent in (None, 2):
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config, indent=indent))
-        saved = Config({"LB_CONFIG": str(path)}).known
+        saved = read_config({"LB_CONFIG": str(path)}).cached_list
         assert saved.rev == 7 and len(saved.table) == 900 and saved.table.get("s-00000005") is None
         assert saved.uids == [e["uid"] for e in entries(901)]  # what has left meanwhile is passed over
-    assert len(Config({"LB_CONFIG": str(path)}, again=True).known.uids) < 200
+    assert len(read_config({"LB_CONFIG": str(path)}, skips_long_list=True).cached_list.uids) < 200
     bad = config | {"known": listing(7, *entries(900), {"uid": "odd"}, *entries(900, 900))}
     path.write_text(json.dumps(bad))
     with pytest.raises(ConfigurationError, match="endpoint"):
-        Config({"LB_CONFIG": str(path)})
+        read_config({"LB_CONFIG": str(path)})
 
 
 def test_the_objects_of_a_long_saved_list_are_few_at_a_time(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration("127.0.0.1:9") | {"known": listing(7, *entries(5000))}))
-    Config({"LB_CONFIG": str(path)})  # what is made once only
+    read_config({"LB_CONFIG": str(path)})  # what is made once only
     tracemalloc.start()
-    config = Config({"LB_CONFIG": str(path)})
+    config = read_config({"LB_CONFIG": str(path)})
     held, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert len(config.known.table) == 5000
+    assert len(config.cached_list.table) == 5000
     assert held / 5000 < 350 and peak - held < 2_000_000  # decoded at once it took 10.9 million
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from dunecove.proxy import engine as engine_module
 from dunecove.proxy import listener as listener_module
+from dunecove.proxy import request_registry as request_registry_module
 from dunecove.proxy.http1 import unread
 from tests.loopback import Client, Proxy, proxy, request, run
 
@@ -235,7 +235,7 @@
             call = await p.backends[0].calls.get()
             client.close()
             await call.closed.wait()
-            while p.engine.requests:  # a turn of the loop or two, within the limit on the test
+            while p.engine.requests.open:  # a turn of the loop or two, within the limit on the test
                 await asyncio.sleep(0)
 
     run(test())
@@ -351,7 +351,7 @@
             while p.frontend.accepting:
                 assert p.frontend.held == 3
                 await asyncio.sleep(0.001)
-            p.engine.longest_ms = -1000.0  # what they have not read by now is lost
+            p.engine.requests.max_deadline_ms = -1000.0  # what they have not read by now is lost
             assert (await last.reply()).status == 200
             assert p.frontend.held <= 3
 
@@ -460,7 +460,7 @@
 
 
 def test_ids_are_remembered_for_a_while_and_no_longer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_module, "KNOWN_MOST", 3)
+    monkeypatch.setattr(request_registry_module, "MAX_RECENT_IDS", 3)
 
     async def test() -> None:
         async with proxy() as p:
@@ -469,7 +469,7 @@
                 client.send(x_call_id=f"c{number}")
                 (await p.backends[0].calls.get()).reply()
                 assert (await client.reply()).status == 200
-            assert len(p.engine.known) == 3
+            assert len(p.engine.requests.recent_ids) == 3
 
     run(test())
 
@@ -744,7 +744,7 @@
 def test_an_id_that_was_forgotten_is_not_taken_over_while_its_request_is_open(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(engine_module, "KNOWN_MOST", 1)
+    monkeypatch.setattr(request_registry_module, "MAX_RECENT_IDS", 1)
 
     async def test() -> None:
         async with proxy() as p:
@@ -755,7 +755,7 @@
                 second.send(x_call_id=f"other{number}")
                 (await p.backends[0].calls.get()).reply()
                 assert (await second.reply()).status == 200
-            assert "c1" not in p.engine.known
+            assert "c1" not in p.engine.requests.recent_ids
             assert (await second.ask(x_call_id="c1")).status == 400
             call.reply(b"its own")
             assert (await first.reply()).body == b"its own"
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -26,7 +26,7 @@
 async def told(p: Proxy) -> int:
     """Turns of the loop until the module has heard of all."""
     turns = 0
-    while p.engine.turn is not None or p.engine.untold:
+    while p.engine._next_step is not None or not p.engine.cached_list_feed.is_done:
         turns += 1
         await asyncio.sleep(0)
     return turns
@@ -63,7 +63,7 @@
             await asyncio.sleep(0)
             old = p.engine.balancer
             p.engine.balancer.step = lambda now, events: [] if 1 / 0 else []  # type: ignore[method-assign]
-            p.engine._raise(TimerFired(0))  # while the old one is still being told
+            p.engine._raise_event(TimerFired(0))  # while the old one is still being told
             while p.engine.balancer is old:
                 await asyncio.sleep(0)
             await told(p)
--- a/tests/proxy/test_telemetry.py
+++ b/tests/proxy/test_telemetry.py
@@ -20,7 +20,8 @@
 )
 from dunecove.policy.settings import RequestClass, Settings
 from dunecove.proxy import engine as engine_module
-from dunecove.proxy.telemetry import LibraryHandler, Telemetry
+from dunecove.proxy.log_writer import LibraryLogHandler
+from dunecove.proxy.telemetry import RequestStage, Telemetry
 from tests.loopback import proxy, run
 
 UNSAFE = RequestClass(300.0, 1000.0, Idempotency.NON_IDEMPOTENT)
@@ -130,14 +131,14 @@
 
 def test_what_libraries_log_takes_the_same_way(capfd: pytest.CaptureFixture[str]) -> None:
     record = logging.LogRecord("asyncio", logging.WARNING, "", 0, "socket.%s() raised", ("send",), None)
-    LibraryHandler().emit(record)
+    LibraryLogHandler().emit(record)
     assert capfd.readouterr().err == "dunecove: asyncio: socket.send() raised\n"
 
 
 def test_counters_are_told_when_they_have_changed(capfd: pytest.CaptureFixture[str]) -> None:
     telemetry = Telemetry()
-    telemetry.note("c1", "answered", "served")
+    telemetry.record("c1", RequestStage.ANSWERED, "served")
     for _ in range(2):
         telemetry.report()
     assert capfd.readouterr().err == 'dunecove: counters {"answered.served":1}\n'
-    assert telemetry.violations() == 0
+    assert telemetry.violation_count() == 0
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from dunecove.__main__ import Config, places
+from dunecove.config import Config, connection_limits, read_config
 from tests.loopback import (
     LIMIT_S,
     Client,
@@ -117,7 +117,7 @@
     def read(value: dict[str, Any]) -> Config:
         lane = {"Name": "a", "AimMs": 300, "HardLimitMs": 900, "Effect": "read_like"}
         info = value | {"Lanes": [lane | ({"Points": None, "KeyScope": None} if value else {})]}
-        return Config(
+        return read_config(
             write_configuration(
                 tmp_path, GOOD | {"settings": info, "limits": {"sockets": None} if value else {}}
             )
@@ -137,7 +137,11 @@
     empty: dict[str, Any] = {name: dict.fromkeys(members) for name, members in parts.items()}
     empty |= dict.fromkeys(("Balancers", "Me", "Az", "Dcs", "Kinds", "Projects", "OverShareWorth", "TickMs"))
     given, absent = read(empty), read({})
-    assert (given.settings, given.wire, given.sockets) == (absent.settings, absent.wire, absent.sockets)
+    assert (given.settings, given.proxy_settings, given.max_descriptors) == (
+        absent.settings,
+        absent.proxy_settings,
+        absent.max_descriptors,
+    )
 
 
 def test_without_a_configuration_it_says_so() -> None:
@@ -208,7 +212,7 @@
         assert program.stderr is not None
         while " listens on " not in (line := (await program.stderr.readline()).decode()):
             assert line
-        of_clients, to_backends = places(min(limit, sockets))
+        of_clients, to_backends = connection_limits(min(limit, sockets))
         address, calls, busy = line.split()[-1], [], []
         for number in range(of_clients):
             busy.append(await Client.open(address))
