--- a/dunecove/server.py
+++ b/dunecove/server.py
@@ -16,9 +16,9 @@
 from dunecove.proxy.discovery_client import Discovery
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.gossip import GossipChannel, PeerAddresses
-from dunecove.proxy.listener import Frontend
+from dunecove.proxy.listener import Listener
 from dunecove.proxy.log_writer import log
-from dunecove.proxy.request_parser import Reader
+from dunecove.proxy.request_parser import RequestParser
 from dunecove.proxy.telemetry import Telemetry
 from dunecove.reload import Reloader
 
@@ -34,7 +34,7 @@
     """The two sides of a proxy that serves clients."""
 
     engine: Engine
-    frontend: Frontend
+    listener: Listener
 
 
 def start(config: Config) -> RunningProxy:
@@ -54,12 +54,12 @@
     )
     if config.peer_addresses is not None:
         _open_gossip(engine, config.peer_addresses)
-    frontend = Frontend(engine, Reader(config.settings, config.proxy_settings), limits.clients)
-    frontend.listen(config.listen_address)  # before discovery is polled: this may end the program
+    listener = Listener(engine, RequestParser(config.settings, config.proxy_settings), limits.clients)
+    listener.listen(config.listen_address)  # before discovery is polled: this may end the program
     if not config.settings.polls_discovery:
         # A pushed list comes as far as the agent on this machine; from there it has to be read, from now on.
         engine.discovery.watch()
-    return RunningProxy(engine, frontend)
+    return RunningProxy(engine, listener)
 
 
 def _open_gossip(engine: Engine, addresses: PeerAddresses) -> None:
@@ -93,17 +93,17 @@
     stop = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop.set)
-    engine, frontend = start(config)
+    engine, listener = start(config)
     # In the same turn as the start: no client can have seen the proxy ready before.
     reloader = Reloader(engine, dict(os.environ))
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     loop.add_signal_handler(signal.SIGUSR1, engine.telemetry.report)
     reporting = loop.create_task(_report_counters(engine.telemetry))
-    log(f"{config.name} listens on {frontend.address}")
+    log(f"{config.name} listens on {listener.address}")
     await _freeze_startup_objects()
     await stop.wait()
     log("stopping")
-    await _finish_requests(frontend, config.settings)
+    await _finish_requests(listener, config.settings)
     engine.close()
     reloader.close()
     reporting.cancel()
@@ -132,9 +132,9 @@
     gc.enable()
 
 
-async def _finish_requests(frontend: Frontend, settings: Settings) -> None:
+async def _finish_requests(listener: Listener, settings: Settings) -> None:
     """Serve on for a moment, then wait until all requests are answered."""
-    frontend.stop_keeping()
+    listener.begin_shutdown()
     await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
     max_deadline_s = max(request_class.deadline_ms for request_class in settings.classes) / 1000
-    await frontend.finish(min(max_deadline_s, MAX_SHUTDOWN_S))
+    await listener.finish_shutdown(min(max_deadline_s, MAX_SHUTDOWN_S))
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -75,7 +75,7 @@
     async def test() -> None:
         other, address = bound()
         config = with_peers(tmp_path, peer_listen="127.0.0.1:0", peers=[address], peers_all=address)
-        engine, frontend = start(config)
+        engine, listener = start(config)
         assert engine.gossip is not None
 
         def step(_: float, events: list[Any]) -> list[Any]:
@@ -88,7 +88,7 @@
         other.sendto(b"\x01efgh", address_of(engine.gossip))
         while GossipReceived(0, b"\x01efgh") not in seen:
             await asyncio.sleep(0.001)
-        await frontend.finish(0.0)
+        await listener.finish_shutdown(0.0)
         engine.close()
         other.close()
 
@@ -98,10 +98,10 @@
 def test_an_address_for_peers_that_is_not_to_be_had_leaves_the_proxy_serving(tmp_path: Path) -> None:
     async def test() -> None:
         where = "203.0.113.1:1"
-        engine, frontend = start(with_peers(tmp_path, peer_listen=where, peers=[where], peers_all=where))
-        assert engine.gossip is None and frontend.address
+        engine, listener = start(with_peers(tmp_path, peer_listen=where, peers=[where], peers_all=where))
+        assert engine.gossip is None and listener.address
         engine._execute(SendGossip(b"\x01"))
-        await frontend.finish(0.0)
+        await listener.finish_shutdown(0.0)
         engine.close()
 
     run(test())
@@ -122,7 +122,7 @@
 def test_a_failure_is_told_and_one_that_may_be_load_is_not() -> None:
     driver = Driver(settings(**TOLD), *fleet(30))
     name, (tell,) = fail_at(driver, AttemptResult.ERROR)
-    assert tell.payload == b"\x01" + driver.balancer.servers[name].hash.to_bytes(4, "big")
+    assert tell.payload == b"\x01" + driver.balancer.backends.by_id[name].name_hash.to_bytes(4, "big")
     for result in (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.REJECTED):
         assert fail_at(driver, result)[1] == []
     alone = Driver(settings(proxy_count=3, may_gossip=True), *fleet(30))
@@ -138,35 +138,36 @@
     tellers: tuple[int, ...], apart: float, ejected: bool
 ) -> None:
     driver = Driver(settings(**TOLD), *fleet(30))
-    server = driver.balancer.near[0]
+    server = driver.balancer.backends.subset[0]
     for teller in tellers:
-        driver.step(GossipReceived(teller, b"\x01" + server.hash.to_bytes(4, "big")), after=apart)
-    assert (not server.room(driver.now)) == ejected
+        driver.step(GossipReceived(teller, b"\x01" + server.name_hash.to_bytes(4, "big")), after=apart)
+    assert (not server.has_capacity(driver.now)) == ejected
     driver.beats(2000)  # longer than its first rest may last
-    assert server.room(driver.now)
+    assert server.has_capacity(driver.now)
 
 
 def test_peers_cannot_make_most_servers_rest() -> None:
     driver = Driver(settings(**TOLD), *fleet(10))
-    data = b"\x01" + b"".join(s.hash.to_bytes(4, "big") for s in driver.balancer.active)
+    data = b"\x01" + b"".join(s.name_hash.to_bytes(4, "big") for s in driver.balancer.backends.active)
     for teller in (1, 2, 3):
         driver.step(GossipReceived(teller, data))
-    assert sum(s.room(driver.now) for s in driver.balancer.active) == 5
+    assert sum(s.has_capacity(driver.now) for s in driver.balancer.backends.active) == 5
 
 
 def test_messages_that_say_nothing_to_this_proxy_are_passed_over() -> None:
     driver = Driver(settings(proxy_index=4, **TOLD), *fleet(30))
-    gone = driver.balancer.near[0].hash.to_bytes(4, "big")
-    own = GossipReceived(4, b"\x01" + driver.balancer.near[1].hash.to_bytes(4, "big"))
+    gone = driver.balancer.backends.subset[0].name_hash.to_bytes(4, "big")
+    own = GossipReceived(4, b"\x01" + driver.balancer.backends.subset[1].name_hash.to_bytes(4, "big"))
     driver.step(
         BackendListUpdate(
-            ListUpdateKind.SNAPSHOT, tuple(s for s in fleet(30) if s.backend_id != driver.balancer.near[0].id)
+            ListUpdateKind.SNAPSHOT,
+            tuple(s for s in fleet(30) if s.backend_id != driver.balancer.backends.subset[0].id),
         )
     )
     for data in (b"", b"\x01", b"\x01abc", b"\x01abcd", b"\x02" + gone, b"\x01" + gone):
         for teller in (1, 2, 3):
             driver.step(GossipReceived(teller, data), own)
-    assert all(s.room(driver.now) for s in driver.balancer.active)
+    assert all(s.has_capacity(driver.now) for s in driver.balancer.backends.active)
 
 
 def test_the_wire_of_the_simulator_carries_messages_both_ways() -> None:
@@ -195,5 +196,5 @@
     assert told["Recipient"] == "all"
     heard = {"what": "FromPeer", "Raw": told["Raw"]}
     batch(10.0, heard | {"SrcPeer": 7}, heard | {"SrcPeer": 8})
-    (server,) = adapter.instances[0].balancer.servers.values()
-    assert [by for _, by in server.blames] == [0, 7, 8]
+    (server,) = adapter.instances[0].balancer.backends.by_id.values()
+    assert [by for _, by in server.failure_reports] == [0, 7, 8]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -97,7 +97,7 @@
 def test_the_registered_size_is_read() -> None:
     adapter = Adapter()
     adapter.handle_batch(batch(1, START[0], START[1] | {"Records": [ENTRY | {"Rating": 2.5}]}).encode())
-    assert [s.weight for s in adapter.instances[3].balancer.active] == [2.5]
+    assert [s.weight for s in adapter.instances[3].balancer.backends.active] == [2.5]
 
 
 def without(event: dict[str, Any], member: str) -> dict[str, Any]:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,9 +17,9 @@
 
 from dunecove.config import Config, connection_limits, read_config
 from tests.loopback import (
-    LIMIT_S,
+    TEST_TIMEOUT_S,
     Client,
-    Peer,
+    ScriptedServer,
     configuration,
     listing,
     request,
@@ -87,7 +87,7 @@
         env=write_configuration(tmp_path, config),
         capture_output=True,
         text=True,
-        timeout=LIMIT_S,
+        timeout=TEST_TIMEOUT_S,
         check=False,
     )
     assert done.returncode == 2
@@ -106,7 +106,7 @@
             env=write_configuration(tmp_path, config),
             capture_output=True,
             text=True,
-            timeout=LIMIT_S,
+            timeout=TEST_TIMEOUT_S,
             check=False,
         )
     assert done.returncode == 2 and "in use" in done.stderr
@@ -146,7 +146,9 @@
 
 def test_without_a_configuration_it_says_so() -> None:
     env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
-    done = subprocess.run(COMMAND, env=env, capture_output=True, text=True, timeout=LIMIT_S, check=False)
+    done = subprocess.run(
+        COMMAND, env=env, capture_output=True, text=True, timeout=TEST_TIMEOUT_S, check=False
+    )
     assert (done.returncode, done.stderr) == (2, "dunecove: LB_CONFIG is not set\n")
 
 
@@ -155,7 +157,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
     async def test() -> None:
-        backend = await Peer().open()
+        backend = await ScriptedServer().open()
         program = await asyncio.create_subprocess_exec(
             *COMMAND,
             env=write_configuration(tmp_path, configuration("127.0.0.1:1", target("s", backend.address))),
@@ -194,7 +196,11 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
 
     async def test() -> None:
-        backend, other, registry = await Peer().open(), await Peer().open(), Peer()
+        backend, other, registry = (
+            await ScriptedServer().open(),
+            await ScriptedServer().open(),
+            ScriptedServer(),
+        )
         down = socket.socket()
         down.bind(("127.0.0.1", 0))  # refuses until it listens
         address = "{}:{}".format(*down.getsockname())
@@ -263,7 +269,7 @@
     """A restart must not wait for what discovery tells: that refuses, or takes connections and is silent."""
 
     async def test() -> None:
-        backend = await Peer().open()
+        backend = await ScriptedServer().open()
         with socket.socket() as down:
             down.bind(("127.0.0.1", 0))
             if silent:
@@ -315,7 +321,7 @@
 
 def test_sigterm_ends_it_cleanly_after_what_was_taken_is_answered(tmp_path: Path) -> None:
     async def test() -> None:
-        backend = await Peer().open()
+        backend = await ScriptedServer().open()
         config = configuration("127.0.0.1:1", target("s", backend.address))
         program = await asyncio.create_subprocess_exec(
             *COMMAND, env=write_configuration(tmp_path, config), stderr=asyncio.subprocess.PIPE
@@ -350,7 +356,7 @@
     # Guards against SIGHUP ending the program, against an old version in the call to a service that counts
     # its own, and against a first call that fails and is tried again only after the usual wait.
     async def test() -> None:
-        first, second, old, new = [await Peer().open() for _ in range(4)]
+        first, second, old, new = [await ScriptedServer().open() for _ in range(4)]
         known = target("s", old.address)
         env = write_configuration(tmp_path, configuration(first.address, known)) | {
             "LB_DISCOVERY": first.address
@@ -424,7 +430,7 @@
             program.send_signal(signal.SIGHUP)
             shown(program, "going on as before")
             program.send_signal(signal.SIGTERM)
-            client.settimeout(LIMIT_S)
+            client.settimeout(TEST_TIMEOUT_S)
             assert client.recv(1000).startswith(b"HTTP/1.1 504 ")
     rest = program.stderr.read()
     assert program.wait() == 0
