--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -1,4 +1,4 @@
-"""What proxies tell one another: the datagrams, and what the module makes of them."""
+"""What proxies tell one another: the datagrams, and what the balancer makes of them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from dunecove.policy.models import AttemptResult
 from dunecove.proxy.gossip import GossipChannel, PeerAddresses
 from dunecove.server import start
-from tests.loopback import configuration, run
+from tests.loopback import configuration, run, until
 from tests.support import Driver, fleet, of, settings
 
 TOLD: dict[str, Any] = {"proxy_count": 40, "may_gossip": True}
@@ -67,7 +67,7 @@
     return read_config({"LB_CONFIG": str(path)})
 
 
-def test_the_program_tells_and_hears_peers_where_the_settings_allow_it(
+def test_the_program_sends_and_receives_gossip_where_the_settings_allow_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     seen: list[Any] = []
@@ -86,8 +86,7 @@
         engine._execute(SendGossip(b"\x01abcd"))
         assert other.recv(512) == b"\x01abcd"
         other.sendto(b"\x01efgh", address_of(engine.gossip))
-        while GossipReceived(0, b"\x01efgh") not in seen:
-            await asyncio.sleep(0.001)
+        await until(lambda: GossipReceived(0, b"\x01efgh") in seen)
         await listener.finish_shutdown(0.0)
         engine.close()
         other.close()
@@ -110,7 +109,7 @@
 @pytest.mark.parametrize("bad", [{"peers": "x"}, {"peer_listen": "here"}, {"peers_all": 5}])
 def test_bad_addresses_of_peers_are_named(tmp_path: Path, bad: dict[str, Any]) -> None:
     good = {"peer_listen": "127.0.0.1:1", "peers": ["127.0.0.1:1"], "peers_all": "127.0.0.1:2"}
-    with pytest.raises(ConfigurationError, match="peer|address"):
+    with pytest.raises(ConfigurationError, match=r"peer|address"):
         with_peers(tmp_path, **(good | bad))
 
 
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine with a module that the test scripts: steps, final answers, and a module that breaks."""
+"""The engine with a balancer that the test scripts: steps, final answers, and a balancer that breaks."""
 
 from __future__ import annotations
 
@@ -47,14 +47,14 @@
 
 
 class Script:
-    """Stands in for the module: keeps each batch and answers by `act`."""
+    """Stands in for the balancer: keeps each batch and answers by `act`."""
 
     act: Step
     batches: list[list[Any]]
-    lives: int
+    incarnations: int
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        Script.lives += 1
+        Script.incarnations += 1
 
     def step(self, now: float, events: list[Any]) -> list[Action]:
         Script.batches.append(events)
@@ -63,7 +63,7 @@
 
 @pytest.fixture
 def script(monkeypatch: pytest.MonkeyPatch) -> type[Script]:
-    Script.act, Script.batches, Script.lives = staticmethod(lambda events: []), [], 0
+    Script.act, Script.batches, Script.incarnations = staticmethod(lambda events: []), [], 0
     monkeypatch.setattr(engine_module, "Balancer", Script)
     # So many lines a second are for one program: what tests before this one wrote must not use them up.
     monkeypatch.setattr(log_writer_module.log, "line_count", 0)
@@ -78,7 +78,7 @@
     return [e for batch in Script.batches for e in batch if isinstance(e, kind)]
 
 
-def test_the_saved_list_comes_first(script: type[Script]) -> None:
+def test_the_cached_list_comes_first(script: type[Script]) -> None:
     async def test() -> None:
         async with proxy(backends=2):
             await until(lambda: script.batches)
@@ -91,7 +91,7 @@
     run(test())
 
 
-def test_what_a_client_asks_reaches_the_module(script: type[Script]) -> None:
+def test_what_a_client_asks_reaches_the_balancer(script: type[Script]) -> None:
     script.act = each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
@@ -110,7 +110,7 @@
 
 
 def test_a_client_waits_no_longer_than_its_class_allows(script: type[Script]) -> None:
-    # The module takes the longest wait of a class for that of a first try: one client must not stretch it.
+    # The balancer takes the longest wait of a class for that of a first try: one client must not stretch it.
     script.act = each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
@@ -144,7 +144,7 @@
     run(test())
 
 
-def test_a_request_that_the_module_forgets_is_answered_by_its_deadline(script: type[Script]) -> None:
+def test_a_request_that_the_balancer_forgets_is_answered_by_its_deadline(script: type[Script]) -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -210,7 +210,7 @@
 
 
 def test_a_client_that_leaves_as_its_request_is_sent_again_gets_nothing_sent(script: type[Script]) -> None:
-    # The module hears of the outcome and of the client's leaving in one step, and has sent again between.
+    # The balancer hears of the outcome and of the client's leaving in one step, and has sent again between.
     def act(batch: list[Any]) -> list[Action]:
         actions: list[Action] = [
             Forward(e.request_id, "s0", 9000.0) for e in batch if isinstance(e, RequestArrived)
@@ -227,8 +227,8 @@
             client = await p.client()
             client.send()
             await p.backends[0].calls.get()
-            held = p.engine.requests.open["c1"]
-            held.attempts[0].end(AttemptResult.REJECTED)
+            open_request = p.engine.requests.open["c1"]
+            open_request.attempts[0].end(AttemptResult.REJECTED)
             p.engine.requests.client_disconnected("c1")
             await until(lambda: len(events(AttemptEnded)) == 2)
             assert [(e.attempt_index, e.result) for e in events(AttemptEnded)] == [
@@ -292,7 +292,7 @@
                 p.listener.disconnects.poll()
             assert len(polls) == 1
             await until(lambda: len(p.listener.slots.connections) == 200)
-            await until(lambda: not p.engine._events)  # the module hears of them a turn later
+            await until(lambda: not p.engine._events)  # the balancer hears of them a turn later
             assert {e.request_id for e in events(ClientDisconnected)} == {f"{n}-1" for n in range(0, 300, 3)}
             assert len(p.listener.disconnects.paused) == 200 and p.listener.disconnects.poll_timer is not None
             p.listener.disconnects.poll_timer.cancel()
@@ -483,7 +483,7 @@
 def test_the_time_that_a_step_took_counts_against_the_times_of_its_sends(
     script: type[Script], over: str, pooled: bool
 ) -> None:
-    """The module counts from the start of its step; a long one, or many sends in it, may outlast a window."""
+    """Times count from the start of the step; a long step, or many attempts in it, may outlast a window."""
     limit, within = 500_000.0 if over == "limit" else 9e6, 500_000.0 if over == "within" else 8e6
 
     def act(batch: list[Any]) -> list[Action]:
@@ -616,7 +616,7 @@
     run(test())
 
 
-def test_timers_watches_and_probes_are_carried_out(script: type[Script]) -> None:
+def test_timers_watches_and_health_checks_are_executed(script: type[Script]) -> None:
     script.act = each(
         BackendListUpdate,
         lambda e: (
@@ -638,13 +638,13 @@
     run(test())
 
 
-def test_a_broken_module_is_shown_and_fails_its_requests_once(
+def test_a_failed_balancer_is_logged_and_fails_its_requests_once(
     script: type[Script], capfd: pytest.CaptureFixture[str]
 ) -> None:
     def act(batch: list[Any]) -> list[Action]:
         arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "break" in arrivals:
-            raise ZeroDivisionError("in the module")
+            raise ZeroDivisionError("in the balancer")
         return [Forward(request, "s0", 9000.0) for request in arrivals]
 
     script.act = staticmethod(act)
@@ -657,25 +657,25 @@
             assert (await second.ask(x_call_id="break")).status == 500
             assert (await first.reply()).status == 500
             await call.closed.wait()
-            first.send(x_call_id="later")  # a new module serves on, with the list as it stands
+            first.send(x_call_id="later")  # a new balancer serves on, with the list as it stands
             (await p.backends[0].calls.get()).reply()
             assert (await first.reply()).status == 200
             assert [e.kind for e in events(BackendListUpdate)] == [
                 ListUpdateKind.CACHED,
                 ListUpdateKind.CACHED,
             ]
-            assert script.lives == 2
+            assert script.incarnations == 2
 
     run(test())
     shown = capfd.readouterr().err
-    assert shown.count("the balancer failed") == 1 and "in the module" in shown
+    assert shown.count("the balancer failed") == 1 and "in the balancer" in shown
 
 
 def test_a_request_sent_ahead_of_a_break_is_served_by_the_new_module(script: type[Script]) -> None:
     def act(batch: list[Any]) -> list[Action]:
         arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "break" in arrivals:
-            raise ZeroDivisionError("in the module")
+            raise ZeroDivisionError("in the balancer")
         return [Forward(request, "s0", 9000.0) for request in arrivals]
 
     script.act = staticmethod(act)
@@ -692,13 +692,13 @@
     run(test())
 
 
-def test_a_module_that_breaks_answers_requests_in_all_states_once(script: type[Script]) -> None:
+def test_a_balancer_that_fails_answers_requests_in_all_states_once(script: type[Script]) -> None:
     """In the buffer, at a server, with a connection that comes up, and with a client that left just then."""
 
     def act(batch: list[Any]) -> list[Action]:
         arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "break" in arrivals:
-            raise ZeroDivisionError("in the module")
+            raise ZeroDivisionError("in the balancer")
         sends = {"out": "s0", "left": "s0", "coming": "s1", "later": "s0"}
         return [Forward(request, sends[request], 9000.0) for request in arrivals if request in sends]
 
@@ -714,7 +714,7 @@
             clients["coming"].send(x_call_id="coming")
             comes_up = await gate.knocks.get()
             await until(lambda: "held" in p.engine.requests.open)
-            # Both in the batch that breaks: its client's leaving is not heard by any module.
+            # Both in the batch that breaks: its client's leaving is not heard by any balancer.
             p.engine.requests.client_disconnected("left")
             clients["break"].send(x_call_id="break")
             for name in ("held", "out", "coming", "break"):
@@ -733,10 +733,10 @@
     run(test())
 
 
-def test_a_watch_that_ended_as_the_module_broke_is_opened_anew(script: type[Script]) -> None:
+def test_a_watch_that_ended_as_the_balancer_failed_is_opened_anew(script: type[Script]) -> None:
     def act(batch: list[Any]) -> list[Action]:
         if any(isinstance(e, BackendListUpdate) and e.kind is ListUpdateKind.FAILED for e in batch):
-            raise ZeroDivisionError("in the module")
+            raise ZeroDivisionError("in the balancer")
         return []
 
     script.act = staticmethod(act)
@@ -745,7 +745,7 @@
         async with proxy(list_mode="push") as p:
             (await p.registry.calls.get()).reply(status=503)
             assert "?since=1&" in (await p.registry.calls.get()).line
-            assert script.lives == 2
+            assert script.incarnations == 2
 
     run(test())
 
@@ -777,7 +777,7 @@
 @pytest.mark.parametrize(
     ("told", "work"), [("12500", 12.5), ("-1", 0.0), ("1e9", 0.0), ("", 0.0), (None, 0.0)]
 )
-def test_a_guess_at_the_work_reaches_the_module_if_it_can_be_one(
+def test_a_work_hint_reaches_the_balancer_if_it_can_be_one(
     script: type[Script], told: str | None, work: float
 ) -> None:
     script.act = each(RequestArrived, lambda e: [Fail(e.request_id)])
--- a/tests/proxy/test_telemetry.py
+++ b/tests/proxy/test_telemetry.py
@@ -89,9 +89,9 @@
 
 
 def scripted(monkeypatch: pytest.MonkeyPatch, after: Action) -> None:
-    """A module that sends each request once, and does `after` once that attempt has ended."""
+    """A balancer that sends each request once, and does `after` once that attempt has ended."""
 
-    class Module:
+    class StubBalancer:
         def __init__(self, settings: Settings, seed: int) -> None:
             pass
 
@@ -100,7 +100,7 @@
             ended = [e for e in events if isinstance(e, AttemptEnded) and e.result is AttemptResult.ERROR]
             return [*sends, *(after for _ in ended)]
 
-    monkeypatch.setattr(engine_module, "Balancer", Module)
+    monkeypatch.setattr(engine_module, "Balancer", StubBalancer)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -81,7 +81,7 @@
     assert [c["Call"] for c in replies[1]["cmds"] if c["what"] == "Deliver"] == ["cd"]
 
 
-def test_an_exception_in_the_module_is_reported_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_balancer_is_reported_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> None:
         raise ZeroDivisionError("by a latency of nothing")
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,12 +19,14 @@
 from tests.loopback import (
     TEST_TIMEOUT_S,
     Client,
+    ReceivedRequest,
     ScriptedServer,
     configuration,
     listing,
     request,
     run,
     target,
+    until,
     write_configuration,
 )
 
@@ -192,9 +194,6 @@
 ) -> None:
     """Clients that wait and idle ones hold all places while discovery is down; peers have their socket."""
 
-    def few_descriptors() -> None:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
-
     async def test() -> None:
         backend, other, registry = (
             await ScriptedServer().open(),
@@ -209,33 +208,15 @@
         known = [target(f"s{number}", backend.address) for number in range(150)]
         config = configuration(address, *known, sockets=sockets, list_mode="push", Peers=True)
         config |= {"peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:1"], "peers_all": "127.0.0.1:1"}
-        program = await asyncio.create_subprocess_exec(
-            *COMMAND,
-            env=write_configuration(tmp_path, config),
-            stderr=asyncio.subprocess.PIPE,
-            preexec_fn=few_descriptors,
-        )
-        assert program.stderr is not None
-        while " listens on " not in (line := (await program.stderr.readline()).decode()):
-            assert line
+        program, address = await program_with_descriptors(limit, write_configuration(tmp_path, config))
         of_clients, to_backends = connection_limits(min(limit, sockets))
-        address, calls, busy = line.split()[-1], [], []
-        for number in range(of_clients):
-            busy.append(await Client.open(address))
-            busy[-1].send("/lookup", "GET", x_call_id=f"c{number}")
-            if number < to_backends:  # what is more waits for its turn
-                calls.append(await backend.calls.get())
-        held = Path(f"/proc/{program.pid}/fd")
-        while len(os.listdir(held)) < of_clients + to_backends:
-            await asyncio.sleep(0.001)
-        assert len(os.listdir(held)) < min(limit, sockets)
+        busy, calls = await fill(address, backend, of_clients, to_backends)
+        descriptors = Path(f"/proc/{program.pid}/fd")
+        await until(lambda: len(os.listdir(descriptors)) >= of_clients + to_backends)
+        assert len(os.listdir(descriptors)) < min(limit, sockets)
         for client in busy[to_backends:]:
             client.close()
-        idle = [await Client.open(address) for _ in range(of_clients)]
-        for client in idle:
-            client.send("/health/ready", "GET")
-        for client in idle:  # one in the place of another
-            assert (await client.reply()).status == 200
+        idle = await served_as_ready(address, of_clients)
         if not silent:
             await registry.open(down)
         body = json.dumps(listing(2, target("t", other.address))).encode()
@@ -249,9 +230,7 @@
         new.send(x_call_id="new")
         (await other.calls.get()).reply(b"new")
         assert (await new.reply()).body == b"new"
-        program.send_signal(signal.SIGTERM)
-        assert "Too many open files" not in (await program.stderr.read()).decode()
-        assert await program.wait() == 0
+        await ends_cleanly(program)
         for client in [*busy, *idle, new]:
             client.close()
         for peer in (backend, other, registry):
@@ -260,6 +239,51 @@
     run(test())
 
 
+async def program_with_descriptors(limit: int, env: dict[str, str]) -> tuple[asyncio.subprocess.Process, str]:
+    """The program with so many descriptors, and the address that it listens on."""
+
+    def few_descriptors() -> None:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
+
+    program = await asyncio.create_subprocess_exec(
+        *COMMAND, env=env, stderr=asyncio.subprocess.PIPE, preexec_fn=few_descriptors
+    )
+    assert program.stderr is not None
+    while " listens on " not in (line := (await program.stderr.readline()).decode()):
+        assert line
+    return program, line.split()[-1]
+
+
+async def fill(
+    address: str, backend: ScriptedServer, of_clients: int, to_backends: int
+) -> tuple[list[Client], list[ReceivedRequest]]:
+    """So many clients, each with a request, and the requests that reached the backend."""
+    clients, calls = [], []
+    for number in range(of_clients):
+        clients.append(await Client.open(address))
+        clients[-1].send("/lookup", "GET", x_call_id=f"c{number}")
+        if number < to_backends:  # what is more waits for its turn
+            calls.append(await backend.calls.get())
+    return clients, calls
+
+
+async def served_as_ready(address: str, count: int) -> list[Client]:
+    """So many clients at once, each told that the proxy is ready."""
+    clients = [await Client.open(address) for _ in range(count)]
+    for client in clients:
+        client.send("/health/ready", "GET")
+    for client in clients:  # one in the place of another
+        assert (await client.reply()).status == 200
+    return clients
+
+
+async def ends_cleanly(program: asyncio.subprocess.Process) -> None:
+    assert program.stderr is not None
+    program.send_signal(signal.SIGTERM)
+    assert "Too many open files" not in (await program.stderr.read()).decode()
+    assert await program.wait() == 0
+
+
 @pytest.mark.parametrize("silent", [True, False])
 @pytest.mark.parametrize("backends", [200, 20_000])
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -298,7 +322,7 @@
     run(test())
 
 
-def test_what_the_module_makes_of_the_saved_list_is_kept_from_the_collector(tmp_path: Path) -> None:
+def test_what_the_balancer_makes_of_the_cached_list_is_kept_from_the_collector(tmp_path: Path) -> None:
     """Walked again and again, 20,000 backends would hold up requests."""
     code = """if True:
         import gc, os, signal, sys
