--- a/dunecove/errors.py
+++ b/dunecove/errors.py
@@ -31,22 +31,6 @@
     """An endpoint list can't be used."""
 
 
-class InvalidSettingError(DunecoveError, ValueError):
-    """A setting has a value that no deployment can have."""
-
-    def __init__(self, setting: str, problem: str, class_index: int | None = None) -> None:
-        """Name the field of `Settings`, or that of the request class at `class_index`."""
-        self.setting = setting
-        self.problem = problem
-        self.class_index = class_index
-        super().__init__(self.describe(setting))
-
-    def describe(self, key: str) -> str:
-        """Return the error's text with `key` as the setting's name."""
-        prefix = "" if self.class_index is None else f"class {self.class_index}: "
-        return f"{prefix}{key} {self.problem}"
-
-
 class ConfigurationError(DunecoveError):
     """The proxy's configuration can't be used."""
 
--- a/dunecove/policy/settings.py
+++ b/dunecove/policy/settings.py
@@ -6,10 +6,25 @@
 from dataclasses import dataclass
 from math import inf
 
-from dunecove.errors import InvalidSettingError
 from dunecove.policy.models import DeduplicationScope, Idempotency
 
 
+class InvalidSettingError(ValueError):
+    """A setting has a value that no deployment can have."""
+
+    def __init__(self, setting: str, problem: str, class_index: int | None = None) -> None:
+        """Name the field of `Settings`, or that of the request class at `class_index`."""
+        self.setting = setting
+        self.problem = problem
+        self.class_index = class_index
+        super().__init__(self.describe(setting))
+
+    def describe(self, key: str) -> str:
+        """Return the error's text with `key` as the setting's name."""
+        prefix = "" if self.class_index is None else f"class {self.class_index}: "
+        return f"{prefix}{key} {self.problem}"
+
+
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     """What holds for all requests of one class."""
--- a/dunecove/wire/settings.py
+++ b/dunecove/wire/settings.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from math import inf
 
-from dunecove.errors import InvalidFieldError, InvalidSettingError
+from dunecove.errors import InvalidFieldError
 from dunecove.policy.models import DeduplicationScope, Idempotency
-from dunecove.policy.settings import RequestClass, Settings
+from dunecove.policy.settings import InvalidSettingError, RequestClass, Settings
 from dunecove.wire.fields import (
     JsonObject,
     as_array,
