--- a/dunecove/config.py
+++ b/dunecove/config.py
@@ -12,10 +12,11 @@
 
 from dunecove.errors import ConfigurationError, InvalidFieldError, MalformedInputError, UnreadableFileError
 from dunecove.policy.settings import Settings
-from dunecove.proxy.discovery_client import Saved, check_ip, read_saved
+from dunecove.proxy.addresses import check_ip, split_address
+from dunecove.proxy.endpoint_json import read_cached_list
+from dunecove.proxy.endpoint_list import CachedEndpointList
 from dunecove.proxy.gossip import PeerAddresses
-from dunecove.proxy.http1 import split_address
-from dunecove.proxy.incremental_json import in_pieces, read, without
+from dunecove.proxy.incremental_json import ArraySlices, read_file
 from dunecove.wire.fields import (
     JsonObject,
     as_array,
@@ -59,7 +60,7 @@
     seed: int
     settings: Settings
     proxy_settings: ProxySettings
-    cached_list: Saved
+    cached_list: CachedEndpointList
     max_descriptors: int
     memory_mb: float
     peer_addresses: PeerAddresses | None  # None where there is no gossip
@@ -76,8 +77,8 @@
         raise ConfigurationError("LB_CONFIG is not set")
     try:
         fields, has_long_list = _read_outline(path)
-        entries = in_pieces(read(path), "known") if has_long_list and not skips_long_list else ()
-        return _parse(fields, environment, entries)
+        slices = ArraySlices(read_file(path), "known") if has_long_list and not skips_long_list else ()
+        return _parse(fields, environment, slices)
     except (MalformedInputError, ValueError) as error:
         raise ConfigurationError(f"{path}: {error}") from None
 
@@ -93,7 +94,7 @@
 def _read_outline(path: str) -> tuple[JsonObject, bool]:
     """Return the file's object without the entries of a long cached list, and whether it has a long one."""
     try:
-        outline, has_long_list = without(in_pieces(read(path), "known"))
+        outline, has_long_list = ArraySlices(read_file(path), "known").read_remainder()
     except OSError as error:
         raise UnreadableFileError(path, error) from None
     except orjson.JSONDecodeError as error:
@@ -101,7 +102,7 @@
     return as_object(outline, "configuration"), has_long_list
 
 
-def _parse(fields: JsonObject, environment: Mapping[str, str], entries: Iterable[list[Any]]) -> Config:
+def _parse(fields: JsonObject, environment: Mapping[str, str], slices: Iterable[list[Any]]) -> Config:
     info = as_object(required(fields, "settings"), "settings")
     # The limit tells what the simulator's clients are given; HTTP has Retry-After for all of them.
     settings = replace(read_settings(info), sends_retry_after=True)
@@ -110,7 +111,7 @@
     config = Config(
         settings=settings,
         proxy_settings=proxy_settings,
-        cached_list=read_saved(required(fields, "known"), proxy_settings, entries),
+        cached_list=read_cached_list(required(fields, "known"), proxy_settings, slices),
         name=environment.get("LB_NAME") or _string(fields, "name"),
         listen_address=environment.get("LB_LISTEN") or _string(fields, "listen"),
         discovery_address=environment.get(DISCOVERY_VARIABLE) or _string(fields, "discovery"),
--- a/dunecove/errors.py
+++ b/dunecove/errors.py
@@ -27,10 +27,6 @@
     """A line on the simulator's wire can't be used."""
 
 
-class MalformedEndpointListError(MalformedInputError):
-    """An endpoint list can't be used."""
-
-
 class ConfigurationError(DunecoveError):
     """The proxy's configuration can't be used."""
 
--- a/dunecove/proxy/cached_list_feed.py
+++ b/dunecove/proxy/cached_list_feed.py
@@ -6,8 +6,8 @@
 
 from dunecove.policy.events import BackendListUpdate, ListUpdateKind
 from dunecove.policy.models import BackendInfo
-from dunecove.proxy.connection_pool import Backends
-from dunecove.proxy.discovery_client import PIECE
+from dunecove.proxy.connection_pool import ConnectionPool
+from dunecove.proxy.long_list import ENDPOINTS_PER_SLICE
 
 
 class CachedListFeed:
@@ -16,7 +16,7 @@
     A long list in one step would hold up requests.
     """
 
-    def __init__(self, backends: Backends) -> None:
+    def __init__(self, backends: ConnectionPool) -> None:
         """Read the backends' present entries from `backends` as each slice is told."""
         self._backends = backends
         self._pending: list[str] = []  # ids, the next one last
@@ -36,6 +36,6 @@
         return BackendListUpdate(ListUpdateKind.CACHED_CONTINUED, self._next_slice())
 
     def _next_slice(self) -> tuple[BackendInfo, ...]:
-        slice_ids = self._pending[-PIECE:][::-1]
-        del self._pending[-PIECE:]
-        return self._backends.infos(slice_ids)
+        slice_ids = self._pending[-ENDPOINTS_PER_SLICE:][::-1]
+        del self._pending[-ENDPOINTS_PER_SLICE:]
+        return self._backends.backend_infos(slice_ids)
--- a/dunecove/proxy/client_connection.py
+++ b/dunecove/proxy/client_connection.py
@@ -16,10 +16,11 @@
 from dunecove.proxy.connection_slots import ConnectionSlots
 from dunecove.proxy.disconnect_watcher import DisconnectWatcher
 from dunecove.proxy.engine import Engine
-from dunecove.proxy.http1 import MAX_BODY, hung_up, last_arrival_ms, unread
+from dunecove.proxy.http_limits import MAX_BODY_BYTES
 from dunecove.proxy.http_request import HttpRequest, RequestError, RequestReader
 from dunecove.proxy.receive_buffer import ReceiveBuffer, ReceivedChunk
 from dunecove.proxy.request_parser import RequestParser
+from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer, last_arrival_ms
 from dunecove.proxy.telemetry import CounterName
 
 MAX_PIPELINED = 2  # requests parsed ahead, whatever their size
@@ -30,7 +31,7 @@
 MAX_CONSECUTIVE_ERRORS = 8  # rejected requests after which a connection is closed
 LINGER_READ_TIMEOUT_S = 5.0  # s in which a lingering client has to read its last response
 MAX_LINGER_BYTES = 1024 * 1024  # received and discarded while lingering
-MAX_UNREAD_RESPONSE_BYTES = 2 * MAX_BODY  # of responses that a client leaves unread
+MAX_UNREAD_RESPONSE_BYTES = 2 * MAX_BODY_BYTES  # of responses that a client leaves unread
 # ms after its deadline at which a pipelined request is answered at the latest: well within the grace in
 # which a response is still accepted.
 PIPELINED_GRACE_MS = RESPONSE_GRACE_MS / 2
@@ -64,7 +65,7 @@
 
     def is_ready(self) -> bool:
         """Return whether requests should be sent to this proxy."""
-        return not self.is_shutting_down and self.engine.backends.active() > 0
+        return not self.is_shutting_down and self.engine.backends.active_count() > 0
 
 
 class ClientConnection(asyncio.Protocol):
@@ -135,7 +136,7 @@
 
     def may_close(self) -> bool:
         """Return whether it owes no response and no unread request lies in the kernel."""
-        return may_close_connection(self.owes_response(), unread(self.transport))
+        return may_close_connection(self.owes_response(), has_unread_input(self.transport))
 
     def may_be_evicted(self) -> bool:
         """Return whether its slot may be given to another connection."""
@@ -155,14 +156,14 @@
         """
         if now_ms() - self.server.slots.lingering[self] > LINGER_READ_TIMEOUT_S * 1000:
             return False
-        return self.has_unsent_bytes() or unread(self.transport)
+        return self.has_unsent_bytes() or has_unread_input(self.transport)
 
     def detect_disconnect(self) -> bool:
         """Ask the kernel whether the client has left, and close the connection if so.
 
         The event loop reports it later, or never while reading is paused.
         """
-        if not hung_up(self.transport):
+        if not is_closed_by_peer(self.transport):
             return False
         self._abandon_requests()
         self.close(CloseReason.CLIENT)
@@ -278,7 +279,7 @@
             self.server.disconnects.watch(self)
             return
         self.server.disconnects.unwatch(self)
-        if self.paused_since and not unread(self.transport):
+        if self.paused_since and not has_unread_input(self.transport):
             self.paused_since = 0.0
         self.transport.resume_reading()
 
@@ -359,7 +360,7 @@
 
     def _has_further_requests(self) -> bool:
         """Return whether the client has sent anything behind the current request."""
-        return bool(self.pending or self.buffer) or unread(self.transport)
+        return bool(self.pending or self.buffer) or has_unread_input(self.transport)
 
 
 def _encode(response: ClientResponse, keep_alive: bool) -> bytes:
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -29,12 +29,14 @@
 )
 from dunecove.policy.models import AttemptResult
 from dunecove.policy.settings import Settings
+from dunecove.proxy.attempt import Attempt
 from dunecove.proxy.cached_list_feed import CachedListFeed
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.connection_pool import Attempt, Backends
-from dunecove.proxy.discovery_client import Discovery, Listing, Saved
+from dunecove.proxy.connection_pool import ConnectionPool
+from dunecove.proxy.discovery_client import DiscoveryClient
+from dunecove.proxy.endpoint_list import CachedEndpointList, EndpointListUpdate
 from dunecove.proxy.gossip import GossipChannel
-from dunecove.proxy.http1 import Response
+from dunecove.proxy.http_exchange import Response
 from dunecove.proxy.log_writer import log
 from dunecove.proxy.request_lifecycle import RequestLifecycle
 from dunecove.proxy.telemetry import CounterName, Telemetry
@@ -53,12 +55,12 @@
         """Begin without backends, in a running loop."""
         self.telemetry = Telemetry()
         self.balancer = Balancer(settings, seed)
-        self.backends = Backends(
+        self.backends = ConnectionPool(
             proxy_settings.connect_timeout_ms, proxy_settings.conn_idle_ms, max_backend_connections
         )
         self.requests = RequestLifecycle(settings, self.backends, self.telemetry, self._raise_event)
         self.cached_list_feed = CachedListFeed(self.backends)
-        self.discovery: Discovery | None = None
+        self.discovery: DiscoveryClient | None = None
         self.gossip: GossipChannel | None = None
         self._settings = settings
         self._seed = seed
@@ -72,23 +74,23 @@
 
     # What happens outside
 
-    def on_list(self, listing: Listing, kind: ListUpdateKind | None = None) -> None:
+    def on_list(self, update: EndpointListUpdate, kind: ListUpdateKind | None = None) -> None:
         """Take over an endpoint list, as what it is or as `kind`."""
         # The pools hear of a drain here and now, before anything else of this turn can be written.
-        self.backends.update(listing.targets, listing.whole)
-        kind = kind or (ListUpdateKind.SNAPSHOT if listing.whole else ListUpdateKind.DELTA)
+        self.backends.update(update.endpoints, update.is_snapshot)
+        kind = kind or (ListUpdateKind.SNAPSHOT if update.is_snapshot else ListUpdateKind.DELTA)
         self.telemetry.count(CounterName.LIST_UPDATE, kind.value)
         if kind is ListUpdateKind.CACHED:
-            self._feed_cached_list([target.uid for target in listing.targets])
+            self._feed_cached_list([endpoint.backend_id for endpoint in update.endpoints])
         else:
-            entries = tuple(target.info for target in listing.targets)
+            entries = tuple(endpoint.info for endpoint in update.endpoints)
             self._list_updates.append(BackendListUpdate(kind, entries))
         self._schedule_step()
 
-    def load_cached_list(self, saved: Saved) -> None:
+    def load_cached_list(self, cached_list: CachedEndpointList) -> None:
         """Begin with a list from before this process; its table is the pools' from now on."""
-        self.backends.targets = saved.table
-        self._feed_cached_list(saved.uids)
+        self.backends.endpoints = cached_list.table
+        self._feed_cached_list(cached_list.backend_ids)
         self._schedule_step()
 
     def on_list_failure(self, reason: str) -> None:
@@ -104,7 +106,7 @@
 
     def move_discovery(self, address: str) -> None:
         """Poll another discovery service from now on; the list stands until that has answered."""
-        if self.discovery is not None and self.discovery.move(address):
+        if self.discovery is not None and self.discovery.move_to(address):
             self.telemetry.count(CounterName.DISCOVERY_MOVED)
             log(f"list: now from {address}")
             self._raise_event(DiscoveryMoved())
@@ -120,7 +122,7 @@
             self.gossip.close()
 
     def _on_health_check_ended(self, attempt: Attempt, result: AttemptResult, _: Response | None) -> None:
-        self._raise_event(HealthCheckResult(attempt.uid, result, now_ms() - attempt.started))
+        self._raise_event(HealthCheckResult(attempt.backend_id, result, now_ms() - attempt.started_at))
 
     def _on_timer(self, token: int, incarnation: int) -> None:
         if incarnation == self._incarnation:
@@ -171,7 +173,7 @@
         log(f"the balancer failed\n{traceback.format_exc()}")
         self._incarnation += 1
         self.balancer = Balancer(self._settings, self._seed + self._incarnation)
-        self._feed_cached_list(list(self.backends.targets))
+        self._feed_cached_list(list(self.backends.endpoints))
         self._events = []
         if self._next_step is not None:
             self._next_step.cancel()
--- a/dunecove/proxy/gossip.py
+++ b/dunecove/proxy/gossip.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dunecove.proxy.http1 import split_address
+from dunecove.proxy.addresses import split_address
 
 MAX_DATAGRAM_BYTES = 256
 MAX_READS_PER_TURN = 64  # requests must not wait for a flood of datagrams
--- a/dunecove/proxy/request_lifecycle.py
+++ b/dunecove/proxy/request_lifecycle.py
@@ -17,10 +17,11 @@
     may_reject,
 )
 from dunecove.policy.settings import Settings
+from dunecove.proxy.attempt import Attempt
 from dunecove.proxy.client_messages import ClientResponse, ParsedRequest
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.connection_pool import Attempt, Backends
-from dunecove.proxy.http1 import Response
+from dunecove.proxy.connection_pool import ConnectionPool
+from dunecove.proxy.http_exchange import Response
 from dunecove.proxy.request_registry import OpenRequest, RecentIds
 from dunecove.proxy.telemetry import CounterName, RequestStage, ResponseReason, Telemetry
 
@@ -34,7 +35,7 @@
     def __init__(
         self,
         settings: Settings,
-        backends: Backends,
+        backends: ConnectionPool,
         telemetry: Telemetry,
         raise_event: Callable[[Event], None],
     ) -> None:
@@ -220,7 +221,7 @@
         if result is AttemptResult.OK and response is not None and not request.is_finished:
             self._respond(request, _client_response(response), ResponseReason.SERVED)
         self._telemetry.record(request_id, RequestStage.ATTEMPT_ENDED, result.value)
-        latency_ms = now_ms() - attempt.started
+        latency_ms = now_ms() - attempt.started_at
         self._raise_event(AttemptEnded(request_id, attempt_index, result, latency_ms, request.is_finished))
         self._note_end(request)
 
--- a/dunecove/proxy/request_registry.py
+++ b/dunecove/proxy/request_registry.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
+from dunecove.proxy.attempt import Attempt
 from dunecove.proxy.client_messages import ParsedRequest
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.connection_pool import Attempt
 
 MIN_ID_RETENTION_MS = 4000.0  # no client waits longer for its request
 MAX_RECENT_IDS = 20_000
@@ -26,7 +26,7 @@
 
     def has_open_attempts(self) -> bool:
         """Tell whether an attempt has no result yet."""
-        return not all(attempt.ended for attempt in self.attempts)
+        return not all(attempt.has_ended for attempt in self.attempts)
 
 
 class RecentIds:
--- a/dunecove/retry.py
+++ b/dunecove/retry.py
@@ -8,10 +8,10 @@
 from typing import TypeVar
 
 from dunecove.errors import UnreadableFileError
-from dunecove.proxy.connection_pool import OWN_LACK
+from dunecove.proxy.connection_pool import LOCAL_RESOURCE_ERRNOS
 
 # What a system call may lack for a moment, as Linux documents it.
-TRANSIENT_ERRNOS = OWN_LACK | {errno.EAGAIN, errno.EINTR, errno.EIO}
+TRANSIENT_ERRNOS = LOCAL_RESOURCE_ERRNOS | {errno.EAGAIN, errno.EINTR, errno.EIO}
 RETRY_INTERVAL_S = 0.05
 
 _Result = TypeVar("_Result")
--- a/dunecove/server.py
+++ b/dunecove/server.py
@@ -13,7 +13,7 @@
 
 from dunecove.config import Config, connection_limits
 from dunecove.policy.settings import Settings
-from dunecove.proxy.discovery_client import Discovery
+from dunecove.proxy.discovery_client import DiscoveryClient
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.gossip import GossipChannel, PeerAddresses
 from dunecove.proxy.listener import Listener
@@ -42,15 +42,15 @@
     limits = connection_limits(config.max_descriptors)
     engine = Engine(config.settings, config.proxy_settings, config.seed, limits.backends)
     engine.load_cached_list(config.cached_list)
-    engine.discovery = Discovery(
+    engine.discovery = DiscoveryClient(
         config.discovery_address,
         config.proxy_settings,
-        config.cached_list.rev,
+        config.cached_list.revision,
         engine.on_list,
         engine.on_list_failure,
         pushed=not config.settings.polls_discovery,
         memory_mb=config.memory_mb,
-        held=engine.backends.targets,
+        endpoints=engine.backends.endpoints,
     )
     if config.peer_addresses is not None:
         _open_gossip(engine, config.peer_addresses)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,10 +17,10 @@
 
 from dunecove.config import read_config
 from dunecove.proxy.client_connection import ClientConnection
-from dunecove.proxy.connection_pool import Backends
+from dunecove.proxy.connection_pool import ConnectionPool
 from dunecove.proxy.engine import Engine
-from dunecove.proxy.http1 import unread
 from dunecove.proxy.listener import Listener
+from dunecove.proxy.socket_probe import has_unread_input
 from dunecove.server import start
 
 TEST_TIMEOUT_S = 60.0  # only a hang comes near it
@@ -177,7 +177,7 @@
     """Send a request that stays in the kernel, as if the event loop had not read it yet."""
     connection.transport.pause_reading()
     client.send(x_call_id=x_call_id)
-    await until(lambda: unread(connection.transport))
+    await until(lambda: has_unread_input(connection.transport))
 
 
 def target(uid: str, address: str, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
@@ -245,7 +245,7 @@
         return await self.connect(*args)
 
     @staticmethod
-    def of(backends: Backends) -> ConnectGate:
+    def of(backends: ConnectionPool) -> ConnectGate:
         gate = ConnectGate(backends.loop)
         backends.loop = cast(asyncio.AbstractEventLoop, gate)
         return gate
