--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -44,7 +44,6 @@
 from dunecove.policy.in_flight_limit import InFlightLimit
 from dunecove.policy.latency_tracker import LatencyTracker
 from dunecove.policy.list_updates import CACHED_KINDS, ListUpdates
-from dunecove.policy.models import NEVER_EXECUTED
 from dunecove.policy.outlier_detection import OutlierDetector
 from dunecove.policy.pinned_retries import PinnedRetries
 from dunecove.policy.queue_timeouts import TICK_MS, QueueTimeouts
@@ -98,7 +97,10 @@
         self._is_started = False
         self._slow_tick_at = 0.0  # the last one
         self._actions: list[Action] = []
-        self._handlers: dict[type, Callable[[float, Any], None]] = {
+        self._handlers = self._handlers_by_event()
+
+    def _handlers_by_event(self) -> dict[type, Callable[[float, Any], None]]:
+        return {
             RequestArrived: self._on_arrival,
             AttemptEnded: self._on_attempt_ended,
             ResponseStarted: self._on_response_started,
@@ -165,10 +167,9 @@
         attempt = request.attempts[event.attempt_index]
         if not attempt.is_open:
             return
-        attempt.is_open = False
-        attempt.may_have_executed = event.result not in NEVER_EXECUTED
+        attempt.end(event.result)
         request.open_attempts -= 1
-        attempt.backend.in_flight -= 1  # also of one given up: work stops when its connection closes
+        attempt.backend.end_attempt()
         self.in_flight.end_attempt(event)
         ejection = self._feedback.record(now, request, attempt.backend, event)
         if ejection is not None:
@@ -189,7 +190,7 @@
             self._timeouts.schedule(request.retry_at, request)
         else:
             executed = first_executed_attempt(request.attempts)
-            assert executed is not None
+            assert executed is not None  # or any backend might get it
             self.pinned_retries.add(request)
             self._timeouts.start_pinned(request, executed)
 
@@ -215,7 +216,7 @@
             if request.is_queued:
                 if not self._timeouts.extend(now, request):
                     self._fail(request, EndReason.QUEUE_TIMEOUT)
-            elif not request.is_finished and 0 < request.retry_at <= now:
+            elif request.has_backoff_ended(now):
                 self._continue(request, self.retry_policy.after_backoff(now, request))
 
     def _fail(self, request: Request, reason: EndReason) -> None:
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -23,7 +23,7 @@
 from dunecove.proxy.endpoint_list import EndpointListUpdate
 from dunecove.wire.settings import ProxySettings
 from tests.loopback import ReceivedRequest, ScriptedServer, listing, proxy, run, target, until
-from tests.support import Driver, fleet, of, settings
+from tests.support import Driver, fleet, of_type, settings
 
 ADDRESS = "127.0.0.9:80"
 
@@ -191,7 +191,7 @@
 
 def ms_until_poll(driver: Driver) -> float:
     start = driver.now
-    while not of(PollDiscovery, driver.beat()):
+    while not of_type(PollDiscovery, driver.tick()):
         pass
     return driver.now - start
 
@@ -227,7 +227,7 @@
     )
     driver = Driver(config, *fleet(2))
     if not pushed:
-        assert of(PollDiscovery, driver.beats(2_525))  # a new process polls soon, too
+        assert of_type(PollDiscovery, driver.run_ticks(2_525))  # a new process polls soon, too
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(2))))
     discovery = client_for(pushed, 300.0)
     silent = discovery.long_poll_ms + discovery.response_timeout_ms
@@ -249,7 +249,7 @@
         driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     ms_until_poll(driver)
     call = client_for(False, 300.0).opening_timeout_ms
-    driver.beats(call)
+    driver.run_ticks(call)
     assert call + max_ms_until_retry(driver) + call < 6_000
 
 
@@ -274,7 +274,7 @@
     served: set[int] = set()
     for tick in range(400):
         for me, driver in enumerate(drivers):
-            if of(PollDiscovery, driver.beat()) and me not in deadlines and me not in served:
+            if of_type(PollDiscovery, driver.tick()) and me not in deadlines and me not in served:
                 calls[me] += 1
                 queue.append((me, calls[me]))
                 deadlines[me] = driver.now + timeout_ms
--- a/tests/policy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -17,7 +17,7 @@
 from dunecove.policy.events import GossipReceived
 from dunecove.proxy.gossip import GossipChannel, PeerAddresses
 from dunecove.server import start
-from tests.loopback import configuration, run, until
+from tests.loopback import configuration, run
 
 
 def bound() -> tuple[socket.socket, str]:
@@ -66,23 +66,23 @@
 def test_the_program_sends_and_receives_gossip_where_the_settings_allow_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    seen: list[Any] = []
-
     async def test() -> None:
+        gossip_seen = asyncio.Event()
         other, address = bound()
         config = with_peers(tmp_path, peer_listen="127.0.0.1:0", peers=[address], peers_all=address)
         engine, listener = start(config)
         assert engine.gossip is not None
 
         def step(_: float, events: list[Any]) -> list[Any]:
-            seen.extend(events)
+            if GossipReceived(0, b"\x01efgh") in events:
+                gossip_seen.set()
             return []
 
         monkeypatch.setattr(engine.balancer, "step", step)
         engine._execute(SendGossip(b"\x01abcd"))
         assert other.recv(512) == b"\x01abcd"
         other.sendto(b"\x01efgh", address_of(engine.gossip))
-        await until(lambda: GossipReceived(0, b"\x01efgh") in seen)
+        await gossip_seen.wait()
         await listener.finish_shutdown(0.0)
         engine.close()
         other.close()
@@ -131,9 +131,9 @@
         arrival,
     )
     failed = {"what": "Reply", "Call": "a", "Leg": 0, "How": "error", "DelaySeenMs": 5.0, "Finished": True}
-    (told,) = [cmd for cmd in batch(5.0, failed) if cmd["what"] == "Notify"]
-    assert told["Recipient"] == "all"
-    heard = {"what": "FromPeer", "Raw": told["Raw"]}
+    (notified,) = [cmd for cmd in batch(5.0, failed) if cmd["what"] == "Notify"]
+    assert notified["Recipient"] == "all"
+    heard = {"what": "FromPeer", "Raw": notified["Raw"]}
     batch(10.0, heard | {"SrcPeer": 7}, heard | {"SrcPeer": 8})
-    (server,) = adapter.instances[0].balancer.backends.by_id.values()
-    assert [by for _, by in server.failure_reports] == [0, 7, 8]
+    (backend,) = adapter.instances[0].balancer.backends.by_id.values()
+    assert [by for _, by in backend.failure_reports] == [0, 7, 8]
