--- a/dunecove/proxy/discovery_client.py
+++ b/dunecove/proxy/discovery_client.py
@@ -68,7 +68,7 @@
     def __init__(
         self,
         address: str,
-        wire: ProxySettings,
+        proxy_settings: ProxySettings,
         revision: int | None,
         on_update: Callable[[EndpointListUpdate], None],
         on_failure: Callable[[str], None],
@@ -82,7 +82,7 @@
         which the list is pushed. `endpoints` is the table that `on_update` keeps up to date.
         """
         self.address = address
-        self.wire = wire
+        self.proxy_settings = proxy_settings
         self.revision = revision
         self.on_update = on_update
         self.on_failure = on_failure
@@ -91,7 +91,7 @@
         self.max_list_bytes = max(max_list_bytes, MIN_LIST_LIMIT_BYTES)
         max_timeout_ms = inf
         if pushed:
-            max_timeout_ms = max(wire.drain_grace_ms * DRAIN_GRACE_FRACTION, MIN_PUSHED_TIMEOUT_MS)
+            max_timeout_ms = max(proxy_settings.drain_grace_ms * DRAIN_GRACE_FRACTION, MIN_PUSHED_TIMEOUT_MS)
         self.long_poll_ms = int(min(LONG_POLL_MS, max_timeout_ms))
         self.response_timeout_ms = min(RESPONSE_TIMEOUT_MS, max_timeout_ms)
         self.opening_timeout_ms = min(OPENING_TIMEOUT_MS, max_timeout_ms)
@@ -238,12 +238,12 @@
         if sum(map(len, parts)) > LONG_LIST_BYTES:
             return await self._process_long_list(parts)
         with malformed_list_errors():
-            update = read_list_update(orjson.loads(b"".join(parts)), self.wire)
+            update = read_list_update(orjson.loads(b"".join(parts)), self.proxy_settings)
         if update.is_snapshot and len(self.endpoints) > LONG_LIST_ENDPOINTS:
             return await self._process_long_list(parts)
         self.on_update(update)
         return update.revision
 
     async def _process_long_list(self, parts: BodyParts) -> int:
-        reader = LongListReader(self.endpoints, self.wire, self.revision or 0, self.on_update)
+        reader = LongListReader(self.endpoints, self.proxy_settings, self.revision or 0, self.on_update)
         return await reader.read(parts)
--- a/dunecove/proxy/endpoint_json.py
+++ b/dunecove/proxy/endpoint_json.py
@@ -28,7 +28,7 @@
     return value if type(value) is int else names.setdefault(as_string(value, member), len(names))
 
 
-def read_endpoint(raw: object, wire: ProxySettings) -> Endpoint:
+def read_endpoint(raw: object, proxy_settings: ProxySettings) -> Endpoint:
     """Read one entry; raises KeyError, ValueError or MalformedInputError."""
     entry = as_object(raw, "targets")
     backend_id = as_string(entry["uid"], "uid")
@@ -38,8 +38,8 @@
     info = BackendInfo(
         backend_id,
         as_choice(BACKEND_STATES, entry["state"], "state"),
-        _index_of(wire.zones, entry.get("az"), "az"),
-        _index_of(wire.kinds, entry.get("model"), "model"),
+        _index_of(proxy_settings.zone_indexes, entry.get("az"), "az"),
+        _index_of(proxy_settings.kind_indexes, entry.get("model"), "model"),
         as_integer(entry.get("pod_group") or 0, "pod_group"),
         as_number(started_at, "boot_ms") if started_at else None,
         as_number(entry.get("capacity_hint") or 1, "capacity_hint"),
@@ -47,11 +47,13 @@
     return Endpoint(backend_id, host, port, info)
 
 
-def read_list_update(raw: object, wire: ProxySettings) -> EndpointListUpdate:
+def read_list_update(raw: object, proxy_settings: ProxySettings) -> EndpointListUpdate:
     """Read a list as the discovery service sends it; raises MalformedListError."""
     with malformed_list_errors():
         data = as_object(raw, "list")
-        endpoints = tuple(read_endpoint(entry, wire) for entry in as_array(data["targets"], "targets"))
+        endpoints = tuple(
+            read_endpoint(entry, proxy_settings) for entry in as_array(data["targets"], "targets")
+        )
         return EndpointListUpdate(read_revision(data), read_is_snapshot(data), endpoints)
 
 
@@ -65,7 +67,9 @@
     return data["all"] is True
 
 
-def read_cached_list(raw: object, wire: ProxySettings, slices: Iterable[list[Any]]) -> CachedEndpointList:
+def read_cached_list(
+    raw: object, proxy_settings: ProxySettings, slices: Iterable[list[Any]]
+) -> CachedEndpointList:
     """Read the list that the configuration holds; raises MalformedListError.
 
     `slices` are the first entries of a long list, which `raw` lacks; few of them are decoded at a time.
@@ -76,7 +80,7 @@
         backend_ids: list[str] = []
         for entries in chain(slices, [as_array(data["targets"], "targets")]):
             for entry in entries:
-                endpoint = read_endpoint(entry, wire)
+                endpoint = read_endpoint(entry, proxy_settings)
                 shard = table.shard_of(endpoint.backend_id)
                 if not endpoint.is_active:
                     shard.pop(endpoint.backend_id, None)
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -56,7 +56,7 @@
         self.telemetry = Telemetry()
         self.balancer = Balancer(settings, seed)
         self.backends = ConnectionPool(
-            proxy_settings.connect_timeout_ms, proxy_settings.conn_idle_ms, max_backend_connections
+            proxy_settings.connect_timeout_ms, proxy_settings.backend_idle_timeout_ms, max_backend_connections
         )
         self.requests = RequestLifecycle(settings, self.backends, self.telemetry, self._raise_event)
         self.cached_list_feed = CachedListFeed(self.backends)
--- a/dunecove/proxy/long_list.py
+++ b/dunecove/proxy/long_list.py
@@ -37,13 +37,13 @@
     def __init__(
         self,
         endpoints: ShardedTable,
-        wire: ProxySettings,
+        proxy_settings: ProxySettings,
         revision: int,
         on_update: Callable[[EndpointListUpdate], None],
     ) -> None:
         """Compare with `endpoints`, which the updates change, and which are at `revision` so far."""
         self._endpoints = endpoints
-        self._wire = wire
+        self._proxy_settings = proxy_settings
         self._revision = revision
         self._on_update = on_update
         self._unseen = ShardedTable()  # endpoints at hand that the list has not named yet
@@ -81,7 +81,7 @@
             await asyncio.sleep(0)
 
     def _process_slice(self, entries: list[Any]) -> None:
-        endpoints = [read_endpoint(entry, self._wire) for entry in entries]
+        endpoints = [read_endpoint(entry, self._proxy_settings) for entry in entries]
         self._publish_drains(endpoints)
         changes: dict[str, EncodedEndpoint] = {}
         for endpoint in endpoints:
--- a/dunecove/proxy/request_parser.py
+++ b/dunecove/proxy/request_parser.py
@@ -40,9 +40,9 @@
 class RequestParser:
     """Validates requests against the request classes and tenants of the deployment."""
 
-    def __init__(self, settings: Settings, wire: ProxySettings) -> None:
+    def __init__(self, settings: Settings, proxy_settings: ProxySettings) -> None:
         self.settings = settings
-        self.wire = wire
+        self.proxy_settings = proxy_settings
 
     def parse(
         self,
@@ -77,7 +77,7 @@
     def _request_class(self, request: HttpRequest, headers: dict[bytes, bytes]) -> int:
         """Return the index of the class that the path names, once method and body are right for it."""
         path = request.target.split(b"?", 1)[0]
-        cls = self.wire.classes.get(decode_name(unquote_to_bytes(path.split(b"/")[1])))
+        cls = self.proxy_settings.class_indexes.get(decode_name(unquote_to_bytes(path.split(b"/")[1])))
         if cls is None:
             raise RequestError(404)
         idempotency = self.settings.classes[cls].idempotency
@@ -90,9 +90,9 @@
         return cls
 
     def _tenant(self, name: bytes | None) -> int:
-        if not self.wire.tenants:
+        if not self.proxy_settings.tenant_indexes:
             return 0
-        tenant = self.wire.tenants.get(decode_name(name or b""))
+        tenant = self.proxy_settings.tenant_indexes.get(decode_name(name or b""))
         if tenant is None:
             raise RequestError(400)
         return tenant
--- a/dunecove/wire/settings.py
+++ b/dunecove/wire/settings.py
@@ -110,12 +110,12 @@
     The names are mapped to the indexes that `Settings`, events and actions use.
     """
 
-    classes: dict[str, int]
-    tenants: dict[str, int]
-    zones: dict[str, int]
-    kinds: dict[str, int]
+    class_indexes: dict[str, int]
+    tenant_indexes: dict[str, int]
+    zone_indexes: dict[str, int]
+    kind_indexes: dict[str, int]
     connect_timeout_ms: float
-    conn_idle_ms: float
+    backend_idle_timeout_ms: float
     drain_grace_ms: float = inf  # from being told of a drain to the last attempt that may be written
 
 
@@ -126,12 +126,12 @@
     classes = as_objects(required(info, "Lanes"), "Lanes")
     tenants = as_objects(info.get("Projects") or [], "Projects")
     return ProxySettings(
-        classes=_index_by_name([required(entry, "Name") for entry in classes], "Name"),
-        tenants=_index_by_name([required(entry, "Name") for entry in tenants], "Name"),
-        zones=_index_by_name(as_array(info.get("Dcs") or [], "Dcs"), "Dcs"),
-        kinds=_index_by_name(as_array(info.get("Kinds") or [], "Kinds"), "Kinds"),
+        class_indexes=_index_by_name([required(entry, "Name") for entry in classes], "Name"),
+        tenant_indexes=_index_by_name([required(entry, "Name") for entry in tenants], "Name"),
+        zone_indexes=_index_by_name(as_array(info.get("Dcs") or [], "Dcs"), "Dcs"),
+        kind_indexes=_index_by_name(as_array(info.get("Kinds") or [], "Kinds"), "Kinds"),
         connect_timeout_ms=_as_duration(limits, "ConnectTimeoutMs", 250),
-        conn_idle_ms=_as_duration(limits, "ConnIdleMs", 15000),
+        backend_idle_timeout_ms=_as_duration(limits, "ConnIdleMs", 15000),
         drain_grace_ms=as_number(default_if_none(obligations, "DrainGraceMs", inf), "DrainGraceMs"),
     )
 
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -142,7 +142,7 @@
         self._settings = read_settings(self._raw_settings)
         wire = read_proxy_settings(self._raw_settings)
         update = read_list_update(orjson.loads(cached), wire)
-        self._pool = ConnectionPool(wire.connect_timeout_ms, wire.conn_idle_ms, 1)
+        self._pool = ConnectionPool(wire.connect_timeout_ms, wire.backend_idle_timeout_ms, 1)
         self.balancer = self._create_balancer(0)
         self._list_updates: list[BackendListUpdate] = []
         self._events: list[Event] = []
