--- a/dunecove/proxy/client_connection.py
+++ b/dunecove/proxy/client_connection.py
@@ -11,15 +11,17 @@
 from typing import cast
 
 from dunecove.policy.request_rules import RESPONSE_GRACE_MS, Violation, may_close_connection
+from dunecove.proxy.client_messages import ClientResponse
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.connection_slots import ConnectionSlots
 from dunecove.proxy.disconnect_watcher import DisconnectWatcher
-from dunecove.proxy.engine import Answer, Engine
+from dunecove.proxy.engine import Engine
 from dunecove.proxy.http_limits import MAX_BODY_BYTES
 from dunecove.proxy.http_request import HttpRequest, RequestError, RequestReader
 from dunecove.proxy.receive_buffer import ReceiveBuffer, ReceivedChunk
 from dunecove.proxy.request_parser import RequestParser
 from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer, last_arrival_ms
+from dunecove.proxy.telemetry import CounterName
 
 MAX_PIPELINED = 2  # requests parsed ahead, whatever their size
 # Small ones are parsed further ahead, since the deadline of each bounds the request in front of it.
@@ -200,7 +202,7 @@
         self._stop_reading()
         self.pending.clear()
         if self.request_id is not None:
-            self.server.engine.client_gone(self.request_id)
+            self.server.engine.requests.client_disconnected(self.request_id)
             self.request_id = None
 
     def _record_close(self, reason: CloseReason) -> None:
@@ -209,9 +211,9 @@
             return
         self.close_reason = reason
         telemetry = self.server.engine.telemetry
-        telemetry.count(f"close.{reason.value}")
+        telemetry.count(CounterName.CONNECTION_CLOSED, reason.value)
         if self.owes_response() and reason is not CloseReason.CLIENT:
-            telemetry.violation(Violation.UNANSWERED, self.request_id or "", f"closed: {reason.value}")
+            telemetry.report_violation(Violation.UNANSWERED, self.request_id or "", f"closed: {reason.value}")
 
     def _linger(self) -> None:
         """Close after the last response: end the sending, and give the client a moment to close first.
@@ -296,7 +298,7 @@
             return
         deadlines = [pending.deadline() for pending in self.pending if isinstance(pending, HttpRequest)]
         if deadlines:
-            self.server.engine.hurry(self.request_id, min(deadlines) + PIPELINED_GRACE_MS)
+            self.server.engine.requests.shorten_deadline(self.request_id, min(deadlines) + PIPELINED_GRACE_MS)
 
     def _parse(self, chunk: ReceivedChunk) -> None:
         completed = self.reader.feed(chunk.data, chunk.arrived_at)
@@ -309,7 +311,7 @@
     # Responses
 
     def _dispatch(self, request: HttpRequest | RequestError) -> None:
-        """Answer a request here, or give it to the engine."""
+        """ClientResponse a request here, or give it to the engine."""
         try:
             if isinstance(request, RequestError):
                 self.keep_alive = False
@@ -321,7 +323,7 @@
             self.consecutive_errors += 1
             if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
                 self.keep_alive = False
-            self._send_response(Answer(error.status))
+            self._send_response(ClientResponse(error.status))
 
     def _route(self, request: HttpRequest) -> None:
         """Serve the readiness check here and all else by the engine; RequestError rejects the request."""
@@ -330,21 +332,21 @@
         if request.target.split(b"?", 1)[0] == READY_PATH:
             if request.method != b"GET":
                 raise RequestError(405)
-            self._send_response(Answer(200 if self.server.is_ready() else 503))
+            self._send_response(ClientResponse(200 if self.server.is_ready() else 503))
             return
         taken = self.server.request_parser.parse(request, self.on_response, self.detect_disconnect)
-        if not self.server.engine.take(taken):
+        if not self.server.engine.requests.accept(taken):
             raise RequestError(400)
-        self.request_id = taken.id
+        self.request_id = taken.request_id
 
-    def on_response(self, response: Answer) -> None:
+    def on_response(self, response: ClientResponse) -> None:
         """Send the engine's response to the current request, and go on with the next one."""
         if self.request_id is not None:
             self.request_id = None
             self._send_response(response)
             self._process()
 
-    def _send_response(self, response: Answer) -> None:
+    def _send_response(self, response: ClientResponse) -> None:
         if self.transport.is_closing():
             return
         # At shutdown, pipelined requests are still answered: the last response closes the connection.
@@ -361,7 +363,7 @@
         return bool(self.pending or self.buffer) or has_unread_input(self.transport)
 
 
-def _encode(response: Answer, keep_alive: bool) -> bytes:
+def _encode(response: ClientResponse, keep_alive: bool) -> bytes:
     return b"HTTP/1.1 %d %b\r\n%bcontent-length: %d\r\n%b\r\n%b" % (
         response.status,
         REASON_PHRASES[response.status],
--- a/dunecove/proxy/discovery_errors.py
+++ b/dunecove/proxy/discovery_errors.py
@@ -7,10 +7,10 @@
 
 import orjson
 
-from dunecove.settings import Malformed
+from dunecove.errors import DunecoveError, MalformedInputError
 
 
-class DiscoveryError(Exception):
+class DiscoveryError(DunecoveError):
     """A call to the discovery service failed; the text says how."""
 
 
@@ -26,7 +26,7 @@
     """The service did not respond in time."""
 
 
-class MalformedListError(DiscoveryError, Malformed):
+class MalformedListError(DiscoveryError, MalformedInputError):
     """An endpoint list, or one kept from an earlier run, does not have the form that it must have."""
 
 
--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -12,8 +12,8 @@
 from dunecove.proxy.connection_slots import ConnectionSlots
 from dunecove.proxy.disconnect_watcher import DisconnectWatcher
 from dunecove.proxy.engine import Engine
+from dunecove.proxy.log_writer import log
 from dunecove.proxy.request_parser import RequestParser
-from dunecove.proxy.telemetry import log
 
 ACCEPT_BACKLOG = 512  # connections that the kernel queues
 MAX_ACCEPTS_PER_TURN = 16  # a flood of new connections must not delay requests on open ones
@@ -74,7 +74,7 @@
         """Accept connections from the backlog; return whether it is empty."""
         assert self.sock is not None
         for _ in range(MAX_ACCEPTS_PER_TURN):
-            admission = self.slots.admission(self.engine.longest_ms)
+            admission = self.slots.admission(self.engine.requests.max_deadline_ms)
             if not admission.is_admitted:
                 self._pause_accepting()
                 return False
@@ -89,7 +89,9 @@
                 log(f"accept: {error}")
                 self._pause_accepting()
                 # Out of descriptors below the limit as well, whoever uses them.
-                self._evict(admission.evicted or self.slots.eviction_candidate(self.engine.longest_ms))
+                self._evict(
+                    admission.evicted or self.slots.eviction_candidate(self.engine.requests.max_deadline_ms)
+                )
                 return False
             self._evict(admission.evicted)  # only once a connection has come for its slot
             self._open(sock)
@@ -175,7 +177,7 @@
             self.sock = None
         self.close_between_requests()
         if not await self._wait_all_closed(deadline - self._loop.time()):
-            self.engine.give_up()
+            self.engine.requests.expire_all()
             if not await self._wait_all_closed(FINAL_RESPONSE_TIMEOUT_S):
                 log(f"stop: {self.slots.used} client connections were still open")
         if self._sweep_timer is not None:
--- a/dunecove/proxy/long_list.py
+++ b/dunecove/proxy/long_list.py
@@ -19,7 +19,8 @@
 )
 from dunecove.proxy.incremental_json import ArraySlices, drain
 from dunecove.proxy.sharded_table import ShardedTable
-from dunecove.settings import Wire, listing, mapping
+from dunecove.wire.fields import as_array, as_object
+from dunecove.wire.settings import ProxySettings
 
 ENDPOINTS_PER_SLICE = 100  # endpoints processed in one turn of the loop, which takes 1 or 2 ms
 SHARDS_PER_SLICE = 8  # shards of the table copied in one turn of the loop
@@ -36,13 +37,13 @@
     def __init__(
         self,
         endpoints: ShardedTable,
-        wire: Wire,
+        proxy_settings: ProxySettings,
         revision: int,
         on_update: Callable[[EndpointListUpdate], None],
     ) -> None:
         """Compare with `endpoints`, which the updates change, and which are at `revision` so far."""
         self._endpoints = endpoints
-        self._wire = wire
+        self._proxy_settings = proxy_settings
         self._revision = revision
         self._on_update = on_update
         self._unseen = ShardedTable()  # endpoints at hand that the list has not named yet
@@ -56,7 +57,7 @@
             for entries in slices:
                 self._process_slice(entries)
                 await asyncio.sleep(0)
-            data = mapping(slices.remainder, "list")
+            data = as_object(slices.remainder, "list")
             await self._process_last_entries(data)
             revision = read_revision(data)
             is_snapshot = read_is_snapshot(data)
@@ -74,13 +75,13 @@
                 await asyncio.sleep(0)
 
     async def _process_last_entries(self, data: dict[str, Any]) -> None:
-        entries = listing(data["targets"], "targets")
+        entries = as_array(data["targets"], "targets")
         for start in range(0, len(entries), ENDPOINTS_PER_SLICE):
             self._process_slice(entries[start : start + ENDPOINTS_PER_SLICE])
             await asyncio.sleep(0)
 
     def _process_slice(self, entries: list[Any]) -> None:
-        endpoints = [read_endpoint(entry, self._wire) for entry in entries]
+        endpoints = [read_endpoint(entry, self._proxy_settings) for entry in entries]
         self._publish_drains(endpoints)
         changes: dict[str, EncodedEndpoint] = {}
         for endpoint in endpoints:
--- a/dunecove/proxy/request_parser.py
+++ b/dunecove/proxy/request_parser.py
@@ -8,10 +8,10 @@
 
 from dunecove.policy.models import Idempotency
 from dunecove.policy.settings import Settings
+from dunecove.proxy.client_messages import ClientResponse, ParsedRequest
 from dunecove.proxy.clock import now_ms
-from dunecove.proxy.engine import Answer, Taken
 from dunecove.proxy.http_request import BUDGET_MS_PATTERN, HttpRequest, RequestError
-from dunecove.settings import Wire
+from dunecove.wire.settings import ProxySettings
 
 # Only these are forwarded: any other header could make a backend close the connection and so cause an
 # attempt to fail that the backend is not to blame for.
@@ -40,16 +40,16 @@
 class RequestParser:
     """Validates requests against the request classes and tenants of the deployment."""
 
-    def __init__(self, settings: Settings, wire: Wire) -> None:
+    def __init__(self, settings: Settings, proxy_settings: ProxySettings) -> None:
         self.settings = settings
-        self.wire = wire
+        self.proxy_settings = proxy_settings
 
     def parse(
         self,
         request: HttpRequest,
-        on_response: Callable[[Answer], None],
+        on_response: Callable[[ClientResponse], None],
         has_disconnected: Callable[[], bool],
-    ) -> Taken:
+    ) -> ParsedRequest:
         """Return the request for the engine; RequestError with the status that rejects it."""
         headers = dict(request.headers)
         _check_headers(request, headers)
@@ -60,7 +60,7 @@
             raise RequestError(400)
         head = _forwarded_head(request)
         waited_ms = now_ms() - request.arrived_at  # behind other requests of its connection
-        return Taken(
+        return ParsedRequest(
             request_id.decode(),
             cls,
             self._tenant(headers.get(b"x-caller")),
@@ -77,7 +77,7 @@
     def _request_class(self, request: HttpRequest, headers: dict[bytes, bytes]) -> int:
         """Return the index of the class that the path names, once method and body are right for it."""
         path = request.target.split(b"?", 1)[0]
-        cls = self.wire.classes.get(decode_name(unquote_to_bytes(path.split(b"/")[1])))
+        cls = self.proxy_settings.class_indexes.get(decode_name(unquote_to_bytes(path.split(b"/")[1])))
         if cls is None:
             raise RequestError(404)
         idempotency = self.settings.classes[cls].idempotency
@@ -90,9 +90,9 @@
         return cls
 
     def _tenant(self, name: bytes | None) -> int:
-        if not self.wire.tenants:
+        if not self.proxy_settings.tenant_indexes:
             return 0
-        tenant = self.wire.tenants.get(decode_name(name or b""))
+        tenant = self.proxy_settings.tenant_indexes.get(decode_name(name or b""))
         if tenant is None:
             raise RequestError(400)
         return tenant
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -27,7 +27,7 @@
 from dunecove.proxy.discovery_client import DiscoveryClient
 from dunecove.proxy.endpoint_json import read_list_update
 from dunecove.proxy.endpoint_list import EndpointListUpdate
-from dunecove.settings import read_settings, read_wire
+from dunecove.wire.settings import read_proxy_settings, read_settings
 from scale.fleet.cluster import (
     ACTIVE,
     REGION_COUNT,
@@ -140,9 +140,9 @@
         self.metrics.restart(self._loop.time())
         # The program reads its configuration at the start only; a whole list is not shared between proxies.
         self._settings = read_settings(self._raw_settings)
-        wire = read_wire(self._raw_settings)
+        wire = read_proxy_settings(self._raw_settings)
         update = read_list_update(orjson.loads(cached), wire)
-        self._pool = ConnectionPool(wire.connect_timeout_ms, wire.conn_idle_ms, 1)
+        self._pool = ConnectionPool(wire.connect_timeout_ms, wire.backend_idle_timeout_ms, 1)
         self.balancer = self._create_balancer(0)
         self._list_updates: list[BackendListUpdate] = []
         self._events: list[Event] = []
--- a/scale/measure_balancer.py
+++ b/scale/measure_balancer.py
@@ -6,7 +6,7 @@
 from dunecove.policy.balancer import Balancer
 from dunecove.policy.events import AttemptEnded, BackendListUpdate, ListUpdateKind, RequestArrived, TimerFired
 from dunecove.policy.models import AttemptResult, BackendInfo, BackendState
-from dunecove.settings import read_settings
+from dunecove.wire.settings import read_settings
 from scale import synthetic
 from scale.measurement import (
     MeasurementError,
--- a/scale/measure_discovery.py
+++ b/scale/measure_discovery.py
@@ -10,7 +10,7 @@
 from dunecove.proxy.discovery_client import DiscoveryClient
 from dunecove.proxy.endpoint_json import read_list_update
 from dunecove.proxy.endpoint_list import EndpointListUpdate
-from dunecove.settings import read_wire
+from dunecove.wire.settings import read_proxy_settings
 from scale import synthetic
 from scale.measurement import (
     MeasurementError,
@@ -38,7 +38,7 @@
 def parse_cpu(parameters: RunParameters, size: int) -> Values:
     """Measure decoding a snapshot."""
     body = synthetic.snapshot_body(1, size)
-    wire = read_wire(synthetic.settings(parameters.proxies))
+    wire = read_proxy_settings(synthetic.settings(parameters.proxies))
     return {
         "parse-json": cpu_time_ms(lambda: orjson.loads(body)),
         "parse": cpu_time_ms(lambda: read_list_update(orjson.loads(body), wire)),
@@ -54,7 +54,7 @@
 )
 def pool_update_cpu(parameters: RunParameters, size: int) -> Values:
     """Measure the connection pools taking a snapshot, the same again, and a delta."""
-    wire = read_wire(synthetic.settings(parameters.proxies))
+    wire = read_proxy_settings(synthetic.settings(parameters.proxies))
     snapshot = synthetic.snapshot_body(1, size)
     updates = {
         "pools-list": read_list_update(orjson.loads(snapshot), wire),
@@ -86,7 +86,7 @@
         service.updates.update(updates)
 
         async def run() -> None:
-            wire = read_wire(synthetic.settings(proxies))
+            wire = read_proxy_settings(synthetic.settings(proxies))
             failures: list[str] = []
             discovery = DiscoveryClient(service.address, wire, revision, lambda update: None, failures.append)
             discovery.watch()
--- a/scale/measure_gossip.py
+++ b/scale/measure_gossip.py
@@ -22,7 +22,7 @@
     TimerFired,
 )
 from dunecove.policy.models import AttemptResult
-from dunecove.settings import read_settings
+from dunecove.wire.settings import read_settings
 from scale import synthetic
 from scale.measurement import RunParameters, Series, Values, measurement
 
--- a/scale/memory_child.py
+++ b/scale/memory_child.py
@@ -24,10 +24,10 @@
 from dunecove.policy.events import ListUpdateKind
 from dunecove.proxy.endpoint_json import read_list_update
 from dunecove.proxy.engine import Engine
-from dunecove.proxy.gossip import Peers, Tier
+from dunecove.proxy.gossip import GossipChannel, PeerAddresses
 from dunecove.proxy.listener import Listener
 from dunecove.proxy.request_parser import RequestParser
-from dunecove.settings import read_settings, read_wire
+from dunecove.wire.settings import read_proxy_settings, read_settings
 from scale import synthetic
 from scale.process_memory import resident_bytes
 
@@ -40,14 +40,16 @@
 
 def create_engine(proxy_settings: dict[str, Any], seed: int, slots: int = 100) -> Engine:
     """Return the proxy's engine with room for `slots` client connections."""
-    return Engine(read_settings(proxy_settings), read_wire(proxy_settings), seed, slots)
+    return Engine(read_settings(proxy_settings), read_proxy_settings(proxy_settings), seed, slots)
 
 
 async def hold_backends(count: int, seed: int) -> object:
     """Return an engine that knows `count` backends."""
     proxy_settings = synthetic.settings(PROXIES)
     engine = create_engine(proxy_settings, seed)
-    update = read_list_update(orjson.loads(synthetic.snapshot_body(1, count)), read_wire(proxy_settings))
+    update = read_list_update(
+        orjson.loads(synthetic.snapshot_body(1, count)), read_proxy_settings(proxy_settings)
+    )
     engine.on_list(update, ListUpdateKind.SNAPSHOT)
     return engine
 
@@ -55,20 +57,20 @@
 async def hold_classes(count: int, seed: int) -> object:
     """Return a balancer and a request parser with `count` request classes, each with settings of its own."""
     raw = synthetic.settings(PROXIES, classes=count)
-    return Balancer(read_settings(raw), seed), RequestParser(read_settings(raw), read_wire(raw))
+    return Balancer(read_settings(raw), seed), RequestParser(read_settings(raw), read_proxy_settings(raw))
 
 
 async def hold_tenants(count: int, seed: int) -> object:
     """Return a balancer and a request parser with `count` tenants that have a quota; they share settings."""
     raw = synthetic.settings(PROXIES, tenants=count)
     settings = read_settings(raw)
-    return Balancer(settings, seed), RequestParser(settings, read_wire(raw))
+    return Balancer(settings, seed), RequestParser(settings, read_proxy_settings(raw))
 
 
 async def hold_peers(count: int, seed: int) -> object:
     """Return the gossip socket's state with the addresses of `count` peers."""
     addresses = tuple(synthetic.loopback_address(number, GOSSIP_PORT) for number in range(count))
-    return Peers(Tier("127.0.0.1:0", addresses, "127.0.0.1:9"), lambda *_: None)
+    return GossipChannel(PeerAddresses("127.0.0.1:0", addresses, "127.0.0.1:9"), lambda *_: None)
 
 
 async def hold_connections(count: int, seed: int) -> object:
@@ -80,7 +82,7 @@
     engine = create_engine(proxy_settings, seed, CLIENT_SLOTS)
     backend_address = os.environ[BACKEND_ADDRESS_VARIABLE]
     entries = [synthetic.list_entry(number, address=backend_address) for number in range(CONNECTION_BACKENDS)]
-    wire = read_wire(proxy_settings)
+    wire = read_proxy_settings(proxy_settings)
     engine.on_list(read_list_update(synthetic.endpoint_list(1, entries), wire), ListUpdateKind.SNAPSHOT)
     listener = Listener(engine, RequestParser(read_settings(proxy_settings), wire), CLIENT_SLOTS)
     listener.listen("127.0.0.1:0")
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,12 +15,13 @@
 
 import uvloop
 
-from dunecove.__main__ import Config, start
+from dunecove.config import read_config
 from dunecove.proxy.client_connection import ClientConnection
 from dunecove.proxy.connection_pool import ConnectionPool
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.listener import Listener
 from dunecove.proxy.socket_probe import has_unread_input
+from dunecove.server import start
 
 TEST_TIMEOUT_S = 60.0  # only a hang comes near it
 POLL_S = 0.001
@@ -269,7 +270,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(configuration(registry.address, *targets, **limits)))
-        engine, listener = start(Config({"LB_CONFIG": str(path)}))
+        engine, listener = start(read_config({"LB_CONFIG": str(path)}))
     try:
         yield Proxy(engine, listener, peers, registry)
     finally:
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -49,7 +49,7 @@
             reply = await client.reply()
             assert (reply.body, reply.headers["connection"]) == (b"r" * 65536, "close")
             assert await client.ended()
-            assert p.backends[0].calls.empty() and not p.engine.requests
+            assert p.backends[0].calls.empty() and not p.engine.requests.open
             client.close()
 
     run(test())
@@ -128,7 +128,7 @@
             if occasion == "sweep":
                 p.listener.sweep()
             else:
-                assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
+                assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is None
             reply = await client.reply()
             assert reply.body == b"r" * 65536
             assert await client.ended()
@@ -157,9 +157,9 @@
                 other.send("/health/ready", "GET")
                 # No slot is free while its response may still be read.
                 await until(lambda: not p.listener.is_accepting)
-                assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
+                assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is None
                 assert p.listener.slots.used == 1
-                p.engine.longest_ms = -1000.0
+                p.engine.requests.max_deadline_ms = -1000.0
                 assert (await other.reply()).status == 200
             else:
                 client.writer.write_eof()
@@ -190,7 +190,7 @@
                 monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", -1.0)
                 p.listener.sweep()
             else:
-                assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
+                assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is None
             connection.transport.resume_reading()
             assert (await client.reply()).body == b"r" * 65536
             assert await client.ended()
@@ -207,7 +207,7 @@
             await slow_reader(p)
             (connection,) = p.listener.slots.lingering
             p.listener.slots.lingering[connection] -= 100_000.0
-            assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is connection
+            assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is connection
             p.listener.sweep()
             await until(lambda: not p.listener.slots.connections)
 
@@ -229,17 +229,17 @@
                 lambda: any(connection.reader.is_mid_request for connection in p.listener.slots.connections)
             )
             p.listener.begin_shutdown()
-            give_up = p.engine.give_up
+            give_up = p.engine.requests.expire_all
 
             def rest_comes_then() -> None:
                 give_up()
                 client.writer.write(sent[-2:])
 
-            monkeypatch.setattr(p.engine, "give_up", rest_comes_then)
+            monkeypatch.setattr(p.engine.requests, "expire_all", rest_comes_then)
             await p.listener.finish_shutdown(0.0)
             reply = await client.reply()
             assert (reply.status, reply.headers["connection"]) == (503, "close")
-            assert p.backends[0].calls.empty() and not p.engine.requests
+            assert p.backends[0].calls.empty() and not p.engine.requests.open
 
     run(test())
 
@@ -255,7 +255,7 @@
             received.reply()
             assert (await client.reply()).status == 200
             assert await client.ended()
-            assert p.engine.telemetry.violations() == 0 and p.backends[0].calls.empty()
+            assert p.engine.telemetry.violation_count() == 0 and p.backends[0].calls.empty()
 
     run(test())
 
@@ -314,7 +314,7 @@
             other.send(x_call_id="other")
             calls.append(await p.backends[0].calls.get())
             assert [received.headers["x-call-id"] for received in calls] == ["f0", "other"]
-            assert list(p.engine.requests) == ["f0", "other"]  # one of each connection at a time
+            assert list(p.engine.requests.open) == ["f0", "other"]  # one of each connection at a time
             for received in calls:
                 received.reply(received.headers["x-call-id"].encode())
             assert (await other.reply()).body == b"other"
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -21,7 +21,7 @@
 from dunecove.proxy.discovery_client import BYTES_PER_MB, DiscoveryClient
 from dunecove.proxy.discovery_connection import DiscoveryConnection
 from dunecove.proxy.endpoint_list import EndpointListUpdate
-from dunecove.settings import Wire
+from dunecove.wire.settings import ProxySettings
 from tests.loopback import ReceivedRequest, ScriptedServer, listing, proxy, run, target, until
 from tests.support import Driver, fleet, of_type, settings
 
@@ -30,7 +30,7 @@
 
 class RecordedClient:
     def __init__(self, address: str) -> None:
-        wire = Wire({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
+        wire = ProxySettings({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
         self.updates: asyncio.Queue[EndpointListUpdate] = asyncio.Queue()
         self.failures: asyncio.Queue[str] = asyncio.Queue()
         self.client = DiscoveryClient(address, wire, 41, self.updates.put_nowait, self.failures.put_nowait)
@@ -209,7 +209,7 @@
 
 
 def client_for(pushed: bool, grace_ms: float) -> DiscoveryClient:
-    wire = Wire({}, {}, {}, {}, 1000.0, 1000.0, grace_ms)
+    wire = ProxySettings({}, {}, {}, {}, 1000.0, 1000.0, grace_ms)
     return DiscoveryClient(ADDRESS, wire, 1, lambda _: None, lambda _: None, pushed)
 
 
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -10,12 +10,13 @@
 
 import pytest
 
-from dunecove.__main__ import Config, start
-from dunecove.adapter import Host
+from dunecove.adapter import Adapter
+from dunecove.config import Config, read_config
+from dunecove.errors import ConfigurationError
 from dunecove.policy.actions import SendGossip
 from dunecove.policy.events import GossipReceived
-from dunecove.proxy.gossip import Peers, Tier
-from dunecove.settings import Malformed
+from dunecove.proxy.gossip import GossipChannel, PeerAddresses
+from dunecove.server import start
 from tests.loopback import configuration, run
 
 
@@ -26,8 +27,8 @@
     return sock, "{}:{}".format(*sock.getsockname())
 
 
-def address_of(peers: Peers) -> tuple[str, int]:
-    host, port = peers.sock.getsockname()[:2]
+def address_of(channel: GossipChannel) -> tuple[str, int]:
+    host, port = channel.sock.getsockname()[:2]
     return host, port
 
 
@@ -35,20 +36,20 @@
     async def test() -> None:
         (first, one), (second, two), (stranger, _) = bound(), bound(), bound()
         heard: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
-        tier = Tier("127.0.0.1:0", (one, two), one)
-        peers = Peers(tier, lambda number, data: heard.put_nowait((number, data)))
-        stranger.sendto(b"not of the tier", address_of(peers))
-        first.sendto(b"x" * 257, address_of(peers))
-        second.sendto(b"second", address_of(peers))
+        addresses = PeerAddresses("127.0.0.1:0", (one, two), one)
+        channel = GossipChannel(addresses, lambda number, data: heard.put_nowait((number, data)))
+        stranger.sendto(b"not of the tier", address_of(channel))
+        first.sendto(b"x" * 257, address_of(channel))
+        second.sendto(b"second", address_of(channel))
         assert await heard.get() == (1, b"second")
-        first.sendto(b"first", address_of(peers))
+        first.sendto(b"first", address_of(channel))
         assert await heard.get() == (0, b"first")
         assert heard.empty()
-        peers.tell(b"to all")
+        channel.send(b"to all")
         assert first.recv(512) == b"to all"
         with pytest.raises(ValueError, match="too long"):
-            peers.tell(b"x" * 257)
-        peers.close()
+            channel.send(b"x" * 257)
+        channel.close()
         for sock in (first, second, stranger):
             sock.close()
 
@@ -59,10 +60,10 @@
     raw = configuration("127.0.0.1:1", Peers=True)
     path = folder / "config.json"
     path.write_text(json.dumps(raw | more))
-    return Config({"LB_CONFIG": str(path)})
+    return read_config({"LB_CONFIG": str(path)})
 
 
-def test_the_program_tells_and_hears_peers_where_the_settings_allow_it(
+def test_the_program_sends_and_receives_gossip_where_the_settings_allow_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -70,7 +71,7 @@
         other, address = bound()
         config = with_peers(tmp_path, peer_listen="127.0.0.1:0", peers=[address], peers_all=address)
         engine, listener = start(config)
-        assert engine.peers is not None
+        assert engine.gossip is not None
 
         def step(_: float, events: list[Any]) -> list[Any]:
             if GossipReceived(0, b"\x01efgh") in events:
@@ -78,9 +79,9 @@
             return []
 
         monkeypatch.setattr(engine.balancer, "step", step)
-        engine._carry_out(SendGossip(b"\x01abcd"))
+        engine._execute(SendGossip(b"\x01abcd"))
         assert other.recv(512) == b"\x01abcd"
-        other.sendto(b"\x01efgh", address_of(engine.peers))
+        other.sendto(b"\x01efgh", address_of(engine.gossip))
         await gossip_seen.wait()
         await listener.finish_shutdown(0.0)
         engine.close()
@@ -93,8 +94,8 @@
     async def test() -> None:
         where = "203.0.113.1:1"
         engine, listener = start(with_peers(tmp_path, peer_listen=where, peers=[where], peers_all=where))
-        assert engine.peers is None and listener.address
-        engine._carry_out(SendGossip(b"\x01"))
+        assert engine.gossip is None and listener.address
+        engine._execute(SendGossip(b"\x01"))
         await listener.finish_shutdown(0.0)
         engine.close()
 
@@ -104,7 +105,7 @@
 @pytest.mark.parametrize("bad", [{"peers": "x"}, {"peer_listen": "here"}, {"peers_all": 5}])
 def test_bad_addresses_of_peers_are_named(tmp_path: Path, bad: dict[str, Any]) -> None:
     good = {"peer_listen": "127.0.0.1:1", "peers": ["127.0.0.1:1"], "peers_all": "127.0.0.1:2"}
-    with pytest.raises(Malformed, match=r"peer|address"):
+    with pytest.raises(ConfigurationError, match=r"peer|address"):
         with_peers(tmp_path, **(good | bad))
 
 
@@ -114,11 +115,11 @@
         "Balancers": 40,
         "Limits": {"Peers": True},
     }
-    host = Host()
+    adapter = Adapter()
 
     def batch(now: float, *news: dict[str, Any]) -> list[dict[str, Any]]:
         line = json.dumps({"TsMs": now, "news": [entry | {"ProxyId": 0} for entry in news]})
-        reply: list[dict[str, Any]] = json.loads(host.batch(line.encode()))["cmds"]
+        reply: list[dict[str, Any]] = json.loads(adapter.handle_batch(line.encode()))["cmds"]
         return reply
 
     entry = {"Backend": "10.0.0.1:80", "State": "active"}
@@ -134,5 +135,5 @@
     assert notified["Recipient"] == "all"
     heard = {"what": "FromPeer", "Raw": notified["Raw"]}
     batch(10.0, heard | {"SrcPeer": 7}, heard | {"SrcPeer": 8})
-    (backend,) = host.instances[0][0].backends.by_id.values()
+    (backend,) = adapter.instances[0].balancer.backends.by_id.values()
     assert [by for _, by in backend.failure_reports] == [0, 7, 8]
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -10,7 +10,7 @@
 
 from dunecove.proxy import client_connection as connection_module
 from dunecove.proxy import connection_slots as slots_module
-from dunecove.proxy import engine as engine_module
+from dunecove.proxy import request_registry as request_registry_module
 from tests.loopback import Client, Proxy, proxy, request, run, send_unread, until
 
 
@@ -235,7 +235,7 @@
             received = await p.backends[0].calls.get()
             client.close()
             await received.closed.wait()
-            await until(lambda: not p.engine.requests)
+            await until(lambda: not p.engine.requests.open)
 
     run(test())
 
@@ -349,7 +349,7 @@
             while p.listener.is_accepting:
                 assert p.listener.slots.used == 3
                 await asyncio.sleep(0.001)
-            p.engine.longest_ms = -1000.0  # so that their responses count as lost
+            p.engine.requests.max_deadline_ms = -1000.0  # so that their responses count as lost
             assert (await last.reply()).status == 200
             assert p.listener.slots.used <= 3
 
@@ -455,7 +455,7 @@
 
 
 def test_number_of_remembered_ids_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_module, "KNOWN_MOST", 3)
+    monkeypatch.setattr(request_registry_module, "MAX_RECENT_IDS", 3)
 
     async def test() -> None:
         async with proxy() as p:
@@ -464,7 +464,7 @@
                 client.send(x_call_id=f"c{number}")
                 (await p.backends[0].calls.get()).reply()
                 assert (await client.reply()).status == 200
-            assert len(p.engine.known) == 3
+            assert len(p.engine.requests.recent_ids) == 3
 
     run(test())
 
@@ -714,9 +714,9 @@
             assert (await client.ask("/health/ready", "GET")).status == 200
             (connection,) = p.listener.slots.connections
             p.listener.slots.idle[connection] -= 100_000.0
-            assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is connection
+            assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is connection
             await send_unread(client, connection)
-            assert p.listener.slots.eviction_candidate(p.engine.longest_ms) is None
+            assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is None
             connection.transport.resume_reading()
             (await p.backends[0].calls.get()).reply()
             assert (await client.reply()).status == 200
@@ -728,7 +728,7 @@
 def test_forgotten_id_of_an_open_request_is_rejected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(engine_module, "KNOWN_MOST", 1)
+    monkeypatch.setattr(request_registry_module, "MAX_RECENT_IDS", 1)
 
     async def test() -> None:
         async with proxy() as p:
@@ -739,7 +739,7 @@
                 second.send(x_call_id=f"other{number}")
                 (await p.backends[0].calls.get()).reply()
                 assert (await second.reply()).status == 200
-            assert "c1" not in p.engine.known
+            assert "c1" not in p.engine.requests.recent_ids
             assert (await second.ask(x_call_id="c1")).status == 400
             received.reply(b"its own")
             assert (await first.reply()).body == b"its own"
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -12,9 +12,10 @@
 from dunecove.policy.events import Event, ListUpdateKind, TimerFired
 from dunecove.policy.models import BackendInfo, BackendState
 from dunecove.proxy.discovery_client import LONG_LIST_BYTES, DiscoveryClient
+from dunecove.proxy.discovery_errors import MalformedListError
 from dunecove.proxy.endpoint_list import Endpoint, EndpointListUpdate, decode_endpoint, encode_endpoint
 from dunecove.proxy.long_list import ENDPOINTS_PER_SLICE
-from dunecove.settings import Malformed, Wire
+from dunecove.wire.settings import ProxySettings
 from tests.loopback import Proxy, listing, proxy, run, target, until
 from tests.proxy.list_entries import entries
 
@@ -23,7 +24,7 @@
     """A client whose updates change its table, and a count of the loop's turns."""
 
     def __init__(self) -> None:
-        wire = Wire({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
+        wire = ProxySettings({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
         self.updates: list[tuple[int, EndpointListUpdate]] = []
         self.turns = 0
         self.client = DiscoveryClient("127.0.0.1:9", wire, 1, self.on_update, lambda _: None)
@@ -99,20 +100,20 @@
         before = recorded.known_ids()
         recorded.updates.clear()
         bad = [*entries(1, 7, "leaving"), *entries(1500, 1000), {"uid": "odd"}]
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedListError):
             await recorded.process(listing(3, *bad))
         assert recorded.known_ids() == before - {"s-00000007"}
         # The revision is that of before, so that the list is asked for again.
         assert [update.revision for _, update in recorded.updates] == [1]
         assert recorded.updates[0][0] < recorded.turns - 5  # long before the malformed entry was read
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedListError):
             await recorded.process({"rev": 3, "targets": entries(900)})
 
     run(test())
 
 
 async def until_listed(p: Proxy, n: int) -> None:
-    await until(lambda: p.engine.balancer.backends.listed_count == n and p.engine.turn is None)
+    await until(lambda: p.engine.balancer.backends.listed_count == n and p.engine._next_step is None)
 
 
 def test_proxy_serves_while_it_reads_a_long_list() -> None:
@@ -149,7 +150,7 @@
 
 
 def test_longest_list_follows_from_the_memory_limit() -> None:
-    wire = Wire({}, {}, {}, {}, 1000.0, 1000.0)
+    wire = ProxySettings({}, {}, {}, {}, 1000.0, 1000.0)
     limits = [
         DiscoveryClient("127.0.0.1:9", wire, 1, lambda _: None, lambda _: None, memory_mb=mb).max_list_bytes
         for mb in (16.0, 192.0)
@@ -173,7 +174,7 @@
 async def turns_until_notified(p: Proxy) -> int:
     """Turns of the loop until the balancer has been notified of the whole list."""
     turns = 0
-    while p.engine.turn is not None or p.engine.untold:
+    while p.engine._next_step is not None or not p.engine.cached_list_feed.is_done:
         turns += 1
         await asyncio.sleep(0)
     return turns
@@ -225,7 +226,7 @@
             await asyncio.sleep(0)
             old = p.engine.balancer
             p.engine.balancer.step = broken_step  # type: ignore[method-assign]
-            p.engine._raise(TimerFired(0))  # while the old one is still being notified
+            p.engine._raise_event(TimerFired(0))  # while the old one is still being notified
             await until(lambda: p.engine.balancer is not old)
             await turns_until_notified(p)
             assert p.engine.balancer.backends.listed_count == 5 * ENDPOINTS_PER_SLICE and names(p) == set(
