--- a/dunecove/config.py
+++ b/dunecove/config.py
@@ -115,13 +115,13 @@
         name=environment.get("LB_NAME") or _string(fields, "name"),
         listen_address=environment.get("LB_LISTEN") or _string(fields, "listen"),
         discovery_address=environment.get(DISCOVERY_VARIABLE) or _string(fields, "discovery"),
-        seed=int(_string(fields, "seed"), 16),
+        seed=_seed(fields),
         max_descriptors=_max_descriptors(limits),
         memory_mb=_memory_mb(limits),
         peer_addresses=_peer_addresses(fields) if settings.may_gossip else None,
     )
-    split_address(config.discovery_address)
-    check_ip(split_address(config.listen_address)[0])
+    _split_address(config.discovery_address, "discovery")
+    _check_ip_address(config.listen_address, "listen")
     return config
 
 
@@ -129,6 +129,30 @@
     return as_string(required(fields, key), key)
 
 
+def _seed(fields: JsonObject) -> int:
+    text = _string(fields, "seed")
+    try:
+        return int(text, 16)
+    except ValueError:
+        raise InvalidFieldError(f"seed is not a number in base 16: {text!r}") from None
+
+
+def _split_address(address: str, key: str) -> tuple[str, int]:
+    """Return host and port; InvalidFieldError with the key that has the address."""
+    try:
+        return split_address(address)
+    except ValueError as error:
+        raise InvalidFieldError(f"{key}: {error}") from None
+
+
+def _check_ip_address(address: str, key: str) -> None:
+    host, _ = _split_address(address, key)
+    try:
+        check_ip(host)
+    except ValueError as error:
+        raise InvalidFieldError(f"{key}: {error}") from None
+
+
 def _max_descriptors(limits: JsonObject) -> int:
     configured = as_integer(default_if_none(limits, "sockets", DEFAULT_MAX_DESCRIPTORS), "sockets")
     max_descriptors = min(configured, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
@@ -153,6 +177,8 @@
         listen=_string(fields, "peer_listen"),
         broadcast=_string(fields, "peers_all"),
     )
-    for address in (addresses.listen, addresses.broadcast, *addresses.peers):
-        check_ip(split_address(address)[0])
+    _check_ip_address(addresses.listen, "peer_listen")
+    _check_ip_address(addresses.broadcast, "peers_all")
+    for address in addresses.peers:
+        _check_ip_address(address, "peers")
     return addresses
--- a/dunecove/policy/settings.py
+++ b/dunecove/policy/settings.py
@@ -81,8 +81,9 @@
                 raise InvalidSettingError(name, f"must be at least 1: {getattr(self, name)!r}")
         _check_positive(self, _POSITIVE)
         _check_not_negative(self, _NOT_NEGATIVE)
-        if not all(0 <= quota < inf for quota in self.tenant_quotas):
-            raise InvalidSettingError("tenant_quotas", "must not be negative or infinite")
+        for quota in self.tenant_quotas:
+            if not 0 <= quota < inf:
+                raise InvalidSettingError("tenant_quotas", f"must not be negative or infinite: {quota!r}")
 
 
 _POSITIVE = (
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -54,7 +54,8 @@
         (without("seed"), "seed"),
         (without("known"), "known"),
         (GOOD | {"seed": "xyz"}, "base 16"),
-        (GOOD | {"listen": "here"}, "here"),
+        (GOOD | {"listen": "here"}, "listen: not an address: 'here'"),
+        (GOOD | {"discovery": "there"}, "discovery: not an address: 'there'"),
         (GOOD | {"listen": "203.0.113.1:1"}, "assign"),
         (GOOD | {"listen": "a..b:1"}, "a..b"),
         (GOOD | {"listen": "127.0.0.1\0:1"}, "127.0.0.1"),
@@ -79,8 +80,14 @@
         (GOOD | {"limits": {"memory_mb": 0}}, "memory_mb"),
         (GOOD | {"settings": {"Lanes": []}}, "class"),
         (GOOD | {"settings": {}}, "Lanes"),
-        (GOOD | {"settings": GOOD["settings"] | {"TickMs": 0}}, "TickMs"),
-        (GOOD | {"settings": GOOD["settings"] | {"Limits": {"ConnIdleMs": -1}}}, "ConnIdleMs"),
+        (
+            GOOD | {"settings": GOOD["settings"] | {"TickMs": 0}},
+            "config.json: TickMs must be above 0 and finite: 0.0",
+        ),
+        (
+            GOOD | {"settings": GOOD["settings"] | {"Limits": {"ConnIdleMs": -1}}},
+            "config.json: ConnIdleMs must be above 0",
+        ),
     ],
 )
 def test_a_bad_configuration_ends_it_with_one_plain_line(tmp_path: Path, config: Any, words: str) -> None:
