--- a/tests/docs/test_documents.py
+++ b/tests/docs/test_documents.py
@@ -1,5 +1,6 @@
 """What the texts say of the program holds: the example runs as printed, and the tests named are there."""
 
+import ast
 import re
 from pathlib import Path
 
@@ -23,6 +24,34 @@
     assert missing == []
 
 
+def members_by_class() -> dict[str, set[str]]:
+    """The methods and attributes of each class of the program."""
+    members: dict[str, set[str]] = {}
+    for path in (ROOT / "dunecove").rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.ClassDef):
+                members.setdefault(node.name, set()).update(members_of(node))
+    return members
+
+
+def members_of(class_node: ast.ClassDef) -> set[str]:
+    names: set[str] = set()
+    for node in ast.walk(class_node):
+        if isinstance(node, (ast.FunctionDef, ast.AsyncFunctionDef)):
+            names.add(node.name)
+        elif isinstance(node, ast.Attribute) and isinstance(node.ctx, ast.Store):
+            names.add(node.attr)
+    return names
+
+
+@pytest.mark.parametrize("name", ["ARCHITECTURE.md", "GUARANTEES.md"])
+def test_each_member_named_in_a_page_exists(name: str) -> None:
+    members = members_by_class()
+    named = re.findall(r"`([A-Z]\w+)\.(\w+)[`(]", (ROOT / "docs" / name).read_text())
+    assert named
+    assert [pair for pair in named if pair[1] not in members.get(pair[0], set())] == []
+
+
 PAGES = [ROOT / "README.md", ROOT / "DEVELOPERS.md", *sorted((ROOT / "docs").glob("*.md"))]
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -71,25 +71,27 @@
 class ReceivedRequest(NamedTuple):
     """A request that a scripted server has read; the test responds to it."""
 
-    line: str
+    request_line: str
     headers: dict[str, str]
     body: bytes
     writer: asyncio.StreamWriter
     connection: int
     closed: asyncio.Event  # the proxy has closed this connection
 
-    def reply(self, body: bytes = b"done", status: int = 200, headers: dict[str, str] | None = None) -> None:
+    def respond(
+        self, body: bytes = b"done", status: int = 200, headers: dict[str, str] | None = None
+    ) -> None:
         lines = "".join(f"{name}: {value}\r\n" for name, value in (headers or {}).items())
         head = f"HTTP/1.1 {status} X\r\ncontent-length: {len(body)}\r\n{lines}\r\n"
         self.writer.write(head.encode() + body)
 
 
 class ScriptedServer:
-    """A server that puts each request it reads into `calls`, and leaves the response to the test."""
+    """A server that puts each request it reads into `requests`, and leaves the response to the test."""
 
     def __init__(self) -> None:
-        self.calls: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
-        self.connections = 0
+        self.requests: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
+        self.connection_count = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.address = ""
 
@@ -103,14 +105,14 @@
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
+        self.connection_count += 1
         self.writers.append(writer)
-        connection, closed = self.connections, asyncio.Event()
+        connection, closed = self.connection_count, asyncio.Event()
         try:
             while True:
                 line, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                await self.calls.put(ReceivedRequest(line, headers, body, writer, connection, closed))
+                await self.requests.put(ReceivedRequest(line, headers, body, writer, connection, closed))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
             closed.set()
@@ -151,18 +153,18 @@
     ) -> None:
         self.writer.write(request(path, method, body=body, **headers))
 
-    async def reply(self) -> ReceivedResponse:
+    async def read_response(self) -> ReceivedResponse:
         line, headers = await read_head(self.reader)
         body = await self.reader.readexactly(int(headers["content-length"]))
         return ReceivedResponse(int(line.split()[1]), headers, body)
 
-    async def ask(
+    async def exchange(
         self, path: str = "/answer", method: str = "POST", **headers: str | None
     ) -> ReceivedResponse:
         self.send(path, method, body=b"", **headers)
-        return await self.reply()
+        return await self.read_response()
 
-    async def ended(self) -> bool:
+    async def wait_closed(self) -> bool:
         """Wait for the end of the connection; return whether no bytes came before it."""
         try:
             return await self.reader.read() == b""
@@ -236,11 +238,13 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.create_task, self.call_later = loop.create_task, loop.call_later
         self.connect = loop.create_connection
-        self.knocks: asyncio.Queue[asyncio.Event] = asyncio.Queue()  # one for each connection that is opened
+        self.attempts: asyncio.Queue[asyncio.Event] = (
+            asyncio.Queue()
+        )  # one for each connection that is opened
 
     async def create_connection(self, *args: Any) -> Any:
         comes_up = asyncio.Event()
-        await self.knocks.put(comes_up)
+        await self.attempts.put(comes_up)
         await comes_up.wait()
         return await self.connect(*args)
 
--- a/tests/proxy/pool_harness.py
+++ b/tests/proxy/pool_harness.py
@@ -57,8 +57,8 @@
         """Serve one attempt; return the number of the connection that carried it."""
         await asyncio.sleep(2 * MIN_IDLE_MS / 1000)  # idle connections may be lent again
         self.start(backend_id)
-        call = await backend.calls.get()
-        call.reply()
+        call = await backend.requests.get()
+        call.respond()
         assert await self.result() is AttemptResult.OK
         return call.connection
 
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -30,8 +30,8 @@
 
 async def next_call(p: Proxy) -> ReceivedRequest:
     """Return the next request that any backend reads."""
-    await until(lambda: any(not peer.calls.empty() for peer in p.backends))
-    return next(peer.calls.get_nowait() for peer in p.backends if not peer.calls.empty())
+    await until(lambda: any(not peer.requests.empty() for peer in p.backends))
+    return next(peer.requests.get_nowait() for peer in p.backends if not peer.requests.empty())
 
 
 def test_request_after_the_last_response_is_not_forwarded_and_resets_nothing() -> None:
@@ -39,17 +39,17 @@
         async with proxy() as p:
             client = await p.client()
             client.send(x_call_id="c1")
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             p.listener.begin_shutdown()
-            received.reply(b"r" * 65536)
+            received.respond(b"r" * 65536)
             (connection,) = p.listener.slots.connections
             await until(lambda: p.listener.slots.lingering)
             client.send(x_call_id="c2")
             await until(lambda: connection.discarded_bytes)
-            reply = await client.reply()
+            reply = await client.read_response()
             assert (reply.body, reply.headers["connection"]) == (b"r" * 65536, "close")
-            assert await client.ended()
-            assert p.backends[0].calls.empty() and not p.engine.requests.open
+            assert await client.wait_closed()
+            assert p.backends[0].requests.empty() and not p.engine.requests.open
             client.close()
 
     run(test())
@@ -62,7 +62,7 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            assert (await client.ask("/health/ready", "GET")).status == 200
+            assert (await client.exchange("/health/ready", "GET")).status == 200
             (connection,) = p.listener.slots.connections
             await send_unread(client, connection)
             p.listener.slots.limit = 1 if timeout == "crowded" else 100
@@ -72,8 +72,8 @@
             assert connection in p.listener.slots.idle
             p.listener.sweep()
             connection.transport.resume_reading()
-            (await p.backends[0].calls.get()).reply()
-            assert (await client.reply()).status == 200
+            (await p.backends[0].requests.get()).respond()
+            assert (await client.read_response()).status == 200
 
     run(test())
 
@@ -85,8 +85,8 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            (await p.backends[0].calls.get()).reply()
-            assert (await client.reply()).status == 200
+            (await p.backends[0].requests.get()).respond()
+            assert (await client.read_response()).status == 200
             (connection,), (kept,) = p.listener.slots.connections, p.engine.backends.connections
             assert kept.transport is not None
             for transport in (connection.transport, kept.transport):
@@ -111,7 +111,7 @@
         socket.SOL_SOCKET, socket.SO_SNDBUF, send_buffer_bytes
     )
     client.send()
-    (await p.backends[0].calls.get()).reply(b"r" * 65536)
+    (await p.backends[0].requests.get()).respond(b"r" * 65536)
     await until(lambda: p.listener.slots.lingering if shutting_down else p.listener.slots.idle)
     assert send_buffer_bytes > 4096 or connection.transport.get_write_buffer_size()
     return client
@@ -129,9 +129,9 @@
                 p.listener.sweep()
             else:
                 assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is None
-            reply = await client.reply()
+            reply = await client.read_response()
             assert reply.body == b"r" * 65536
-            assert await client.ended()
+            assert await client.wait_closed()
             client.close()
 
     run(test())
@@ -160,7 +160,7 @@
                 assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is None
                 assert p.listener.slots.used == 1
                 p.engine.requests.max_deadline_ms = -1000.0
-                assert (await other.reply()).status == 200
+                assert (await other.read_response()).status == 200
             else:
                 client.writer.write_eof()
             await until(lambda: connection.transport.is_closing())
@@ -192,8 +192,8 @@
             else:
                 assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is None
             connection.transport.resume_reading()
-            assert (await client.reply()).body == b"r" * 65536
-            assert await client.ended()
+            assert (await client.read_response()).body == b"r" * 65536
+            assert await client.wait_closed()
             client.close()
 
     run(test())
@@ -237,9 +237,9 @@
 
             monkeypatch.setattr(p.engine.requests, "expire_all", rest_comes_then)
             await p.listener.finish_shutdown(0.0)
-            reply = await client.reply()
+            reply = await client.read_response()
             assert (reply.status, reply.headers["connection"]) == (503, "close")
-            assert p.backends[0].calls.empty() and not p.engine.requests.open
+            assert p.backends[0].requests.empty() and not p.engine.requests.open
 
     run(test())
 
@@ -249,13 +249,13 @@
         async with proxy() as p:
             client = await p.client()
             client.send(x_call_id="c1", connection="close")
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             client.send(x_call_id="c2")
             await until(lambda: any(connection.is_closing for connection in p.listener.slots.connections))
-            received.reply()
-            assert (await client.reply()).status == 200
-            assert await client.ended()
-            assert p.engine.telemetry.violation_count() == 0 and p.backends[0].calls.empty()
+            received.respond()
+            assert (await client.read_response()).status == 200
+            assert await client.wait_closed()
+            assert p.engine.telemetry.violation_count() == 0 and p.backends[0].requests.empty()
 
     run(test())
 
@@ -270,7 +270,7 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             (connection,) = p.listener.slots.connections
             client.writer.write(b"\x16\x03 no request\r\n\r\n")
             await until(lambda: connection.is_closing)
@@ -280,9 +280,9 @@
                     has_unread_input(connection.transport) or connection not in p.listener.slots.connections
                 )
             )
-            received.reply(b"owed")
-            assert (await client.reply()).body == b"owed"
-            assert (await client.reply()).status == 400
+            received.respond(b"owed")
+            assert (await client.read_response()).body == b"owed"
+            assert (await client.read_response()).status == 400
             await until(lambda: not p.listener.slots.connections)
             client.close()
 
@@ -296,11 +296,11 @@
             for number, client in enumerate(flood):
                 client.send(x_call_id=f"f{number}")
             for _ in flood:
-                received = await p.backends[0].calls.get()
-                received.reply(received.headers["x-call-id"].encode())
+                received = await p.backends[0].requests.get()
+                received.respond(received.headers["x-call-id"].encode())
             for number, client in enumerate(flood):
-                assert (await client.reply()).body == b"f%d" % number
-            assert p.backends[0].calls.empty()
+                assert (await client.read_response()).body == b"f%d" % number
+            assert p.backends[0].requests.empty()
 
     run(test())
 
@@ -310,20 +310,20 @@
         async with proxy() as p:
             flood, other = await p.client(), await p.client()
             flood.writer.write(b"".join(request(x_call_id=f"f{number}") for number in range(300)))
-            calls = [await p.backends[0].calls.get()]
+            calls = [await p.backends[0].requests.get()]
             other.send(x_call_id="other")
-            calls.append(await p.backends[0].calls.get())
+            calls.append(await p.backends[0].requests.get())
             assert [received.headers["x-call-id"] for received in calls] == ["f0", "other"]
             assert list(p.engine.requests.open) == ["f0", "other"]  # one of each connection at a time
             for received in calls:
-                received.reply(received.headers["x-call-id"].encode())
-            assert (await other.reply()).body == b"other"
-            assert (await flood.reply()).body == b"f0"
+                received.respond(received.headers["x-call-id"].encode())
+            assert (await other.read_response()).body == b"other"
+            assert (await flood.read_response()).body == b"f0"
             for number in range(1, 300):
-                received = await p.backends[0].calls.get()
+                received = await p.backends[0].requests.get()
                 assert received.headers["x-call-id"] == f"f{number}"
-                received.reply(b"%d" % number)
-                assert (await flood.reply()).body == b"%d" % number
+                received.respond(b"%d" % number)
+                assert (await flood.read_response()).body == b"%d" % number
 
     run(test())
 
@@ -355,8 +355,8 @@
     reset(received.writer) if how == "reset" else received.writer.close()
     await until(lambda: is_closed_by_peer(transport))
     transport.resume_reading()
-    reply = await client.reply()
-    assert all(peer.calls.empty() for peer in p.backends)
+    reply = await client.read_response()
+    assert all(peer.requests.empty() for peer in p.backends)
     return reply
 
 
@@ -399,9 +399,9 @@
             for place in range(len(sent) - 1):
                 client.writer.write(sent[place : place + 1])
                 await until(lambda place=place: connection.reader.size_bytes == place + 1)  # type: ignore[misc]
-            assert p.backends[0].connections == 0
+            assert p.backends[0].connection_count == 0
             client.writer.write(sent[-1:])
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             assert received.body == b"by and by"
             answer = b"HTTP/1.1 103 Hints\r\nlink: </a>\r\n\r\n"
             answer += OK + b"transfer-encoding: chunked\r\n\r\n4\r\nslow\r\n3;x=y\r\nly.\r\n0\r\nt: u\r\n\r\n"
@@ -411,7 +411,7 @@
                 size = backend_connection._received_bytes
                 received.writer.write(bytes([byte]))
                 await until(lambda size=size: backend_connection._received_bytes != size)  # type: ignore[misc]
-            reply = await client.reply()
+            reply = await client.read_response()
             assert (reply.status, reply.body) == (200, b"slowly.")
 
     run(test())
@@ -428,12 +428,12 @@
         async with proxy(backends=2, settings={"Lanes": [PURCHASE | {"KeyTtlMs": window_ms}]}) as p:
             client = await p.client()
             client.send("/purchase", idempotency_key="k1")
-            (await next_call(p)).reply(status=500)
+            (await next_call(p)).respond(status=500)
             if repeated:
-                (await next_call(p)).reply(b"again")
-                assert (await client.reply()).body == b"again"
+                (await next_call(p)).respond(b"again")
+                assert (await client.read_response()).body == b"again"
             else:
-                assert (await client.reply()).status == 504
-                assert all(peer.calls.empty() for peer in p.backends)
+                assert (await client.read_response()).status == 504
+                assert all(peer.requests.empty() for peer in p.backends)
 
     run(test())
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -87,8 +87,8 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.calls.get()
-            call.reply()
+            call = await backend.requests.get()
+            call.respond()
             await harness.result()
             harness.pool.backend_pools["s"].idle[0].idle_since = (
                 now_ms() + 1000
@@ -105,11 +105,11 @@
             harness.start()
             harness.start()
             for _ in range(2):
-                (await backend.calls.get()).reply()
+                (await backend.requests.get()).respond()
                 await harness.result()
             await asyncio.sleep(2 * MIN_IDLE_MS / 1000)
             harness.start(timeout_ms=50.0)
-            await backend.calls.get()
+            await backend.requests.get()
             assert await harness.result() is AttemptResult.TIMEOUT
             assert not harness.pool.backend_pools["s"].idle
             assert await harness.serve_one(backend) == 3
@@ -138,7 +138,7 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start(timeout_ms=100.0)
-            call = await backend.calls.get()
+            call = await backend.requests.get()
             assert await harness.result() is AttemptResult.TIMEOUT
             await call.closed.wait()
 
@@ -149,7 +149,7 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             attempt = harness.start()
-            call = await backend.calls.get()
+            call = await backend.requests.get()
             harness.pool.cancel(attempt)
             harness.pool.cancel(attempt)
             assert await harness.result() is AttemptResult.CANCELLED
@@ -207,14 +207,14 @@
         async with pool_harness() as (harness, backend):
             gate = ConnectGate.of(harness.pool)
             harness.start(write_within_ms=30.0)
-            may_open = await gate.knocks.get()
+            may_open = await gate.attempts.get()
             assert await harness.result() is AttemptResult.CONNECT_FAILED
             may_open.set()
             harness.start(write_within_ms=30_000.0)
-            (await gate.knocks.get()).set()
-            call = await backend.calls.get()
-            assert backend.calls.empty()
-            call.reply()
+            (await gate.attempts.get()).set()
+            call = await backend.requests.get()
+            assert backend.requests.empty()
+            call.respond()
             assert await harness.result() is AttemptResult.OK
 
     run(test())
@@ -228,15 +228,15 @@
         async with pool_harness() as (harness, backend):
             gate = ConnectGate.of(harness.pool)
             attempt = harness.start(write_within_ms=20000.0)
-            may_open = await gate.knocks.get()
+            may_open = await gate.attempts.get()
             setattr(attempt, deadline, now_ms() - 1.0)
             may_open.set()
             assert await harness.result() is AttemptResult.CONNECT_FAILED
             harness.start()
-            (await gate.knocks.get()).set()
-            (await backend.calls.get()).reply()
+            (await gate.attempts.get()).set()
+            (await backend.requests.get()).respond()
             assert await harness.result() is AttemptResult.OK
-            assert backend.calls.empty() and len(harness.pool.connections) == 1
+            assert backend.requests.empty() and len(harness.pool.connections) == 1
 
     run(test())
 
@@ -245,10 +245,10 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             attempt = harness.start(write_within_ms=20_000.0)
-            call = await backend.calls.get()
+            call = await backend.requests.get()
             harness.pool._on_deadline(attempt)  # as its timer does
             assert not attempt.has_ended
-            call.reply()
+            call.respond()
             assert await harness.result() is AttemptResult.OK
 
     run(test())
@@ -265,7 +265,7 @@
             harness.update(endpoint("s", backend.address, state))
             harness.start()  # chosen before the update came
             assert await harness.result() is AttemptResult.CONNECT_FAILED
-            assert backend.calls.empty() and backend.connections == pooled
+            assert backend.requests.empty() and backend.connection_count == pooled
 
     run(test())
 
@@ -274,7 +274,7 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             attempt = harness.start()
-            call = await backend.calls.get()
+            call = await backend.requests.get()
             connection = attempt.connection
             assert connection is not None
             harness.pool._on_deadline(attempt)
@@ -282,9 +282,9 @@
             assert await harness.result() is AttemptResult.TIMEOUT
             await call.closed.wait()
             harness.start()
-            again = await backend.calls.get()
+            again = await backend.requests.get()
             assert again.connection == 2
-            again.reply()
+            again.respond()
             assert await harness.result() is AttemptResult.OK
 
     run(test())
@@ -309,10 +309,10 @@
         async with pool_harness() as (harness, backend):
             harness.start()
             harness.start()
-            first, second = await backend.calls.get(), await backend.calls.get()
-            second.reply()
+            first, second = await backend.requests.get(), await backend.requests.get()
+            second.respond()
             await harness.result()
-            first.reply()
+            first.respond()
             await harness.result()
             assert await harness.serve_one(backend) == first.connection
             assert await harness.serve_one(backend) == first.connection
@@ -324,8 +324,8 @@
     async def test() -> None:
         async with pool_harness(idle_timeout_ms=1000.0) as (harness, backend):
             harness.start()
-            call = await backend.calls.get()
-            call.reply()
+            call = await backend.requests.get()
+            call.respond()
             assert await harness.result() is AttemptResult.OK
             await call.closed.wait()
             assert not harness.pool.backend_pools["s"].idle
@@ -358,12 +358,12 @@
             }
             harness.start()
             harness.start()
-            busy, idle = await backend.calls.get(), await backend.calls.get()
-            idle.reply()
+            busy, idle = await backend.requests.get(), await backend.requests.get()
+            idle.respond()
             assert await harness.result() is AttemptResult.OK
             harness.update(*updates[change])
             await idle.closed.wait()
-            busy.reply()  # requests in flight may finish, but their connection is not idle
+            busy.respond()  # requests in flight may finish, but their connection is not idle
             assert await harness.result() is AttemptResult.OK
             await busy.closed.wait()
             if change == "restarts":
@@ -386,7 +386,7 @@
             harness.update(endpoint("s", backend.address, state))
             assert await harness.result() is AttemptResult.CONNECT_FAILED
             assert not harness.pool.connections  # nothing of it counts towards the limit
-            assert backend.calls.empty()
+            assert backend.requests.empty()
 
     run(test())
 
@@ -407,8 +407,8 @@
         async with pool_harness() as (harness, backend):
             harness.pool.loop = cast(asyncio.AbstractEventLoop, LateLoop(harness.pool.loop))
             harness.start()
-            call = await backend.calls.get()
-            call.reply()
+            call = await backend.requests.get()
+            call.respond()
             assert await harness.result() is AttemptResult.OK
 
     run(test())
@@ -421,14 +421,14 @@
             harness.update(endpoint("s", backend.address), endpoint("t", other.address))
             await harness.serve_one(backend)
             harness.start("t")
-            busy = await other.calls.get()
+            busy = await other.requests.get()
             harness.start("t")
-            second = await other.calls.get()
+            second = await other.requests.get()
             assert not harness.pool.backend_pools["s"].idle
             harness.start("s")
             assert await harness.result() is AttemptResult.NO_LOCAL_RESOURCE  # nothing is idle now
             for call in (busy, second):
-                call.reply()
+                call.respond()
                 assert await harness.result() is AttemptResult.OK
             other.close()
 
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -49,18 +49,18 @@
 
 
 def reply(call: ReceivedRequest, what: Any) -> None:
-    call.reply(json.dumps(what).encode())
+    call.respond(json.dumps(what).encode())
 
 
 def test_polls_follow_back_to_back_on_one_connection() -> None:
     async def test() -> None:
         async with watching() as (recorded, service):
-            first = await service.calls.get()
-            assert first.line == "GET /registry/instances?since=41&timeout_ms=1 HTTP/1.1"
+            first = await service.requests.get()
+            assert first.request_line == "GET /registry/instances?since=41&timeout_ms=1 HTTP/1.1"
             reply(first, listing(41, whole=False))
             assert (await recorded.updates.get()).endpoints == ()
-            second = await service.calls.get()
-            assert second.line == "GET /registry/instances?since=41&timeout_ms=1000 HTTP/1.1"
+            second = await service.requests.get()
+            assert second.request_line == "GET /registry/instances?since=41&timeout_ms=1000 HTTP/1.1"
             recorded.client.watch()  # one watch is on: no second one
             reply(second, listing(43, target("s", ADDRESS, "leaving", 7), whole=False))
             update = await recorded.updates.get()
@@ -72,8 +72,8 @@
                 7.0,
                 1,
             )
-            third = await service.calls.get()
-            assert third.line.startswith("GET /registry/instances?since=43&")
+            third = await service.requests.get()
+            assert third.request_line.startswith("GET /registry/instances?since=43&")
             assert third.connection == 1 and recorded.failures.empty()
 
     run(test())
@@ -98,12 +98,12 @@
 def test_malformed_list_is_a_failed_call(body: bytes) -> None:
     async def test() -> None:
         async with watching() as (recorded, service):
-            (await service.calls.get()).reply(body)
+            (await service.requests.get()).respond(body)
             await recorded.failures.get()
             assert recorded.updates.empty()
             recorded.client.watch()  # when the module says so, from the version held
-            call = await service.calls.get()
-            assert call.line.startswith("GET /registry/instances?since=41&")
+            call = await service.requests.get()
+            assert call.request_line.startswith("GET /registry/instances?since=41&")
             reply(call, listing(44))
             assert (await recorded.updates.get()).revision == 44
 
@@ -126,9 +126,9 @@
             await recorded.failures.get()
             return
         async with watching() as (recorded, service):
-            call = await service.calls.get()
+            call = await service.requests.get()
             if how == "503":
-                call.reply(status=503)
+                call.respond(status=503)
             elif how == "reset":
                 call.writer.close()
             await recorded.failures.get()
@@ -145,7 +145,7 @@
     async def test() -> None:
         async with watching() as (recorded, service):
             recorded.client.on_update = broken
-            reply(await service.calls.get(), listing(42))
+            reply(await service.requests.get(), listing(42))
             assert "ZeroDivisionError" in await recorded.failures.get()
             assert recorded.client.revision == 41  # the list is asked for again
 
@@ -155,19 +155,19 @@
 def test_proxy_keeps_its_list_after_a_malformed_one_and_replaces_it_by_a_snapshot() -> None:
     async def test() -> None:
         async with proxy(backends=2) as p:
-            bad = await p.registry.calls.get()
-            bad.reply(b'{"rev":2,"all":true,"targets":[{"uid":5}]}')
+            bad = await p.registry.requests.get()
+            bad.respond(b'{"rev":2,"all":true,"targets":[{"uid":5}]}')
             client = await p.client()
-            assert (await client.ask("/health/ready", "GET")).status == 200
+            assert (await client.exchange("/health/ready", "GET")).status == 200
             assert set(p.engine.backends.endpoints) == {"s0", "s1"}
-            good = await p.registry.calls.get()
+            good = await p.registry.requests.get()
             reply(good, listing(3, target("s1", p.backends[1].address)))
-            await p.registry.calls.get()  # the next poll: the update has been processed
+            await p.registry.requests.get()  # the next poll: the update has been processed
             assert set(p.engine.backends.endpoints) == {"s1"}
             for number in range(5):
                 client.send(x_call_id=f"c{number}")
-                (await p.backends[1].calls.get()).reply()
-                assert (await client.reply()).status == 200
+                (await p.backends[1].requests.get()).respond()
+                assert (await client.read_response()).status == 200
 
     run(test())
 
@@ -177,13 +177,13 @@
     # getting requests.
     async def test() -> None:
         async with proxy(backends=2, list_mode="push") as p:
-            first = await p.registry.calls.get()
-            assert "?since=1&" in first.line
-            first.reply(status=503)
-            second = await p.registry.calls.get()
-            assert "?since=1&" in second.line
+            first = await p.registry.requests.get()
+            assert "?since=1&" in first.request_line
+            first.respond(status=503)
+            second = await p.registry.requests.get()
+            assert "?since=1&" in second.request_line
             reply(second, listing(2, target("s0", p.backends[0].address, "leaving"), whole=False))
-            await p.registry.calls.get()
+            await p.registry.requests.get()
             assert p.engine.backends.active_count() == 1
 
     run(test())
@@ -295,16 +295,16 @@
 
     async def test() -> None:
         async with watching() as (recorded, service):
-            first = await service.calls.get()
+            first = await service.requests.get()
             await recorded.failures.get()
             recorded.client.watch()
-            second = await service.calls.get()
+            second = await service.requests.get()
             await recorded.failures.get()
             reply(first, listing(42))  # nobody waits for it just now
             assert (await recorded.updates.get()).revision == 42
             await second.closed.wait()
-            third = await service.calls.get()  # the watch stands, on the connection that was answered
-            assert third.connection == first.connection and "since=42&" in third.line
+            third = await service.requests.get()  # the watch stands, on the connection that was answered
+            assert third.connection == first.connection and "since=42&" in third.request_line
             assert recorded.failures.empty() and recorded.updates.empty()
 
     run(test())
@@ -318,17 +318,17 @@
             calls = []
             for _ in range(4):
                 recorded.client.watch()
-                calls.append(await service.calls.get())
+                calls.append(await service.requests.get())
                 await recorded.failures.get()
             await calls[0].closed.wait()
             assert len(recorded.client.opening_calls) == discovery_client_module.MAX_OPENING_CALLS
-            calls[1].reply(status=503)
+            calls[1].respond(status=503)
             await calls[1].closed.wait()
             assert len(recorded.client.opening_calls) == 2 and recorded.failures.empty()
             recorded.client.opening_timeout_ms = 1e6
             recorded.client.watch()
-            latest = await service.calls.get()
-            calls[2].reply(status=503)  # while the latest is waited for
+            latest = await service.requests.get()
+            calls[2].respond(status=503)  # while the latest is waited for
             await calls[2].closed.wait()
             await until(lambda: len(recorded.client.opening_calls) <= 2)
             assert recorded.failures.empty()
@@ -350,7 +350,7 @@
 def test_list_received_in_parts_is_one_update() -> None:
     async def test() -> None:
         async with watching() as (recorded, service):
-            call = await service.calls.get()
+            call = await service.requests.get()
             body = json.dumps(listing(42, target("s", ADDRESS)), indent=2).encode()
             whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
             for place in range(0, len(whole), 40):
@@ -371,10 +371,10 @@
     async def test() -> None:
         async with proxy(memory_mb=192) as p:
             many = [target(f"s-{number:08x}", ADDRESS) for number in range(20_000)]
-            first = await p.registry.calls.get()
-            first.reply(json.dumps(listing(2, *many)).encode())
-            call = await p.registry.calls.get()
-            assert "?since=2&" in call.line and p.engine.backends.active_count() == 20_000
+            first = await p.registry.requests.get()
+            first.respond(json.dumps(listing(2, *many)).encode())
+            call = await p.registry.requests.get()
+            assert "?since=2&" in call.request_line and p.engine.backends.active_count() == 20_000
             assert p.engine.discovery is not None
             max_list_bytes = p.engine.discovery.max_list_bytes
             # A list takes up to three times its bytes.
@@ -389,7 +389,7 @@
                     await call.writer.drain()
                 await asyncio.sleep(0)
             assert p.engine.backends.active_count() == 20_000
-            assert "?since=2&" in (await p.registry.calls.get()).line
+            assert "?since=2&" in (await p.registry.requests.get()).request_line
 
     run(test())
 
@@ -409,9 +409,9 @@
                     call.connection_lost(ConnectionResetError())
 
             recorded.client.on_update = between
-            reply(await service.calls.get(), listing(42))
-            second = await service.calls.get()
-            assert second.line.startswith("GET /registry/instances?since=42&")
+            reply(await service.requests.get(), listing(42))
+            second = await service.requests.get()
+            assert second.request_line.startswith("GET /registry/instances?since=42&")
             assert second.connection == 2 and recorded.failures.empty()
 
     run(test())
@@ -446,11 +446,11 @@
             await comes_up.wait()
             assert recorded.client.move_to(other.address)
             recorded.client.watch()
-            reply(await other.calls.get(), listing(7))
+            reply(await other.requests.get(), listing(7))
             assert (await recorded.updates.get()).revision == 7
         await until(lambda: service.writers)
         await until(lambda: service.writers[0].is_closing())  # its reader has found the end
-        assert service.calls.empty() and recorded.failures.empty()
+        assert service.requests.empty() and recorded.failures.empty()
         recorded.client.close()
         service.close()
         other.close()
@@ -462,15 +462,15 @@
     async def test() -> None:
         other = await ScriptedServer().open()
         async with watching() as (recorded, service):
-            await service.calls.get()
+            await service.requests.get()
             call = recorded.client.connection
             assert call is not None
             body = json.dumps(listing(42, target("old", ADDRESS))).encode()
             call.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
             assert recorded.client.move_to(other.address)  # before the watch could look at it
             recorded.client.watch()
-            first = await other.calls.get()
-            assert first.line == "GET /registry/instances HTTP/1.1"
+            first = await other.requests.get()
+            assert first.request_line == "GET /registry/instances HTTP/1.1"
             reply(first, listing(7))
             assert (await recorded.updates.get()).revision == 7
             assert recorded.updates.empty() and recorded.failures.empty()
@@ -483,16 +483,16 @@
     async def test() -> None:
         other = await ScriptedServer().open()
         async with watching() as (recorded, service):
-            (await service.calls.get()).reply(json.dumps(listing(42)).encode())
+            (await service.requests.get()).respond(json.dumps(listing(42)).encode())
             await recorded.updates.get()
-            old = await service.calls.get()
+            old = await service.requests.get()
             assert recorded.client.move_to(other.address) and recorded.client.move_to(service.address)
             assert not recorded.client.move_to(service.address)
             recorded.client.watch()
             await old.closed.wait()
-            again = await service.calls.get()
-            assert again.line == "GET /registry/instances HTTP/1.1" and again.connection == 2
-            assert other.connections == 0 and recorded.failures.empty()
+            again = await service.requests.get()
+            assert again.request_line == "GET /registry/instances HTTP/1.1" and again.connection == 2
+            assert other.connection_count == 0 and recorded.failures.empty()
         other.close()
 
     run(test())
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -97,7 +97,9 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            await client.ask("/purchase/x", idempotency_key="k", x_route_hash="7f3a9c21e0b4d655", x_again="1")
+            await client.exchange(
+                "/purchase/x", idempotency_key="k", x_route_hash="7f3a9c21e0b4d655", x_again="1"
+            )
             (arrival,) = events(RequestArrived)
             assert (arrival.request_id, arrival.class_index, arrival.affinity_key) == (
                 "c1",
@@ -115,7 +117,7 @@
 
     async def test() -> None:
         async with proxy() as p:
-            await (await p.client()).ask(x_budget_ms="999999999")
+            await (await p.client()).exchange(x_budget_ms="999999999")
             assert events(RequestArrived)[0].deadline <= now_ms() + 30000
 
     run(test())
@@ -134,12 +136,12 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            refused = await client.ask(x_call_id="r")
+            refused = await client.exchange(x_call_id="r")
             assert (refused.status, refused.headers["retry-after"]) == (503, "0.250")
-            plain = await client.ask(x_call_id="p")
+            plain = await client.exchange(x_call_id="p")
             assert plain.status == 503 and "retry-after" not in plain.headers
-            assert (await client.ask(x_call_id="f")).status == 504
-            assert p.backends[0].connections == 0 and not events(ClientDisconnected)
+            assert (await client.exchange(x_call_id="f")).status == 504
+            assert p.backends[0].connection_count == 0 and not events(ClientDisconnected)
 
     run(test())
 
@@ -148,7 +150,7 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            assert (await client.ask(x_budget_ms="30")).status == 504
+            assert (await client.exchange(x_budget_ms="30")).status == 504
             await until(lambda: events(ClientDisconnected))
 
     run(test())
@@ -198,12 +200,12 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            assert (await client.ask()).status == 504
+            assert (await client.exchange()).status == 504
             await until(lambda: events(AttemptEnded))
             assert [(e.result, e.request_finished) for e in events(AttemptEnded)] == [
                 (AttemptResult.WITHDRAWN, True)
             ]
-            assert p.backends[0].connections == 0
+            assert p.backends[0].connection_count == 0
             await until(lambda: not p.engine.requests.open)
 
     run(test())
@@ -226,7 +228,7 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await p.backends[0].calls.get()
+            await p.backends[0].requests.get()
             open_request = p.engine.requests.open["c1"]
             open_request.attempts[0].end(AttemptResult.REJECTED)
             p.engine.requests.client_disconnected("c1")
@@ -235,7 +237,7 @@
                 (0, AttemptResult.REJECTED),
                 (1, AttemptResult.WITHDRAWN),
             ]
-            assert p.backends[0].calls.empty()
+            assert p.backends[0].requests.empty()
             await until(lambda: not p.engine.requests.open)
 
     run(test())
@@ -312,15 +314,15 @@
         async with proxy() as p:
             client = await p.client()
             sent_ahead(client, "c1", "c2", "c3")
-            call = await p.backends[0].calls.get()
+            call = await p.backends[0].requests.get()
             await until(lambda: p.listener.disconnects.paused)
             (inside,) = p.listener.slots.connections
             client.close()
             await until(lambda: is_closed_by_peer(inside.transport))
-            call.reply()
+            call.respond()
             await until(lambda: not p.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
-            assert p.backends[0].calls.empty()
+            assert p.backends[0].requests.empty()
 
     run(test())
 
@@ -355,12 +357,12 @@
             # No turn of the loop has been since: it finds the connection, its request and its end at once.
             other = await p.client()
             other.send(x_call_id="other")
-            call = await p.backends[0].calls.get()
-            assert call.headers["x-call-id"] == "other" and p.backends[0].calls.empty()
-            call.reply()
-            assert (await other.reply()).status == 200
+            call = await p.backends[0].requests.get()
+            assert call.headers["x-call-id"] == "other" and p.backends[0].requests.empty()
+            call.respond()
+            assert (await other.read_response()).status == 200
             await until(lambda: len(p.listener.slots.connections) == 1 and not p.engine.requests.open)
-            assert p.backends[0].connections == 1
+            assert p.backends[0].connection_count == 1
 
     run(test())
 
@@ -386,20 +388,20 @@
             gate = ConnectGate.of(p.engine.backends)
             client, other = await p.client(), await p.client()
             client.send(x_budget_ms="20000" if why == "client leaves" else "50")
-            comes_up = await gate.knocks.get()
+            comes_up = await gate.attempts.get()
             if why == "client leaves":
                 client.close()
             else:
-                assert (await client.reply()).status == 504
+                assert (await client.read_response()).status == 504
             await until(lambda: events(AttemptEnded))
             assert events(AttemptEnded)[0].result in (AttemptResult.WITHDRAWN, AttemptResult.CANCELLED)
             comes_up.set()
             other.send(x_call_id="other")
-            (await gate.knocks.get()).set()
-            call = await p.backends[0].calls.get()
-            assert call.headers["x-call-id"] == "other" and p.backends[0].calls.empty()
-            call.reply()
-            assert (await other.reply()).status == 200
+            (await gate.attempts.get()).set()
+            call = await p.backends[0].requests.get()
+            assert call.headers["x-call-id"] == "other" and p.backends[0].requests.empty()
+            call.respond()
+            assert (await other.read_response()).status == 200
 
     run(test())
 
@@ -437,7 +439,7 @@
             client.send()
             await until(lambda: events(RequestArrived))
             if further:
-                (await p.backends[0].calls.get()).reply(status=500)
+                (await p.backends[0].requests.get()).respond(status=500)
                 await until(lambda: events(AttemptEnded))
             await leave_unseen(p, client, how)
             p.engine._on_timer(7, p.engine._incarnation)
@@ -450,8 +452,8 @@
                     and not p.listener.slots.connections
                 )
             )
-            assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].calls.empty()
-            assert p.backends[0].connections == int(further)
+            assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].requests.empty()
+            assert p.backends[0].connection_count == int(further)
 
     run(test())
 
@@ -467,13 +469,13 @@
             gate = ConnectGate.of(p.engine.backends)
             client = await p.client()
             client.send()
-            comes_up = await gate.knocks.get()
+            comes_up = await gate.attempts.get()
             await leave_unseen(p, client, how)
             comes_up.set()
             await until(lambda: events(AttemptEnded))
             assert [e[:3] for e in events(AttemptEnded)] == [("c1", 0, AttemptResult.WITHDRAWN)]
             await until(lambda: not p.engine.requests.open and not p.engine.backends.connections)
-            assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].calls.empty()
+            assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].requests.empty()
 
     run(test())
 
@@ -502,15 +504,15 @@
             client = await p.client()
             if pooled:
                 client.send(x_call_id="first")
-                (await p.backends[0].calls.get()).reply()
-                assert (await client.reply()).status == 200
+                (await p.backends[0].requests.get()).respond()
+                assert (await client.read_response()).status == 200
                 p.engine.backends.backend_pools["s0"].idle[0].idle_since -= 1000.0  # it may be lent again
             client.send(x_call_id="late")
             if over == "neither":
-                call = await p.backends[0].calls.get()
+                call = await p.backends[0].requests.get()
                 assert int(call.headers["x-budget-ms"]) <= 8_000_000
-                call.reply()
-                assert (await client.reply()).status == 200
+                call.respond()
+                assert (await client.read_response()).status == 200
                 return
             await until(lambda: len(events(AttemptEnded)) == 1 + pooled)
             assert events(AttemptEnded)[-1][:3] == (
@@ -518,7 +520,7 @@
                 0,
                 AttemptResult.NO_LOCAL_RESOURCE,
             )  # no blame on the backend
-            assert p.backends[0].calls.empty() and p.backends[0].connections == int(pooled)
+            assert p.backends[0].requests.empty() and p.backends[0].connection_count == int(pooled)
 
     run(test())
 
@@ -535,7 +537,7 @@
             sent = [request(x_call_id=f"c{number}", x_budget_ms="200") for number in range(6)]
             client.writer.write(b"".join(sent))
             for _ in sent:
-                assert (await client.reply()).status == 504
+                assert (await client.read_response()).status == 504
             first, *others = [arrival.deadline for arrival in events(RequestArrived)]
             assert len(others) == 5 and all(abs(give_up - first) < 100.0 for give_up in others)
 
@@ -550,10 +552,10 @@
         async with proxy() as p:
             client, begun = await p.client(), now_ms()
             client.writer.write(request(x_call_id="c1") + request(x_call_id="c2", x_budget_ms="100"))
-            assert [(await client.reply()).status for _ in range(2)] == [504, 504]
+            assert [(await client.read_response()).status for _ in range(2)] == [504, 504]
             assert now_ms() - begun < 10000.0  # of the 20 s that the first one had
-            call = await p.backends[0].calls.get()
-            assert call.headers["x-call-id"] == "c1" and p.backends[0].calls.empty()
+            call = await p.backends[0].requests.get()
+            assert call.headers["x-call-id"] == "c1" and p.backends[0].requests.empty()
 
     run(test())
 
@@ -567,16 +569,16 @@
             p.listener.slots.limit = 1
             first, second = await p.client(), await p.client()
             first.send(x_call_id="c1", connection="close")
-            call = await p.backends[0].calls.get()
+            call = await p.backends[0].requests.get()
             second.send(x_call_id="c2", x_budget_ms="9000")
             sent = now_ms()
             await until(lambda: not p.listener.is_accepting)
             await asyncio.sleep(0.5)
-            call.reply()
-            assert (await first.reply()).status == 200
+            call.respond()
+            assert (await first.read_response()).status == 200
             first.close()
-            (await p.backends[0].calls.get()).reply()
-            assert (await second.reply()).status == 200
+            (await p.backends[0].requests.get()).respond()
+            assert (await second.read_response()).status == 200
             assert events(RequestArrived)[1].deadline < sent + 9000.0 + 100.0
 
     run(test())
@@ -599,17 +601,17 @@
         async with proxy() as p:
             client = await p.client()
             sent_ahead(client, "c1", "c2", "c3")
-            call = await p.backends[0].calls.get()
+            call = await p.backends[0].requests.get()
             await until(lambda: p.listener.disconnects.paused)
             (inside,) = p.listener.slots.connections
             client.send(x_call_id="late", x_budget_ms="9000")
             await until(lambda: has_unread_input(inside.transport))
             clock[0] = 5000.0
-            call.reply()
+            call.respond()
             await until(lambda: len(events(RequestArrived)) == 2)
             p.engine.requests.expire_all()
             for _ in range(6):
-                await client.reply()
+                await client.read_response()
             assert [e.request_id for e in events(RequestArrived)] == ["c1", "c2"]
             assert inside.paused_since == 0.0 and inside.reader.arrived_at < now_ms() + 2500.0
 
@@ -626,11 +628,11 @@
 
     async def test() -> None:
         async with proxy() as p:
-            probe = await p.backends[0].calls.get()
-            assert probe.line == "GET /stats HTTP/1.1" and "x-call-id" not in probe.headers
-            probe.reply()
-            watch = await p.registry.calls.get()
-            assert watch.line.startswith("GET /registry/instances?since=1&")
+            probe = await p.backends[0].requests.get()
+            assert probe.request_line == "GET /stats HTTP/1.1" and "x-call-id" not in probe.headers
+            probe.respond()
+            watch = await p.registry.requests.get()
+            assert watch.request_line.startswith("GET /registry/instances?since=1&")
             await until(lambda: events(TimerFired) and events(HealthCheckResult))
             assert events(TimerFired) == [TimerFired(42)]
             assert events(HealthCheckResult)[0][:2] == ("s0", AttemptResult.OK)
@@ -653,13 +655,13 @@
         async with proxy() as p:
             first, second = await p.client(), await p.client()
             first.send(x_call_id="held")
-            call = await p.backends[0].calls.get()
-            assert (await second.ask(x_call_id="break")).status == 500
-            assert (await first.reply()).status == 500
+            call = await p.backends[0].requests.get()
+            assert (await second.exchange(x_call_id="break")).status == 500
+            assert (await first.read_response()).status == 500
             await call.closed.wait()
             first.send(x_call_id="later")  # a new balancer serves on, with the list as it stands
-            (await p.backends[0].calls.get()).reply()
-            assert (await first.reply()).status == 200
+            (await p.backends[0].requests.get()).respond()
+            assert (await first.read_response()).status == 200
             assert [e.kind for e in events(BackendListUpdate)] == [
                 ListUpdateKind.CACHED,
                 ListUpdateKind.CACHED,
@@ -685,9 +687,9 @@
             client = await p.client()
             client.send(x_call_id="break")
             client.send(x_call_id="next")
-            assert (await client.reply()).status == 500
-            (await p.backends[0].calls.get()).reply()
-            assert (await client.reply()).status == 200
+            assert (await client.read_response()).status == 500
+            (await p.backends[0].requests.get()).respond()
+            assert (await client.read_response()).status == 200
 
     run(test())
 
@@ -709,26 +711,26 @@
             clients = {name: await p.client() for name in ("held", "out", "left", "coming", "break", "later")}
             for name in ("held", "out", "left"):
                 clients[name].send(x_call_id=name)
-            calls = [await p.backends[0].calls.get() for _ in range(2)]
+            calls = [await p.backends[0].requests.get() for _ in range(2)]
             gate = ConnectGate.of(p.engine.backends)
             clients["coming"].send(x_call_id="coming")
-            comes_up = await gate.knocks.get()
+            comes_up = await gate.attempts.get()
             await until(lambda: "held" in p.engine.requests.open)
             # Both in the batch that breaks: its client's leaving is not heard by any balancer.
             p.engine.requests.client_disconnected("left")
             clients["break"].send(x_call_id="break")
             for name in ("held", "out", "coming", "break"):
-                assert (await clients[name].reply()).status == 500
+                assert (await clients[name].read_response()).status == 500
             for call in calls:
                 await call.closed.wait()
             comes_up.set()
             clients["later"].send(x_call_id="later")
-            (await gate.knocks.get()).set()
-            call = await p.backends[0].calls.get()
+            (await gate.attempts.get()).set()
+            call = await p.backends[0].requests.get()
             assert call.headers["x-call-id"] == "later"
-            call.reply()
-            assert (await clients["later"].reply()).status == 200
-            assert p.backends[1].calls.empty() and not p.engine.requests.open.keys() - {"later"}
+            call.respond()
+            assert (await clients["later"].read_response()).status == 200
+            assert p.backends[1].requests.empty() and not p.engine.requests.open.keys() - {"later"}
 
     run(test())
 
@@ -743,8 +745,8 @@
 
     async def test() -> None:
         async with proxy(list_mode="push") as p:
-            (await p.registry.calls.get()).reply(status=503)
-            assert "?since=1&" in (await p.registry.calls.get()).line
+            (await p.registry.requests.get()).respond(status=503)
+            assert "?since=1&" in (await p.registry.requests.get()).request_line
             assert script.incarnations == 2
 
     run(test())
@@ -758,7 +760,7 @@
     async def test() -> None:
         async with proxy() as p:
             monkeypatch.setattr(p.engine.backends, "start", lambda attempt: 1 / 0)
-            assert (await (await p.client()).ask()).status == 504
+            assert (await (await p.client()).exchange()).status == 504
 
     run(test())
     assert "was not carried out" in capfd.readouterr().err
@@ -784,7 +786,7 @@
 
     async def test() -> None:
         async with proxy() as p:
-            assert (await (await p.client()).ask(x_call_cost=told)).status == 504
+            assert (await (await p.client()).exchange(x_call_cost=told)).status == 504
             assert events(RequestArrived)[0].work_hint_ms == work
 
     run(test())
--- a/tests/proxy/test_http_exchange.py
+++ b/tests/proxy/test_http_exchange.py
@@ -32,7 +32,7 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            (await backend.calls.get()).reply(status=status, headers=headers)
+            (await backend.requests.get()).respond(status=status, headers=headers)
             assert await harness.result() is result
             assert await harness.serve_one(backend) == 1
 
@@ -83,7 +83,7 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.calls.get()
+            call = await backend.requests.get()
             call.writer.write(sent)
             call.writer.close()
             assert await harness.result() is AttemptResult.RESET
@@ -95,9 +95,9 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.calls.get()
+            call = await backend.requests.get()
             call.writer.write(b"HTTP/1.1 103 Hints\r\nlink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n")
-            call.reply(b"the real one")
+            call.respond(b"the real one")
             result, response = await harness.results.get()
             assert result is AttemptResult.OK and response is not None and response.body == b"the real one"
             assert await harness.serve_one(backend) == 1
@@ -134,7 +134,7 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.calls.get()
+            call = await backend.requests.get()
             call.writer.write(sent)
             assert await harness.result() is AttemptResult.RESET
             await call.closed.wait()
@@ -148,7 +148,7 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start(timeout_ms=100.0 if how == "silence" else 30000.0)
-            call = await backend.calls.get()
+            call = await backend.requests.get()
             call.writer.write(first + b"\r\nto the ")
             call.writer.write(b"end")
             if how == "reset":
@@ -174,8 +174,8 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.calls.get()
-            call.reply()
+            call = await backend.requests.get()
+            call.respond()
             assert await harness.result() is AttemptResult.OK
             call.writer.write(unsolicited)
             await until(lambda: not harness.pool.connections)
@@ -188,7 +188,7 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.calls.get()
+            call = await backend.requests.get()
             twice = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n"
             call.writer.write(twice + b"a" + twice + b"b")
             _, response = await harness.results.get()
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -27,16 +27,16 @@
                 connection="x-hop",
                 x_hop="dropped",
             )
-            received = await p.backends[0].calls.get()
-            assert received.line == "POST /purchase/7?x=1 HTTP/1.1"
+            received = await p.backends[0].requests.get()
+            assert received.request_line == "POST /purchase/7?x=1 HTTP/1.1"
             assert received.body == b"\x00body"
             assert (received.headers["x-call-id"], received.headers["idempotency-key"]) == ("c1", "k1")
             assert 0 < int(received.headers["x-budget-ms"]) <= 20000
             assert received.headers["x-caller"] == "acme"
             # A header that no backend needs could only make it reject the request.
             assert "x-other" not in received.headers and "x-hop" not in received.headers
-            received.reply(b"\x01answer", headers={"content-type": "app/x", "x-load-report": "?"})
-            reply = await client.reply()
+            received.respond(b"\x01answer", headers={"content-type": "app/x", "x-load-report": "?"})
+            reply = await client.read_response()
             assert (reply.status, reply.body, reply.headers["content-type"]) == (200, b"\x01answer", "app/x")
             assert "x-load-report" not in reply.headers
 
@@ -48,10 +48,10 @@
         async with proxy() as p:
             client = await p.client()
             client.send("/lookup", "GET")
-            received = await p.backends[0].calls.get()
-            assert (received.line, received.body) == ("GET /lookup HTTP/1.1", b"")
-            received.reply()
-            assert (await client.reply()).status == 200
+            received = await p.backends[0].requests.get()
+            assert (received.request_line, received.body) == ("GET /lookup HTTP/1.1", b"")
+            received.respond()
+            assert (await client.read_response()).status == 200
 
     run(test())
 
@@ -86,9 +86,9 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            assert (await client.ask(path, method, **headers)).status == status
-            assert (await client.ask("/health/ready", "GET")).status == 200
-            assert p.backends[0].connections == 0
+            assert (await client.exchange(path, method, **headers)).status == status
+            assert (await client.exchange("/health/ready", "GET")).status == 200
+            assert p.backends[0].connection_count == 0
 
     run(test())
 
@@ -140,11 +140,11 @@
         async with proxy() as p:
             client = await p.client()
             client.writer.write(sent)
-            reply = await client.reply()
+            reply = await client.read_response()
             assert (reply.status, reply.headers["connection"]) == (status, "close")
-            assert await client.ended()
+            assert await client.wait_closed()
             other = await p.client()
-            assert (await other.ask("/health/ready", "GET")).status == 200
+            assert (await other.exchange("/health/ready", "GET")).status == 200
 
     run(test())
 
@@ -157,10 +157,10 @@
                 b"POST /answer HTTP/1.1\r\nhost: a\r\nx-call-id: c\r\nx-budget-ms: 20000\r\n"
                 b"transfer-encoding: chunked\r\n\r\n10000\r\n" + b"z" * 65536 + b"\r\n0\r\n\r\n"
             )
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             assert received.body == b"z" * 65536 and "transfer-encoding" not in received.headers
-            received.reply(b"r" * 65536)
-            assert (await client.reply()).body == b"r" * 65536
+            received.respond(b"r" * 65536)
+            assert (await client.read_response()).body == b"r" * 65536
 
     run(test())
 
@@ -170,10 +170,10 @@
         async with proxy() as p:
             first, second = await p.client(), await p.client()
             first.send()
-            received = await p.backends[0].calls.get()
-            assert (await second.ask()).status == 400
-            received.reply(b"first")
-            assert (await first.reply()).body == b"first"
+            received = await p.backends[0].requests.get()
+            assert (await second.exchange()).status == 400
+            received.respond(b"first")
+            assert (await first.read_response()).body == b"first"
 
     run(test())
 
@@ -185,10 +185,10 @@
             for number in range(20):
                 client.send(x_call_id=f"c{number}")
             for number in range(20):
-                received = await p.backends[0].calls.get()
+                received = await p.backends[0].requests.get()
                 assert received.headers["x-call-id"] == f"c{number}"
-                received.reply(b"%d" % number)
-                assert (await client.reply()).body == b"%d" % number
+                received.respond(b"%d" % number)
+                assert (await client.read_response()).body == b"%d" % number
 
     run(test())
 
@@ -199,14 +199,14 @@
             client = await p.client()
             client.send(x_call_id="c0")
             client.send(x_call_id="c1")
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             p.listener.begin_shutdown()
-            received.reply(b"0")
-            assert (await client.reply()).body == b"0"
-            (await p.backends[0].calls.get()).reply(b"1")
-            reply = await client.reply()
+            received.respond(b"0")
+            assert (await client.read_response()).body == b"0"
+            (await p.backends[0].requests.get()).respond(b"1")
+            reply = await client.read_response()
             assert (reply.body, reply.headers["connection"]) == (b"1", "close")
-            assert await client.ended()
+            assert await client.wait_closed()
 
     run(test())
 
@@ -217,12 +217,12 @@
             client = await p.client()
             client.send(x_call_id="c0")
             client.send(x_call_id="c1", x_budget_ms="200")
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             await asyncio.sleep(0.25)  # longer than the budget of the second
-            received.reply()
-            assert (await client.reply()).status == 200
-            assert (await client.reply()).status == 504
-            assert p.backends[0].calls.empty()
+            received.respond()
+            assert (await client.read_response()).status == 200
+            assert (await client.read_response()).status == 504
+            assert p.backends[0].requests.empty()
 
     run(test())
 
@@ -232,7 +232,7 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             client.close()
             await received.closed.wait()
             await until(lambda: not p.engine.requests.open)
@@ -245,10 +245,10 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             received.writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf of it")
             received.writer.close()
-            reply = await client.reply()
+            reply = await client.read_response()
             assert (reply.status, reply.body) == (504, b"")
 
     run(test())
@@ -259,8 +259,8 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            (await p.backends[0].calls.get()).reply(b"x" * 65537)
-            assert (await client.reply()).status == 504
+            (await p.backends[0].requests.get()).respond(b"x" * 65537)
+            assert (await client.read_response()).status == 504
 
     run(test())
 
@@ -290,13 +290,13 @@
             p.listener.slots.limit = 2
             busy, idle = await p.client(), await p.client()
             busy.send()
-            received = await p.backends[0].calls.get()
-            assert (await idle.ask("/health/ready", "GET")).status == 200
+            received = await p.backends[0].requests.get()
+            assert (await idle.exchange("/health/ready", "GET")).status == 200
             third = await p.client()
-            assert (await third.ask("/health/ready", "GET")).status == 200
-            assert await idle.ended()
-            received.reply()
-            assert (await busy.reply()).status == 200
+            assert (await third.exchange("/health/ready", "GET")).status == 200
+            assert await idle.wait_closed()
+            received.respond()
+            assert (await busy.read_response()).status == 200
 
     run(test())
 
@@ -309,7 +309,7 @@
     async def test() -> None:
         async with proxy() as p:
             idle = await p.client()
-            assert (await idle.ask("/health/ready", "GET")).status == 200
+            assert (await idle.exchange("/health/ready", "GET")).status == 200
             assert p.listener.sock is not None
             sock: socket.socket = p.listener.sock
 
@@ -325,8 +325,8 @@
             monkeypatch.setattr(p.listener, "sock", Lacking())
             new = await p.client()
             new.send("/health/ready", "GET")
-            assert await idle.ended()
-            assert (await new.reply()).status == 200
+            assert await idle.wait_closed()
+            assert (await new.read_response()).status == 200
 
     run(test())
 
@@ -350,7 +350,7 @@
                 assert p.listener.slots.used == 3
                 await asyncio.sleep(0.001)
             p.engine.requests.max_deadline_ms = -1000.0  # so that their responses count as lost
-            assert (await last.reply()).status == 200
+            assert (await last.read_response()).status == 200
             assert p.listener.slots.used <= 3
 
     run(test())
@@ -362,13 +362,13 @@
             p.listener.slots.limit = 1
             busy = await p.client()
             busy.send()
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             waiting = await p.client()
             waiting.send("/health/ready", "GET")
             await until(lambda: not p.listener.is_accepting)
-            received.reply()
-            assert (await busy.reply()).status == 200
-            assert (await waiting.reply()).status == 200
+            received.respond()
+            assert (await busy.read_response()).status == 200
+            assert (await waiting.read_response()).status == 200
 
     run(test())
 
@@ -381,14 +381,14 @@
         async with proxy() as p:
             silent, half, kept = await p.client(), await p.client(), await p.client()
             half.writer.write(b"POST /answer HTTP/1.1\r\nhost")
-            assert (await kept.ask("/health/ready", "GET")).status == 200
+            assert (await kept.exchange("/health/ready", "GET")).status == 200
             kept.writer.write(b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 10\r\n\r\nhalf")
             for client in (half, kept):
-                reply = await client.reply()
+                reply = await client.read_response()
                 assert (reply.status, reply.headers["connection"]) == (408, "close")
-                assert await client.ended()
-            assert await silent.ended()
-            assert p.backends[0].connections == 0
+                assert await client.wait_closed()
+            assert await silent.wait_closed()
+            assert p.backends[0].connection_count == 0
 
     run(test())
 
@@ -416,12 +416,12 @@
         async with proxy() as p:
             p.listener.slots.limit = 2
             used, silent = await p.client(), await p.client()
-            assert (await used.ask("/health/ready", "GET")).status == 200
+            assert (await used.exchange("/health/ready", "GET")).status == 200
             await until(lambda: len(p.listener.slots.awaiting_request) == 1)
             third = await p.client()
-            assert (await third.ask("/health/ready", "GET")).status == 200
-            assert await silent.ended()
-            assert (await used.ask("/health/ready", "GET")).status == 200
+            assert (await third.exchange("/health/ready", "GET")).status == 200
+            assert await silent.wait_closed()
+            assert (await used.exchange("/health/ready", "GET")).status == 200
 
     run(test())
 
@@ -434,8 +434,8 @@
             p.listener.slots.limit = 3
             first, second = await p.client(), await p.client()
             for client in (first, second):
-                assert (await client.ask("/health/ready", "GET")).status == 200
-            assert await first.ended()
+                assert (await client.exchange("/health/ready", "GET")).status == 200
+            assert await first.wait_closed()
 
     run(test())
 
@@ -446,10 +446,10 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            (await p.backends[0].calls.get()).reply()
-            assert (await client.reply()).status == 200
-            assert (await client.ask()).status == 400
-            assert p.backends[0].calls.empty()
+            (await p.backends[0].requests.get()).respond()
+            assert (await client.read_response()).status == 200
+            assert (await client.exchange()).status == 400
+            assert p.backends[0].requests.empty()
 
     run(test())
 
@@ -462,8 +462,8 @@
             client = await p.client()
             for number in range(9):
                 client.send(x_call_id=f"c{number}")
-                (await p.backends[0].calls.get()).reply()
-                assert (await client.reply()).status == 200
+                (await p.backends[0].requests.get()).respond()
+                assert (await client.read_response()).status == 200
             assert len(p.engine.requests.recent_ids) == 3
 
     run(test())
@@ -476,10 +476,10 @@
             for _ in range(500):
                 client.send("/unknown")
             statuses = [
-                (await client.reply()).status for _ in range(connection_module.MAX_CONSECUTIVE_ERRORS)
+                (await client.read_response()).status for _ in range(connection_module.MAX_CONSECUTIVE_ERRORS)
             ]
             assert set(statuses) == {404}
-            assert await client.ended()
+            assert await client.wait_closed()
 
     run(test())
 
@@ -492,10 +492,10 @@
                 b"POST /answer HTTP/1.1\r\nhost: a\r\nx-call-id: c\r\nx-budget-ms: 20000\r\n"
                 b"transfer-encoding: chunked\r\n\r\n0\r\nx-call-id: other\r\nx-again: 1\r\n\r\n"
             )
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             assert received.headers["x-call-id"] == "c" and "x-again" not in received.headers
-            received.reply()
-            assert (await client.reply()).status == 200
+            received.respond()
+            assert (await client.read_response()).status == 200
 
     run(test())
 
@@ -509,7 +509,7 @@
         async with proxy() as p:
             client = await p.client()
             client.writer.write(b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 60000000\r\n\r\n")
-            assert (await client.reply()).status == 413
+            assert (await client.read_response()).status == 413
             client.writer.write(b"x" * 60_000_000)
             await until(lambda: not p.listener.slots.connections)
 
@@ -521,20 +521,20 @@
         async with proxy() as p:
             busy, idle = await p.client(), await p.client()
             busy.send()
-            assert (await idle.ask("/health/ready", "GET")).status == 200
-            received = await p.backends[0].calls.get()
+            assert (await idle.exchange("/health/ready", "GET")).status == 200
+            received = await p.backends[0].requests.get()
             p.listener.begin_shutdown()
             late = await Client.open(p.listener.address)
-            reply = await late.ask("/health/ready", "GET")
+            reply = await late.exchange("/health/ready", "GET")
             assert (reply.status, reply.headers["connection"]) == (503, "close")
             late.close()
             ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
-            assert await idle.ended()
+            assert await idle.wait_closed()
             assert not ended.done()
-            received.reply(b"last")
-            reply = await busy.reply()
+            received.respond(b"last")
+            reply = await busy.read_response()
             assert (reply.status, reply.body, reply.headers["connection"]) == (200, b"last", "close")
-            assert await busy.ended()
+            assert await busy.wait_closed()
             busy.close()
             await ended
             with pytest.raises(ConnectionRefusedError):
@@ -550,17 +550,17 @@
         async with proxy() as p:
             first = await p.client()
             p.listener.begin_shutdown()
-            await first.ask("/health/ready", "GET")
+            await first.exchange("/health/ready", "GET")
             first.close()
             await until(lambda: not p.listener.slots.used)
             last = await p.client()
             last.send()
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
             await asyncio.sleep(0)
             assert not ended.done()
-            received.reply(b"last")
-            assert (await last.reply()).body == b"last"
+            received.respond(b"last")
+            assert (await last.read_response()).body == b"last"
             last.close()
             await ended
 
@@ -588,7 +588,7 @@
             waiting = [in_the_kernel(p, number) for number in range(40)]
             ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
             for _ in waiting:
-                (await p.backends[0].calls.get()).reply(b"served")
+                (await p.backends[0].requests.get()).respond(b"served")
             for sock in waiting:
                 assert (await loop.sock_recv(sock, 1000)).startswith(b"HTTP/1.1 200 ")
                 sock.close()
@@ -606,14 +606,14 @@
             client, half = await p.client(), await p.client()
             client.send(x_call_id="c1")
             client.send(x_call_id="c2")
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             half.writer.write(request(x_call_id="c3")[:-10])
             await until(
                 lambda: any(connection.reader.is_mid_request for connection in p.listener.slots.connections)
             )
             p.listener.begin_shutdown()
             ended = asyncio.create_task(p.listener.finish_shutdown(0.0))
-            first, second = await client.reply(), await client.reply()
+            first, second = await client.read_response(), await client.read_response()
             assert [first.status, second.status] == [504, 504]
             assert "connection" not in first.headers and second.headers["connection"] == "close"
             client.close()
@@ -639,9 +639,9 @@
             await until(lambda: p.listener.sock is None)
             if young:
                 client.send()
-                (await p.backends[0].calls.get()).reply()
-                assert (await client.reply()).status == 200
-            assert await client.ended()
+                (await p.backends[0].requests.get()).respond()
+                assert (await client.read_response()).status == 200
+            assert await client.wait_closed()
             client.close()
             await ended
 
@@ -653,15 +653,15 @@
         async with proxy() as p:
             client = await p.client()
             client.send(x_call_id="c1")
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             p.listener.begin_shutdown()
             (connection,) = p.listener.slots.connections
             await send_unread(client, connection, x_call_id="c2")
-            received.reply(b"first")
-            reply = await client.reply()
+            received.respond(b"first")
+            reply = await client.read_response()
             assert reply.body == b"first" and "connection" not in reply.headers
-            (await p.backends[0].calls.get()).reply(b"second")
-            reply = await client.reply()
+            (await p.backends[0].requests.get()).respond(b"second")
+            reply = await client.read_response()
             assert (reply.body, reply.headers["connection"]) == (b"second", "close")
             client.close()
 
@@ -677,11 +677,14 @@
         async with proxy(settings={"Lanes": lanes, "Projects": tenants}) as p:
             client = await p.client()
             client.send(path, "GET", x_caller="R\u00eda & Co")
-            received = await p.backends[0].calls.get()
-            assert received.line == f"GET {path} HTTP/1.1" and received.headers["x-caller"] == "R\u00eda & Co"
-            received.reply()
-            assert (await client.reply()).status == 200
-            assert (await client.ask(path, "GET", x_call_id="c2", x_caller="R\u00edo")).status == 400
+            received = await p.backends[0].requests.get()
+            assert (
+                received.request_line == f"GET {path} HTTP/1.1"
+                and received.headers["x-caller"] == "R\u00eda & Co"
+            )
+            received.respond()
+            assert (await client.read_response()).status == 200
+            assert (await client.exchange(path, "GET", x_call_id="c2", x_caller="R\u00edo")).status == 400
 
     run(test())
 
@@ -700,8 +703,8 @@
             else:
                 p.listener.close_between_requests()
             connection.transport.resume_reading()
-            (await p.backends[0].calls.get()).reply()
-            assert (await client.reply()).status == 200
+            (await p.backends[0].requests.get()).respond()
+            assert (await client.read_response()).status == 200
             client.close()
 
     run(test())
@@ -711,15 +714,15 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            assert (await client.ask("/health/ready", "GET")).status == 200
+            assert (await client.exchange("/health/ready", "GET")).status == 200
             (connection,) = p.listener.slots.connections
             p.listener.slots.idle[connection] -= 100_000.0
             assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is connection
             await send_unread(client, connection)
             assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is None
             connection.transport.resume_reading()
-            (await p.backends[0].calls.get()).reply()
-            assert (await client.reply()).status == 200
+            (await p.backends[0].requests.get()).respond()
+            assert (await client.read_response()).status == 200
             client.close()
 
     run(test())
@@ -734,14 +737,14 @@
         async with proxy() as p:
             first, second = await p.client(), await p.client()
             first.send(x_call_id="c1")
-            received = await p.backends[0].calls.get()
+            received = await p.backends[0].requests.get()
             for number in range(3):
                 second.send(x_call_id=f"other{number}")
-                (await p.backends[0].calls.get()).reply()
-                assert (await second.reply()).status == 200
+                (await p.backends[0].requests.get()).respond()
+                assert (await second.read_response()).status == 200
             assert "c1" not in p.engine.requests.recent_ids
-            assert (await second.ask(x_call_id="c1")).status == 400
-            received.reply(b"its own")
-            assert (await first.reply()).body == b"its own"
+            assert (await second.exchange(x_call_id="c1")).status == 400
+            received.respond(b"its own")
+            assert (await first.read_response()).body == b"its own"
 
     run(test())
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -121,18 +121,18 @@
         async with proxy() as p:
             own = target("s0", p.backends[0].address)
             client = await p.client()
-            (await p.registry.calls.get()).reply(json.dumps(listing(2, own, *entries(3000))).encode())
+            (await p.registry.requests.get()).respond(json.dumps(listing(2, own, *entries(3000))).encode())
             served = 0
             while p.engine.balancer.backends.listed_count != 3001:
-                assert (await client.ask("/health/ready", "GET")).status == 200
+                assert (await client.exchange("/health/ready", "GET")).status == 200
                 served += 1
             assert served > 5
-            (await p.registry.calls.get()).reply(json.dumps(listing(3, own)).encode())
+            (await p.registry.requests.get()).respond(json.dumps(listing(3, own)).encode())
             await until_listed(p, 1)
             assert set(p.engine.backends.endpoints) == {"s0"}
             client.send()
-            (await p.backends[0].calls.get()).reply()
-            assert (await client.reply()).status == 200
+            (await p.backends[0].requests.get()).respond()
+            assert (await client.read_response()).status == 200
 
     run(test())
 
@@ -141,9 +141,9 @@
     async def test() -> None:
         async with proxy(settings={}) as p:
             p.engine.discovery.max_list_bytes = 2**25  # type: ignore[union-attr]
-            call = await p.registry.calls.get()
+            call = await p.registry.requests.get()
             body = json.dumps(listing(2, *entries(2)) | {"pad": "x" * 5 * 2**20}).encode()
-            call.reply(body)
+            call.respond(body)
             await until_listed(p, 2)
 
     run(test())
@@ -241,8 +241,8 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            (await p.backends[0].calls.get()).reply()
-            assert (await client.reply()).status == 200
+            (await p.backends[0].requests.get()).respond()
+            assert (await client.read_response()).status == 200
             p.engine.backends._close_expired()
             assert set(p.engine.backends.backend_pools) == {"s0"}  # its connection is kept
             p.engine.backends.backend_pools["s0"].close_idle()
--- a/tests/proxy/test_system_call_faults.py
+++ b/tests/proxy/test_system_call_faults.py
@@ -76,19 +76,21 @@
             os.set_blocking(writes, True)
         async with program(tmp_path, config, stderr=writes) as process:
             os.close(writes)
-            call = asyncio.ensure_future(registry.calls.get())
+            call = asyncio.ensure_future(registry.requests.get())
             ended = asyncio.ensure_future(process.wait())
             await asyncio.wait((call, ended), return_when=asyncio.FIRST_COMPLETED)
             assert process.returncode is None
             if log == "closed later":
                 os.close(reads)
-            (await call).reply(status=503)  # a failed call is logged, and made again
-            (await registry.calls.get()).reply(json.dumps(listing(2, target("t", later.address))).encode())
-            await registry.calls.get()
+            (await call).respond(status=503)  # a failed call is logged, and made again
+            (await registry.requests.get()).respond(
+                json.dumps(listing(2, target("t", later.address))).encode()
+            )
+            await registry.requests.get()
             client = await connected(config["listen"])
             client.send()
-            (await later.calls.get()).reply(b"served")
-            assert (await client.reply()).body == b"served"
+            (await later.requests.get()).respond(b"served")
+            assert (await client.read_response()).body == b"served"
             client.close()
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
@@ -156,8 +158,8 @@
             assert process.returncode is None
             client = await opened
             client.send()
-            (await backend.calls.get()).reply(b"served")
-            assert (await client.reply()).body == b"served"
+            (await backend.requests.get()).respond(b"served")
+            assert (await client.read_response()).body == b"served"
             client.close()
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
@@ -174,14 +176,16 @@
             tmp_path, config, *failing_at_first("open", errno.ENFILE, 2, 3), stderr=asyncio.subprocess.PIPE
         ) as process:
             assert process.stderr is not None
-            await first.calls.get()
+            await first.requests.get()
             write_configuration(tmp_path, configuration(second.address, target("s", "127.0.0.1:1")))
             process.send_signal(signal.SIGHUP)
-            asked = asyncio.ensure_future(second.calls.get())
+            asked = asyncio.ensure_future(second.requests.get())
             refused = asyncio.ensure_future(process.stderr.readuntil(b"going on as before\n"))
             await asyncio.wait((asked, refused), return_when=asyncio.FIRST_COMPLETED)
             await refused
-            assert (await asyncio.wait_for(asked, RELOAD_S)).line.startswith("GET /registry/instances")
+            assert (await asyncio.wait_for(asked, RELOAD_S)).request_line.startswith(
+                "GET /registry/instances"
+            )
         first.close()
         second.close()
 
--- a/tests/proxy/test_telemetry.py
+++ b/tests/proxy/test_telemetry.py
@@ -119,9 +119,9 @@
         async with proxy() as p:
             client = await p.client()
             client.send("/answer", x_budget_ms="1000")
-            (await p.backends[0].calls.get()).reply(status=500)
-            assert (await client.reply()).status == 504
-            assert p.backends[0].calls.empty()
+            (await p.backends[0].requests.get()).respond(status=500)
+            assert (await client.read_response()).status == 504
+            assert p.backends[0].requests.empty()
             assert p.engine.telemetry.counts[f"violation.{kind.value}"] == 1
 
     run(test())
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -178,11 +178,11 @@
         clients = []
         for _ in range(200):
             clients.append(await Client.open(address))
-            assert (await clients[-1].ask("/health/ready", "GET")).status == 200
+            assert (await clients[-1].exchange("/health/ready", "GET")).status == 200
         together = await asyncio.gather(*(Client.open(address) for _ in range(60)))
         for client in together:
             client.send("/health/ready", "GET")
-        statuses = [(await client.reply()).status for client in together]
+        statuses = [(await client.read_response()).status for client in together]
         assert statuses == [200] * 60
         program.send_signal(signal.SIGTERM)
         assert "Too many open files" not in (await program.stderr.read()).decode()
@@ -227,16 +227,16 @@
         if not silent:
             await registry.open(down)
         body = json.dumps(listing(2, target("t", other.address))).encode()
-        while "?since=2&" not in (call := await registry.calls.get()).line:
-            call.reply(body)
+        while "?since=2&" not in (call := await registry.requests.get()).request_line:
+            call.respond(body)
         for call in calls:
-            call.reply(b"held")
+            call.respond(b"held")
         for client in busy[:to_backends]:
-            assert (await client.reply()).body == b"held"
+            assert (await client.read_response()).body == b"held"
         new = await Client.open(address)
         new.send(x_call_id="new")
-        (await other.calls.get()).reply(b"new")
-        assert (await new.reply()).body == b"new"
+        (await other.requests.get()).respond(b"new")
+        assert (await new.read_response()).body == b"new"
         await ends_cleanly(program)
         for client in [*busy, *idle, new]:
             client.close()
@@ -270,7 +270,7 @@
         clients.append(await Client.open(address))
         clients[-1].send("/lookup", "GET", x_call_id=f"c{number}")
         if number < to_backends:  # what is more waits for its turn
-            calls.append(await backend.calls.get())
+            calls.append(await backend.requests.get())
     return clients, calls
 
 
@@ -280,7 +280,7 @@
     for client in clients:
         client.send("/health/ready", "GET")
     for client in clients:  # one in the place of another
-        assert (await client.reply()).status == 200
+        assert (await client.read_response()).status == 200
     return clients
 
 
@@ -316,10 +316,10 @@
             while " listens on " not in (line := (await program.stderr.readline()).decode()):
                 assert line
             client = await Client.open(line.split()[-1])
-            assert (await client.ask("/health/ready", "GET")).status == 200
+            assert (await client.exchange("/health/ready", "GET")).status == 200
             client.send()
-            (await backend.calls.get()).reply(b"from the saved list")
-            assert (await client.reply()).body == b"from the saved list"
+            (await backend.requests.get()).respond(b"from the saved list")
+            assert (await client.read_response()).body == b"from the saved list"
             client.close()
             program.send_signal(signal.SIGTERM)
             assert "bug" not in (await program.stderr.read()).decode()
@@ -363,15 +363,15 @@
         address = line.split()[-1]
         client = await Client.open(address)
         client.send()
-        call = await backend.calls.get()
+        call = await backend.requests.get()
         program.send_signal(signal.SIGTERM)
         while "stopping" not in (await program.stderr.readline()).decode():
             pass
         late = await Client.open(address)  # connections still come for a moment, and are served
-        ready = await late.ask("/health/ready", "GET")
+        ready = await late.exchange("/health/ready", "GET")
         assert (ready.status, ready.headers["connection"]) == (503, "close")
-        call.reply(b"taken before")
-        reply = await client.reply()
+        call.respond(b"taken before")
+        reply = await client.read_response()
         assert (reply.status, reply.body) == (200, b"taken before")
         client.close()
         late.close()
@@ -395,34 +395,34 @@
         program = await asyncio.create_subprocess_exec(*COMMAND, env=env, stderr=asyncio.subprocess.PIPE)
         assert program.stderr is not None
         address = (await program.stderr.readline()).decode().split()[-1]
-        watch = await first.calls.get()
-        assert "?since=1&" in watch.line
+        watch = await first.requests.get()
+        assert "?since=1&" in watch.request_line
         write_configuration(tmp_path, configuration(second.address, known))
         program.send_signal(signal.SIGHUP)
-        call = await second.calls.get()
-        assert call.line == "GET /registry/instances HTTP/1.1"
+        call = await second.requests.get()
+        assert call.request_line == "GET /registry/instances HTTP/1.1"
         await watch.closed.wait()
         program.send_signal(signal.SIGHUP)  # the same once more: the call goes on
-        call.reply(status=503)
-        call = await second.calls.get()
-        assert call.line == "GET /registry/instances HTTP/1.1"
-        call.reply(json.dumps(listing(7, target("t", new.address))).encode())
-        assert "?since=7&" in (await second.calls.get()).line
+        call.respond(status=503)
+        call = await second.requests.get()
+        assert call.request_line == "GET /registry/instances HTTP/1.1"
+        call.respond(json.dumps(listing(7, target("t", new.address))).encode())
+        assert "?since=7&" in (await second.requests.get()).request_line
         client = await Client.open(address)
         client.send()
-        (await new.calls.get()).reply(b"by the new one")
-        assert (await client.reply()).body == b"by the new one"
+        (await new.requests.get()).respond(b"by the new one")
+        assert (await client.read_response()).body == b"by the new one"
         write_configuration(tmp_path, "{")
         program.send_signal(signal.SIGHUP)
         while "reload: " not in (line := (await program.stderr.readline()).decode()):
             assert "going on" not in line and "bug" not in line
-        assert (await client.ask("/health/ready", "GET")).status == 200
+        assert (await client.exchange("/health/ready", "GET")).status == 200
         program.send_signal(signal.SIGTERM)
         while "stopping" not in (await program.stderr.readline()).decode():
             pass
         write_configuration(tmp_path, configuration(first.address, known))
         program.send_signal(signal.SIGHUP)
-        assert (await first.calls.get()).line == "GET /registry/instances HTTP/1.1"
+        assert (await first.requests.get()).request_line == "GET /registry/instances HTTP/1.1"
         client.close()
         assert "bug" not in (await program.stderr.read()).decode()
         assert await program.wait() == 0
