--- a/dunecove/policy/actions.py
+++ b/dunecove/policy/actions.py
@@ -45,14 +45,14 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Give up an open attempt."""
+    """Abandon an open attempt."""
 
     request_id: str
     attempt_index: int
 
 
 class SendHealthCheck(NamedTuple):
-    """Check a backend's health."""
+    """Check a backend's health. Part of the wire; not used by the decisions so far."""
 
     backend_id: str
 
@@ -75,7 +75,10 @@
 
 
 class BackendEjected(NamedTuple):
-    """To be logged: a backend gets no requests for a while."""
+    """To be logged: this proxy's own failure count ejected a backend.
+
+    Ejections by gossip reports are not logged.
+    """
 
     backend_id: str
     consecutive_failures: int
--- a/dunecove/policy/backend.py
+++ b/dunecove/policy/backend.py
@@ -65,7 +65,7 @@
         self._forget_outcomes()
 
     def update(self, info: BackendInfo) -> None:
-        """Take over what the endpoint list says, but for the start: see `forget`."""
+        """Apply what the endpoint list says, except `started_at`: `BackendSet` sets that after `forget`."""
         self.state = info.state
         self.zone = info.zone
         self.kind = info.kind
@@ -117,7 +117,7 @@
             self.slow_start_tokens -= 1
 
     def end_attempt(self) -> None:
-        """Count an attempt that has ended, also one given up: its work stops as its connection closes."""
+        """Count an attempt that has ended, also an abandoned one: its work stops as its connection closes."""
         self.in_flight -= 1
 
     def record_response(self, now: float) -> None:
--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -73,10 +73,12 @@
         self._queue_of_class = [queue_by_objective[c.latency_objective_ms] for c in settings.classes]
         self.latencies = LatencyTracker(len(settings.classes), sparse)
         self.in_flight = InFlightLimit(settings.proxy_count, self.queues[0].objective_ms, self.latencies)
-        self._starts = SlowStart(settings.slow_start_ms)
-        self._slow_start = SlowStartBudget(settings, rng, self._starts)
-        self.backends = BackendSet(settings, self.queues, self.in_flight, self._slow_start)
-        self._list_updates = ListUpdates(self.backends, self._starts, self._slow_start, self.in_flight)
+        self._slow_start = SlowStart(settings.slow_start_ms)
+        self._slow_start_budget = SlowStartBudget(settings, rng, self._slow_start)
+        self.backends = BackendSet(settings, self.queues, self.in_flight, self._slow_start_budget)
+        self._list_updates = ListUpdates(
+            self.backends, self._slow_start, self._slow_start_budget, self.in_flight
+        )
         self.bandit = Bandit(settings, rng, self.latencies)
         self._outliers = OutlierDetector(settings, rng, self.backends)
         self._feedback = Feedback(
@@ -114,7 +116,7 @@
     def _start(self, now: float) -> None:
         self._is_started = True
         self._slow_tick_at = now
-        self._slow_start.start(now)
+        self._slow_start_budget.start(now)
         self.in_flight.start(now)
         self.admission.quotas.start(now)
         self._actions.append(SetTimer(TICK_MS, 0))
@@ -251,7 +253,7 @@
         self._actions.append(SetTimer(TICK_MS, 0))
         self._expire(now)
         cold = self.backends.cold_subset
-        self._slow_start.refill(now, cold, self.backends.proxies_per_backend() if cold else 1.0)
+        self._slow_start_budget.refill(now, cold, self.backends.proxies_per_backend() if cold else 1.0)
         if self.polling.take_due(now):
             self._actions.append(PollDiscovery())
         if now - self._slow_tick_at >= SLOW_TICK_MS:
@@ -262,8 +264,8 @@
         self._slow_tick_at = now
         self.client_retries.decay()
         self.admission.quotas.update_traffic_share(seconds)
-        self.backends.shrink_reserve()
-        self._starts.prune(now)
+        self.backends.shrink_subscriptions()
+        self._slow_start.prune(now)
         self.backends.choose_subset(now)
         self.bandit.decay(self.backends.active, self.backends.subset)
-        self._slow_start.observe(now, seconds, self.backends.active, self.backends.subset)
+        self._slow_start_budget.observe(now, seconds, self.backends.active, self.backends.subset)
--- a/dunecove/policy/client_retries.py
+++ b/dunecove/policy/client_retries.py
@@ -22,7 +22,8 @@
     def waited_ms(self, now: float, event: RequestArrived, objective_ms: float) -> float:
         """Return how long the client of an arrival has waited before, over its earlier tries.
 
-        A client's deadline holds for all its tries: one that has less time left than others had is a retry.
+        A deadline is the time at which the client stops waiting, for this try and all others: a try that has
+        less time left than others had is a retry.
         """
         left_ms = event.deadline - now
         longest_ms = max(self._longest_wait[event.class_index], left_ms)
--- a/dunecove/policy/discovery_polling.py
+++ b/dunecove/policy/discovery_polling.py
@@ -11,8 +11,8 @@
 FIRST_POLL_MAX_PART = 0.7  # part of the longest poll interval within which all proxies have polled first
 FIRST_POLL_MAX_MS = 2500.0
 RETRY_TURN_MS = 10.0  # of each proxy, after a failed poll
-RETRY_MIN_MS = 250.0  # doubled at each failure
-RETRY_MAX_DOUBLINGS = 6
+FIRST_RETRY_MS = 500.0  # after the first failure, doubled at each further one
+MAX_COUNTED_FAILURES = 6  # after which the wait is no longer doubled
 RETRY_SOON = 2  # the first so many failures, after which it may always wait for RETRY_SOON_MS
 RETRY_SOON_MS = 750.0
 # Between the starts of two polls. An update counts as notified after 6 s; a poll may hang for 2 s, and before
@@ -68,7 +68,7 @@
 
     def on_failure(self, now: float) -> None:
         """A poll or a watch has failed."""
-        self._failures = min(self._failures + 1, RETRY_MAX_DOUBLINGS)
+        self._failures = min(self._failures + 1, MAX_COUNTED_FAILURES)
         if now < self._moved_at + MOVED_MS or not self._settings.polls_discovery:
             wait_ms = RETRY_MOVED_MS
         else:
@@ -79,7 +79,7 @@
         turns_ms = RETRY_TURN_MS * self._settings.proxy_count  # hundreds at once would keep discovery down
         gap_left_ms = 0.0 if self._failures <= RETRY_SOON else MAX_POLL_GAP_MS - (now - self._polled_at)
         return min(
-            max(RETRY_MIN_MS * (1 << self._failures), turns_ms),
+            max(FIRST_RETRY_MS * (1 << (self._failures - 1)), turns_ms),
             max(RETRY_SOON_MS, gap_left_ms),
             self._settings.max_poll_interval_ms / 2,
         )
--- a/dunecove/policy/events.py
+++ b/dunecove/policy/events.py
@@ -15,7 +15,7 @@
     class_index: int  # in `Settings.classes`
     tenant: int  # index in `Settings.tenant_quotas`
     affinity_key: int | None
-    deadline: float  # time at which the client stops waiting for this try
+    deadline: float  # time at which the client stops waiting, for this try and all others
     is_retry: bool = False  # marked by the client as a retry
     work_hint_ms: float = 0.0  # the client's estimate, on a standard core; 0 where it gives none
 
@@ -31,7 +31,10 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The first part of a streamed response has come; the request can't be retried from now on."""
+    """The first part of a streamed response has come (raised by the simulator only).
+
+    It takes a waiting retry out of its queue.
+    """
 
     request_id: str
     attempt_index: int
@@ -66,7 +69,7 @@
 
 
 class HealthCheckResult(NamedTuple):
-    """A health check has ended."""
+    """A health check has ended. Part of the wire; not used by the decisions so far."""
 
     backend_id: str
     result: AttemptResult
--- a/dunecove/policy/feedback.py
+++ b/dunecove/policy/feedback.py
@@ -16,7 +16,7 @@
 from dunecove.policy.subsetting import BackendSet
 
 # This proxy stopped waiting.
-_GIVEN_UP = (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
+_ABANDONED = (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
 # The doing of this proxy or of the client: says nothing of the backend.
 _NOT_OF_BACKEND = (
     AttemptResult.CANCELLED,
@@ -53,7 +53,7 @@
         """Learn from an outcome; return what to log if the backend is ejected."""
         result = event.result
         latency_ms = max(event.latency_ms, MIN_LATENCY_MS)
-        if result in _GIVEN_UP and not self._had_fair_chance(request, latency_ms):
+        if result in _ABANDONED and not self._had_fair_chance(request, latency_ms):
             return None
         if result in _NOT_OF_BACKEND:
             return None
@@ -75,7 +75,7 @@
     def _had_fair_chance(self, request: Request, latency_ms: float) -> bool:
         """Whether an attempt given up had the time that an ordinary one takes; learns from it in any case."""
         fair_ms = self._latencies.fair_ms(request)
-        self._latencies.record_given_up(request, latency_ms)
+        self._latencies.record_abandoned(request, latency_ms)
         return latency_ms >= fair_ms
 
     def _record_response(self, now: float, request: Request, backend: Backend, latency_ms: float) -> None:
--- a/dunecove/policy/latency_tracker.py
+++ b/dunecove/policy/latency_tracker.py
@@ -22,7 +22,7 @@
         self.deviation_ms = 0.0
 
     def record(self, latency_ms: float) -> None:
-        """Learn from a response, or from an attempt given up."""
+        """Learn from a response, or from an abandoned attempt."""
         if self.mean_ms:
             deviation_ms = abs(latency_ms - self.mean_ms)
             self.deviation_ms = moved_toward(self.deviation_ms, deviation_ms, LATENCY_WEIGHT)
@@ -66,10 +66,10 @@
         self.overall_ms = smooth(self.overall_ms, latency_ms)
         return class_latency.mean_ms
 
-    def record_given_up(self, request: Request, latency_ms: float) -> None:
-        """Learn from an attempt given up, for its class alone.
+    def record_abandoned(self, request: Request, latency_ms: float) -> None:
+        """Learn from an abandoned attempt, for its class alone.
 
-        Were only responses counted, each attempt given up would make the next one look later still.
+        Were only responses counted, each abandoned attempt would make the next one look later still.
         """
         self._by_class[request.class_index].record(latency_ms)
 
--- a/dunecove/policy/list_updates.py
+++ b/dunecove/policy/list_updates.py
@@ -15,34 +15,34 @@
 
 
 class ListUpdates:
-    """Carries updates over to the backends. Times are in ms."""
+    """Applies updates to the backends. Times are in ms."""
 
     def __init__(
         self,
         backends: BackendSet,
-        starts: SlowStart,
-        slow_start: SlowStartBudget,
+        slow_start: SlowStart,
+        slow_start_budget: SlowStartBudget,
         in_flight: InFlightLimit,
     ) -> None:
         self._backends = backends
-        self._starts = starts
         self._slow_start = slow_start
+        self._slow_start_budget = slow_start_budget
         self._in_flight = in_flight
         self._has_heard_discovery = False  # since this process began
 
     def apply(self, now: float, update: BackendListUpdate) -> None:
-        """Take over an update that has not failed."""
+        """Apply an update that has not failed."""
         backends = self._backends
         is_cached = update.kind in CACHED_KINDS
-        clock_was_right = self._starts.clock_is_right
+        clock_was_right = self._slow_start.clock_is_right
         previous = backends.unsubscribed
         if update.kind not in _PARTIAL_KINDS:
-            for name in backends.clear_unlisted({entry.backend_id for entry in update.entries}):
-                self._starts.forget(name)
+            for name in backends.begin_snapshot({entry.backend_id for entry in update.entries}):
+                self._slow_start.forget(name)
         for entry in update.entries:
             self._record_start(now, entry, previous, is_cached)
             backends.apply_entry(now, entry)
-        if is_cached or not self._has_heard_discovery or self._starts.clock_is_right != clock_was_right:
+        if is_cached or not self._has_heard_discovery or self._slow_start.clock_is_right != clock_was_right:
             self._update_cold(now)
         self._has_heard_discovery = self._has_heard_discovery or not is_cached
         backends.refresh_active()
@@ -53,21 +53,21 @@
     def _update_cold(self, now: float) -> None:
         """Dates of starts are judged by one another and by the clock: what is now known may change them."""
         for backend in [b for b in self._backends.by_id.values() if b.started_at is not None]:
-            self._slow_start.update(now, backend)
+            self._slow_start_budget.update(now, backend)
 
     def _record_start(
         self, now: float, entry: BackendInfo, previous: UnsubscribedBackends, is_cached: bool
     ) -> None:
         """Record a start that this process had not heard of; `previous`: unsubscribed before the update."""
         if entry.state is BackendState.REMOVED:
-            self._starts.forget(entry.backend_id)
+            self._slow_start.forget(entry.backend_id)
             return
         known = self._backends.by_id.get(entry.backend_id) or previous.get(entry.backend_id)
         if known is not None and known.started_at == entry.started_at:
             return
         if is_cached:
-            self._starts.record_cached(now, entry.backend_id, entry.started_at)
+            self._slow_start.record_cached(now, entry.backend_id, entry.started_at)
         elif self._has_heard_discovery:
-            self._starts.record_restart(now, entry.backend_id, entry.started_at)
+            self._slow_start.record_restart(now, entry.backend_id, entry.started_at)
         else:
-            self._starts.record_first_update(now, entry.backend_id, entry.started_at)
+            self._slow_start.record_first_update(now, entry.backend_id, entry.started_at)
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -73,7 +73,7 @@
         return None
 
     def on_gossip(self, now: float, event: GossipReceived) -> None:
-        """Take over another proxy's reports; messages of another kind, as of a later release, are ignored."""
+        """Record another proxy's reports; messages of another kind, as of a later release, are ignored."""
         if not self._is_sparse or event.sender_index == self._settings.proxy_index:
             return
         if not event.payload.startswith(GOSSIP_PREFIX):
@@ -119,7 +119,7 @@
         return ejection
 
     def _report(self, now: float, backend: Backend, proxy_index: int) -> None:
-        """Take over that a backend failed a request of some proxy; eject it once enough proxies say so."""
+        """Record that a backend failed a request of some proxy; eject it once enough proxies say so."""
         recent = [r for r in backend.failure_reports if r.reported_at > now - REPORT_WINDOW_MS]
         reports = [*recent[-MAX_KEPT_REPORTS:], FailureReport(now, proxy_index)]
         backend.failure_reports = reports
--- a/dunecove/policy/overload_detector.py
+++ b/dunecove/policy/overload_detector.py
@@ -38,7 +38,7 @@
         self.last_send_at = now
 
     def set_overloaded(self, now: float, overloaded: bool) -> None:
-        """Take over the verdict that holds from now on.
+        """Record the verdict that holds from now on.
 
         One overload may be chance, and its release is short. Where the next follows at once, clients send
         more than there is capacity for: admitted as fast as before, they would bring it back again and again.
--- a/dunecove/policy/pinned_retries.py
+++ b/dunecove/policy/pinned_retries.py
@@ -8,7 +8,7 @@
 from dunecove.policy.request import Attempt, Request
 from dunecove.policy.request_rules import first_executed_attempt, in_dedup_scope
 from dunecove.policy.subsetting import BackendSet
-from dunecove.policy.unsubscribed_backends import MAX_SCOPE_MEMBERS
+from dunecove.policy.unsubscribed_backends import ENOUGH_SCOPE_MEMBERS
 
 
 class PinnedRetries:
@@ -49,7 +49,7 @@
         scope = request.request_class.dedup_scope
         members = [backend for backend in self._backends.active if in_dedup_scope(scope, backend, executed)]
         unsubscribed = self._backends.unsubscribed
-        if not unsubscribed.count or len(members) >= MAX_SCOPE_MEMBERS:
+        if not unsubscribed.count or len(members) >= ENOUGH_SCOPE_MEMBERS:
             return members
         self._backends.subscribe(now, unsubscribed.scope_members(scope, executed))
         return [backend for backend in self._backends.active if in_dedup_scope(scope, backend, executed)]
--- a/dunecove/policy/request.py
+++ b/dunecove/policy/request.py
@@ -26,7 +26,7 @@
         self.cell = backend.cell
 
     def end(self, result: AttemptResult) -> None:
-        """Take over that it has ended so."""
+        """Record that it has ended with this result."""
         self.is_open = False
         self.may_have_executed = result not in NEVER_EXECUTED
 
--- a/dunecove/policy/request_rules.py
+++ b/dunecove/policy/request_rules.py
@@ -1,8 +1,11 @@
-"""The one place that says whether something may be sent, retried, rejected or closed now.
+"""The rules on attempts, retries, rejections and closes that depend on a request and its class.
 
-It has no sockets and no clock: the caller brings the time, in milliseconds. The balancer asks before it
-decides, and the network code asks again just before the first byte of an attempt is written, since the
-endpoint list, the client or the time may have moved between the two.
+Whether the client has gone, the backend was removed or a deadline has passed is checked by `RequestLifecycle`
+and `ConnectionPool`; `Denial` names these reasons too.
+
+This module has no sockets and no clock: the caller brings the time, in milliseconds. The balancer asks
+before it decides, and the network code asks again just before the first byte of an attempt is written, since
+the endpoint list, the client or the time may have moved between the two.
 """
 
 from __future__ import annotations
--- a/dunecove/policy/settings.py
+++ b/dunecove/policy/settings.py
@@ -30,7 +30,7 @@
     """What holds for all requests of one class."""
 
     latency_objective_ms: float  # a response within it earns the full priority weight
-    deadline_ms: float  # the client's whole wait over all its retries
+    deadline_ms: float  # after this long the client stops waiting, for its first try and all others
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     dedup_scope: DeduplicationScope = DeduplicationScope.ALL  # KEYED only
     dedup_window_ms: float = 0.0  # KEYED only: for how long backends remember a key
@@ -55,7 +55,7 @@
     max_poll_interval_ms: float = 10000.0  # longest time without a poll or an open watch
     may_cancel: bool = False
     may_hedge: bool = False  # a second attempt may be open beside the first
-    may_health_check: bool = False
+    may_health_check: bool = False  # not used by the decisions so far
     may_gossip: bool = False
     sends_retry_after: bool = False
     max_retry_after_ms: float = 0.0
--- a/dunecove/policy/slow_start.py
+++ b/dunecove/policy/slow_start.py
@@ -37,7 +37,7 @@
         return self._newest_heard_at + self._slow_start_ms - (self._newest_start - started_at)
 
     def record_restart(self, now: float, backend_id: str, started_at: float | None) -> None:
-        """Take over a start that is new to a process that held a list without it."""
+        """Record a start that is new to a process that held a list without it."""
         self.forget(backend_id)
         if started_at is None or self._slow_start_ms <= 0:
             return
@@ -46,7 +46,7 @@
         self._warm_at[backend_id] = (started_at if plausible else now) + self._slow_start_ms
 
     def record_first_update(self, now: float, backend_id: str, started_at: float | None) -> None:
-        """Take over a start from the first update of discovery, that the cached list did not have.
+        """Record a start from the first update of discovery, that the cached list did not have.
 
         How old the cached list was is not known.
         """
@@ -56,7 +56,7 @@
             self.record_cached(now, backend_id, started_at)
 
     def record_cached(self, now: float, backend_id: str, started_at: float | None) -> None:
-        """Take over a start from the list that this process began with."""
+        """Record a start from the list that this process began with."""
         self.forget(backend_id)
         if started_at is None or self._slow_start_ms <= 0:
             return
--- a/dunecove/policy/slow_start_budget.py
+++ b/dunecove/policy/slow_start_budget.py
@@ -18,10 +18,10 @@
 class SlowStartBudget:
     """Token buckets of cold backends, filled by what warm backends of their kind get."""
 
-    def __init__(self, settings: Settings, rng: Random, starts: SlowStart) -> None:
+    def __init__(self, settings: Settings, rng: Random, slow_start: SlowStart) -> None:
         self._settings = settings
         self._rng = rng
-        self._starts = starts
+        self._slow_start = slow_start
         self._is_sparse = is_sparse(settings)
         self._refilled_at = 0.0  # ms
         self._warm_rate: dict[int, float] = {}  # responses a second of a warm backend, by kind
@@ -32,9 +32,9 @@
         self._refilled_at = now
 
     def update(self, now: float, backend: Backend) -> None:
-        """Take over until when a backend is cold; one that has just turned cold gets a small budget."""
+        """Update until when a backend is cold; one that has just turned cold gets a small budget."""
         was_cold = backend.cold_until > now
-        backend.cold_until = self._starts.warm_at(backend.id)
+        backend.cold_until = self._slow_start.warm_at(backend.id)
         if backend.cold_until <= now or was_cold:
             return
         backend.limit = min(1.0, backend.limit)
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -20,11 +20,11 @@
 from dunecove.policy.unsubscribed_backends import Rank, UnsubscribedBackends
 
 MIN_SUBSET = 8  # of a sparse proxy: with a few requests a second it learns of no more in time
-MIN_RESERVE = 256  # backends of which state is kept; of a sparse proxy twice its subset, if that is more
-RESERVE_SLACK = 64  # more than the reserve before the last are given up: the list moves all the time
-RESERVE_KEPT = 0.9  # part of a larger reserve that is kept each second when load falls
+MIN_SUBSCRIBED = 256  # backends with state; of a sparse proxy twice its subset, if that is more
+SUBSCRIBED_SLACK = 64  # more than wanted before the last are unsubscribed: the list moves all the time
+SUBSCRIBED_KEPT = 0.9  # fraction of a larger number that is kept each second when load falls
 BACKENDS_PER_REQUEST = 2  # of few proxies: backends kept for each request here
-MAX_RESERVE_STEP = 128  # of few proxies: backends added at once
+MAX_SUBSCRIBE_STEP = 128  # of few proxies: backends added at once
 
 
 def _rank_of(backend: Backend) -> Rank:
@@ -39,16 +39,16 @@
         settings: Settings,
         queues: Sequence[RequestQueue],
         in_flight: InFlightLimit,
-        slow_start: SlowStartBudget,
+        slow_start_budget: SlowStartBudget,
     ) -> None:
         self._settings = settings
         self._is_sparse = is_sparse(settings)
         self._queues = queues
         self._in_flight = in_flight
-        self._slow_start = slow_start
+        self._slow_start_budget = slow_start_budget
         self._by_hash: dict[int, list[Backend]] = {}  # hardly ever two
         self._rank_boundary: Rank = (0, "")  # backends up to it have state
-        self._reserve = MIN_RESERVE  # of how many to keep state
+        self._max_subscribed = MIN_SUBSCRIBED  # how many to keep state of, but for the slack
         self.by_id: dict[str, Backend] = {}  # those with state
         self.active: list[Backend] = []  # of these
         self.unsubscribed = UnsubscribedBackends(settings.proxy_index)
@@ -68,8 +68,11 @@
 
     # What the endpoint list says
 
-    def clear_unlisted(self, listed: set[str]) -> list[str]:
-        """Remove all but these names; return the names of those removed that had state."""
+    def begin_snapshot(self, listed: set[str]) -> list[str]:
+        """Remove the backends with state that are not listed, and all unsubscribed ones.
+
+        The snapshot's entries add them again. Return the names of those removed that had state.
+        """
         removed = [backend for name, backend in self.by_id.items() if name not in listed]
         for backend in removed:
             self._remove(backend, BackendState.REMOVED)
@@ -77,7 +80,7 @@
         return [backend.id for backend in removed]
 
     def apply_entry(self, now: float, entry: BackendInfo) -> None:
-        """Take over an entry of the list. `refresh_active` has to follow the last one."""
+        """Apply an entry of the list. `refresh_active` has to follow the last one."""
         backend = self.by_id.get(entry.backend_id)
         if backend is not None and entry.state is BackendState.REMOVED:
             self._remove(backend, BackendState.REMOVED)
@@ -118,7 +121,7 @@
         if entry.started_at != backend.started_at:
             backend.forget()
             backend.started_at = entry.started_at
-            self._slow_start.update(now, backend)
+            self._slow_start_budget.update(now, backend)
 
     def _remove(self, backend: Backend, state: BackendState) -> None:
         del self.by_id[backend.id]
@@ -128,7 +131,7 @@
         if not alike:
             del self._by_hash[backend.name_hash]
 
-    # The subset and the reserve
+    # The subset and the subscribed backends
 
     def choose_subset(self, now: float) -> None:
         """Choose anew which backends it sends to.
@@ -138,7 +141,7 @@
         """
         if self._is_sparse:
             self.subset_size = max(MIN_SUBSET, int(2 * (self._in_flight.limit + 1)))
-        self._fill_reserve(now)
+        self._subscribe_more(now)
         self.subset = self.active
         if self._is_sparse:
             ranked = sorted(self.active, key=lambda backend: backend.rank)
@@ -147,22 +150,22 @@
             self.min_limit = max(1.0, self._in_flight.limit / max(len(self.subset), 1))
         self.cold_subset = [backend for backend in self.subset if backend.cold_until > now]
 
-    def shrink_reserve(self) -> None:
-        """Let a reserve that load has made larger shrink by a second."""
-        self._reserve = int(self._reserve * RESERVE_KEPT)
+    def shrink_subscriptions(self) -> None:
+        """Let the number of subscribed backends, raised under load, shrink by a second."""
+        self._max_subscribed = int(self._max_subscribed * SUBSCRIBED_KEPT)
 
-    def _fill_reserve(self, now: float) -> None:
+    def _subscribe_more(self, now: float) -> None:
         """Keep state of the first by rank: as some of them leave the list, or load grows, the next follow."""
-        self._reserve = max(MIN_RESERVE, self._wanted_reserve(now), self._reserve)
-        if self.unsubscribed.count and len(self.active) < self._reserve:
-            names = self.unsubscribed.first(self._reserve - len(self.active))
+        self._max_subscribed = max(MIN_SUBSCRIBED, self._wanted_subscriptions(now), self._max_subscribed)
+        if self.unsubscribed.count and len(self.active) < self._max_subscribed:
+            names = self.unsubscribed.first(self._max_subscribed - len(self.active))
             self.subscribe(now, names)
             self._rank_boundary = max(self._rank_boundary, self.unsubscribed.rank(names[-1]))
         if self._has_too_many():
             self._trim()
             self.refresh_active()
 
-    def _wanted_reserve(self, now: float) -> int:
+    def _wanted_subscriptions(self, now: float) -> int:
         """Of a sparse proxy twice its subset, of which at most half are ejected.
 
         Few proxies send to all that they keep state of, so they want more the more requests they have: no
@@ -172,22 +175,22 @@
             return 2 * self.subset_size
         unavailable = sum(max(backend.cold_until, backend.ejected_until) > now for backend in self.active)
         load = self._in_flight.count + sum(len(queue) for queue in self._queues)
-        wanted = BACKENDS_PER_REQUEST * load + min(unavailable, 2 * MIN_RESERVE)
-        return min(wanted, len(self.active) + MAX_RESERVE_STEP)
+        wanted = BACKENDS_PER_REQUEST * load + min(unavailable, 2 * MIN_SUBSCRIBED)
+        return min(wanted, len(self.active) + MAX_SUBSCRIBE_STEP)
 
     def _has_too_many(self) -> bool:
-        return len(self.by_id) > self._reserve + RESERVE_SLACK
+        return len(self.by_id) > self._max_subscribed + SUBSCRIBED_SLACK
 
     def _trim(self) -> None:
         """Forget what was learned of the last by rank, but for those in use."""
         for backend in [b for b in self.by_id.values() if b.state is not BackendState.ACTIVE]:
             self._remove(backend, BackendState.DRAINING)
-        if len(self.by_id) <= self._reserve:
+        if len(self.by_id) <= self._max_subscribed:
             return
         ranked = sorted(self.by_id.values(), key=_rank_of)
-        last = _rank_of(ranked[: self._reserve][-1])
+        last = _rank_of(ranked[: self._max_subscribed][-1])
         self._rank_boundary = min(self._rank_boundary, last) if self.unsubscribed.count else last
-        for backend in ranked[self._reserve :]:
+        for backend in ranked[self._max_subscribed :]:
             if backend.in_flight == 0:
                 self._remove(backend, BackendState.ACTIVE)
                 self.unsubscribed.put(backend.info())
--- a/dunecove/policy/unsubscribed_backends.py
+++ b/dunecove/policy/unsubscribed_backends.py
@@ -1,6 +1,6 @@
 """The backends of the endpoint list of which a proxy keeps no state.
 
-They lie in buckets by rank, so that no operation takes longer the more there are. Entries are bytes, with
+They lie in buckets by rank, so that most operations touch one bucket. Entries are bytes, with
 which the garbage collector has no work, by name: two names may have the same rank.
 """
 
@@ -14,7 +14,7 @@
 from dunecove.policy.request_rules import Location
 
 BUCKET_SHIFT = 54  # bits of a rank below those that tell its bucket: some hundred backends in each
-MAX_SCOPE_MEMBERS = 8  # looked for among them, for a keyed retry
+ENOUGH_SCOPE_MEMBERS = 8  # looked for among them, for a keyed retry
 _MARSHAL_VERSION = 2
 
 
@@ -48,10 +48,6 @@
         number = rendezvous_hash.name_hash(backend_id)
         return rendezvous_hash.hash_pair(self._rank_key, number), backend_id
 
-    def names(self) -> list[str]:
-        """Return all names, in no order."""
-        return [name for bucket in self._buckets.values() for name in bucket]
-
     def put(self, info: BackendInfo) -> None:
         """Add an active backend, or replace what is known of it."""
         number = self._bucket_number(info.backend_id)
@@ -93,7 +89,7 @@
     def scope_members(self, scope: DeduplicationScope, executed: Location) -> list[str]:
         """Return some of the backends that recognise a repeat of what ran at `executed`."""
         if scope is DeduplicationScope.ALL:
-            return self.first(MAX_SCOPE_MEMBERS)
+            return self.first(ENOUGH_SCOPE_MEMBERS)
         if scope is DeduplicationScope.ZONE:
             return self._members(self._zone_hints, "zone", executed.zone)
         return self._members(self._cell_hints, "cell", executed.cell)
@@ -101,7 +97,7 @@
     def _members(self, hints: dict[int, int], trait: str, group: int) -> list[str]:
         found: list[str] = []
         unseen = hints.get(group, 0)
-        while unseen and len(found) < MAX_SCOPE_MEMBERS:
+        while unseen and len(found) < ENOUGH_SCOPE_MEMBERS:
             lowest_bit = unseen & -unseen
             unseen ^= lowest_bit
             bucket = self._buckets.get(lowest_bit.bit_length() - 1, {})
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -262,9 +262,9 @@
     config: Settings, seed: int, first: list[BackendInfo], moves: list[tuple[str, object, object]]
 ) -> None:
     with (
-        patch.multiple(subsetting, MIN_RESERVE=1, RESERVE_SLACK=1, MIN_SUBSET=1, MAX_RESERVE_STEP=1),
-        patch.multiple(unsubscribed_backends, MAX_SCOPE_MEMBERS=1),
-        patch.multiple(pinned_retries, MAX_SCOPE_MEMBERS=1),
+        patch.multiple(subsetting, MIN_SUBSCRIBED=1, SUBSCRIBED_SLACK=1, MIN_SUBSET=1, MAX_SUBSCRIBE_STEP=1),
+        patch.multiple(unsubscribed_backends, ENOUGH_SCOPE_MEMBERS=1),
+        patch.multiple(pinned_retries, ENOUGH_SCOPE_MEMBERS=1),
     ):
         play(config, seed, first, moves)
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -4,6 +4,7 @@
 
 from collections import Counter
 from collections.abc import Iterator
+from sys import maxsize
 from unittest.mock import patch
 from zlib import crc32
 
@@ -79,7 +80,7 @@
     me: int, lists: list[tuple[ListUpdateKind, list[BackendInfo]]]
 ) -> None:
     listed: dict[str, BackendState] = {}
-    with patch.multiple(subsetting, MIN_RESERVE=16, RESERVE_SLACK=2):
+    with patch.multiple(subsetting, MIN_SUBSCRIBED=16, SUBSCRIBED_SLACK=2):
         balancer = Balancer(settings(**LARGE_TIER | {"proxy_index": me, "slow_start_ms": 5000.0}), 1)
         for number, (kind, entries) in enumerate(lists):
             if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
@@ -90,7 +91,7 @@
             assert balancer.backends.listed_count == len(active)  # also of two that rank alike
             names = [
                 *(s.id for s in balancer.backends.active),
-                *balancer.backends.unsubscribed.names(),
+                *balancer.backends.unsubscribed.first(maxsize),
             ]
             assert sorted(names) == sorted(active)
             assert [s.rank for s in balancer.backends.subset] == by_rank(active, me)[
@@ -135,7 +136,7 @@
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, make_backends(5_000, weight=0.5)))
     assert list(driver.balancer.backends.by_id.values()) == kept and {s.weight for s in kept} == {0.5}
     unsubscribed = driver.balancer.backends.unsubscribed
-    weights = {traits.weight for name in unsubscribed.names() if (traits := unsubscribed.get(name))}
+    weights = {traits.weight for name in unsubscribed.first(maxsize) if (traits := unsubscribed.get(name))}
     assert weights == {0.5}
 
 
@@ -200,7 +201,7 @@
     assert len(driver.forwards[request]) == 2
 
 
-def test_up_to_the_reserve_all_are_kept_in_the_order_of_the_list() -> None:
+def test_up_to_the_minimum_all_are_subscribed_in_the_order_of_the_list() -> None:
     names = [s.backend_id for s in make_backends(256)]
     for proxies in (3, 3400):
         driver = Driver(settings(proxy_count=proxies), *make_backends(256))
@@ -234,7 +235,7 @@
         make_backends(60),
         key=lambda s: hash_pair(LARGE_TIER["proxy_index"] + 1, crc32(s.backend_id.encode())),
     )
-    with patch.multiple(subsetting, MIN_RESERVE=16, RESERVE_SLACK=2):
+    with patch.multiple(subsetting, MIN_SUBSCRIBED=16, SUBSCRIBED_SLACK=2):
         driver = Driver(settings(**LARGE_TIER), *ranked[:20], *ranked[30:])
         gone = tuple(s._replace(state=BackendState.REMOVED) for s in ranked[:10])
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, gone))
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import json
+from sys import maxsize
 from typing import Any
 
 import pytest
@@ -168,7 +169,7 @@
 
 def names(p: Proxy) -> set[str]:
     backends = p.engine.balancer.backends
-    return {*(s.id for s in backends.active), *backends.unsubscribed.names()}
+    return {*(s.id for s in backends.active), *backends.unsubscribed.first(maxsize)}
 
 
 async def turns_until_notified(p: Proxy) -> int:
