--- a/dunecove/policy/admission.py
+++ b/dunecove/policy/admission.py
@@ -4,7 +4,6 @@
 
 from random import Random
 
-from dunecove.policy.concurrency_limit import is_sparse
 from dunecove.policy.in_flight_limit import InFlightLimit
 from dunecove.policy.latency_tracker import LatencyTracker
 from dunecove.policy.request_queue import RequestQueue
@@ -14,20 +13,20 @@
 # Priority weight relative to the best class: at or above is level 1, 2, 3; below is 4. Half the best is level
 # 3, which may be shed: when work must go, the same work of the best class earns twice as much.
 LEVEL_WEIGHTS = (0.75, 0.55, 0.25)
-FIRST_SHED_LEVEL = 3
+HIGHEST_SHEDDABLE_LEVEL = 3
 LOWEST_LEVEL = 4
 
 # Part of the objective beyond which hinted work is expected to be late even on the fastest kind, and the part
 # of its priority weight that it then earns. Where many proxies share backends, half of such work is late.
-LATE_WORK_PART = 1.0
+LATE_WORK_FRACTION = 1.0
 LATE_WORK_WEIGHT = 0.4
-SPARSE_LATE_WORK_PART = 0.6
+SPARSE_LATE_WORK_FRACTION = 0.6
 SPARSE_LATE_WORK_WEIGHT = 0.2
 
 # Objectives: a longer release keeps the lowest level out also while nothing waits. After a single overload it
 # is admitted beside an empty queue: rejected there, it would leave backends idle.
 LONG_RELEASE_OBJECTIVES = 1.0
-SHED_FROM_RATIO = 3.0  # overload ratio above which level 3 is shed in proportion: all of it at twice this
+LEVEL_3_SHED_RATIO = 3.0  # overload ratio above which level 3 is shed in proportion: all of it at twice this
 MAX_OVERLOAD_SHARE = 0.15  # of outcomes, above which a sparse proxy is overloaded: a few are always long
 
 
@@ -38,13 +37,13 @@
         self, settings: Settings, rng: Random, latencies: LatencyTracker, in_flight: InFlightLimit
     ) -> None:
         self.quotas = TenantQuotas(settings)
-        self._is_sparse = is_sparse(settings)
+        self._is_sparse = settings.is_sparse_tier
         self._rng = rng
         self._latencies = latencies
         self._in_flight = in_flight
         self._over_quota_weight = settings.over_quota_weight
         self._best_weight = max(request_class.priority_weight for request_class in settings.classes)
-        self._late_work_part = SPARSE_LATE_WORK_PART if self._is_sparse else LATE_WORK_PART
+        self._late_work_fraction = SPARSE_LATE_WORK_FRACTION if self._is_sparse else LATE_WORK_FRACTION
         self._late_work_weight = SPARSE_LATE_WORK_WEIGHT if self._is_sparse else LATE_WORK_WEIGHT
         self._max_retry_after_ms = settings.max_retry_after_ms if settings.sends_retry_after else 0.0
 
@@ -54,25 +53,25 @@
         """Return the level of an arrival, 1 the highest, and count it against its tenant's quota."""
         weight = request_class.priority_weight / self._best_weight
         fastest_ms = work_hint_ms * self._latencies.fastest_work_rate()
-        if fastest_ms > self._late_work_part * request_class.latency_objective_ms:
+        if fastest_ms > self._late_work_fraction * request_class.latency_objective_ms:
             weight *= self._late_work_weight
-        if self.quotas.is_over_quota(now, tenant):
+        if not self.quotas.take_token(now, tenant):
             weight *= self._over_quota_weight
         return 1 + sum(weight < least for least in LEVEL_WEIGHTS)
 
     def should_shed(self, now: float, level: int, queue: RequestQueue) -> bool:
         """Whether an arrival of this level is rejected now; updates the queue's verdict."""
-        if level < FIRST_SHED_LEVEL:
+        if level < HIGHEST_SHEDDABLE_LEVEL:
             return False
         detector = queue.detector
         ratio = self._overload_ratio(now, queue)
         detector.set_overloaded(now, ratio > 1)
         # Level 4 is shed at once and admitted again by degrees, or it would fill the backends up to the next
         # overload.
-        probability = ratio / SHED_FROM_RATIO - 1
+        probability = ratio / LEVEL_3_SHED_RATIO - 1
         long_release = detector.release_objectives > LONG_RELEASE_OBJECTIVES
         if level == LOWEST_LEVEL and (ratio > 0 or long_release):
-            probability = 1 - detector.released_part(now)
+            probability = 1 - detector.released_fraction(now)
         return self._rng.random() < probability
 
     def retry_after_ms(self, queue: RequestQueue) -> float:
--- a/dunecove/policy/backend.py
+++ b/dunecove/policy/backend.py
@@ -16,6 +16,7 @@
 
 # Failures that are the backend's own, not its load's.
 BACKEND_FAULTS = (AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CONNECT_FAILED)
+LOAD_FAILURES = (AttemptResult.REJECTED, AttemptResult.TIMEOUT)
 
 
 class FailureReport(NamedTuple):
@@ -42,12 +43,12 @@
         "id",
         "kind",
         "name_hash",
-        "next_draw_at",
+        "next_token_draw_at",
         "outcome_count",
         "payoff",
         "rank",
         "response_rate",
-        "responses_this_second",
+        "responses_since_update",
         "responsive_at",
         "slow_start_tokens",
         "started_at",
@@ -89,10 +90,10 @@
         self.ejection_ms = MIN_EJECTION_MS  # the next one, before jitter
         self.failure_reports: list[FailureReport] = []  # of all proxies, the latest last
         self.gossiped_at = -inf  # when this proxy last reported a failure of it
-        self.responses_this_second = 0
+        self.responses_since_update = 0
         self.response_rate = 0.0  # a second, smoothed
         self.slow_start_tokens = 0.0  # requests that it may get while cold
-        self.next_draw_at = 0.0  # when it is next drawn whether it may get a request while cold
+        self.next_token_draw_at = 0.0  # when it is next drawn whether it may get a request while cold
         self.responsive_at = 0.0  # its last response, or the first attempt since none was in flight
         self.started_at: float | None = None
         self.cold_until = 0.0
@@ -123,9 +124,9 @@
     def record_response(self, now: float) -> None:
         """Count a response of it."""
         self.responsive_at = now
-        self.responses_this_second += 1
+        self.responses_since_update += 1
 
     def update_response_rate(self, seconds: float) -> None:
         """Close a period of so many seconds in which responses were counted."""
-        self.response_rate = (self.response_rate + self.responses_this_second / seconds) / 2
-        self.responses_this_second = 0
+        self.response_rate = (self.response_rate + self.responses_since_update / seconds) / 2
+        self.responses_since_update = 0
--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -23,7 +23,6 @@
 from dunecove.policy.admission import Admission
 from dunecove.policy.bandit import Bandit
 from dunecove.policy.client_retries import ClientRetries
-from dunecove.policy.concurrency_limit import is_sparse
 from dunecove.policy.discovery_polling import DiscoveryPolling
 from dunecove.policy.dispatcher import Dispatcher
 from dunecove.policy.events import (
@@ -64,7 +63,7 @@
         settings.check()
         self.settings = settings
         rng = Random(seed)
-        sparse = is_sparse(settings)
+        sparse = settings.is_sparse_tier
         queue_by_objective = create_queues(
             {request_class.latency_objective_ms for request_class in settings.classes},
             settings.step_interval_ms,
@@ -251,7 +250,7 @@
 
     def _on_tick(self, now: float) -> None:
         self._actions.append(SetTimer(TICK_MS, 0))
-        self._expire(now)
+        self._expire(now)  # before dispatch too, so that ended backoffs are sent in this step
         cold = self.backends.cold_subset
         self._slow_start_budget.refill(now, cold, self.backends.proxies_per_backend() if cold else 1.0)
         if self.polling.take_due(now):
--- a/dunecove/policy/bandit.py
+++ b/dunecove/policy/bandit.py
@@ -9,7 +9,6 @@
 
 from dunecove.policy import rendezvous_hash
 from dunecove.policy.backend import Backend
-from dunecove.policy.concurrency_limit import is_sparse
 from dunecove.policy.latency_tracker import LatencyTracker
 from dunecove.policy.request import Request
 from dunecove.policy.settings import Settings
@@ -20,10 +19,10 @@
 PAYOFF_TIE = 0.1  # payoffs closer than this are equal: one outcome moves a payoff by as much
 SPARSE_RECOVERY = 0.1  # part of the way back to the usual payoff in a second without outcomes
 
-MAX_OBJECTIVE_PART = 0.35  # of the objective that work may usually take on a kind and still be sent there
+MAX_OBJECTIVE_FRACTION = 0.35  # of the objective that work may usually take on a kind and still be sent there
 WORK_RATE_TIE = 1.15  # times the fastest work rate: kinds this close are as fast
 COLD_WORK_RATE_FACTOR = 2.0  # on its kind's work rate, for a cold backend
-MIN_SUITABLE_PART = 3  # one in so many backends of the subset has to suit: fewer would be swamped
+MAX_BACKENDS_PER_SUITABLE = 3  # of the subset: where fewer suit, they would be overloaded
 
 
 def mean_payoff(backends: Sequence[Backend]) -> float:
@@ -36,7 +35,7 @@
 
     def __init__(self, settings: Settings, rng: Random, latencies: LatencyTracker) -> None:
         self.outcome_count = 1.0  # of all backends, decayed like that of each
-        self._is_sparse = is_sparse(settings)
+        self._is_sparse = settings.is_sparse_tier
         self._has_key_affinity = settings.key_affinity
         self._rng = rng
         self._latencies = latencies
@@ -86,14 +85,15 @@
             return candidates
         fastest = self._latencies.fastest_work_rate()
         highest = max(
-            MAX_OBJECTIVE_PART * request.queue.objective_ms / request.work_hint_ms, WORK_RATE_TIE * fastest
+            MAX_OBJECTIVE_FRACTION * request.queue.objective_ms / request.work_hint_ms,
+            WORK_RATE_TIE * fastest,
         )
         suitable = []
         for backend in candidates:
             work_rate = work_rates.get(backend.kind, fastest)
             if work_rate * (COLD_WORK_RATE_FACTOR if backend.cold_until > now else 1.0) <= highest:
                 suitable.append(backend)
-        return suitable if len(suitable) * MIN_SUITABLE_PART >= subset_size else candidates
+        return suitable if len(suitable) * MAX_BACKENDS_PER_SUITABLE >= subset_size else candidates
 
     def _draw_two(self, request: Request, candidates: list[Backend]) -> tuple[Backend, Backend]:
         key = request.affinity_key
--- a/dunecove/policy/client_retries.py
+++ b/dunecove/policy/client_retries.py
@@ -4,7 +4,7 @@
 
 from dunecove.policy.events import RequestArrived
 
-MIN_WAITED_PART = 0.1  # of the objective: a first try may lack as much, which the network takes
+MIN_WAITED_FRACTION = 0.1  # of the objective: a first try may lack as much, which the network takes
 # Retries to expect for one client that was rejected or left, here or at another proxy; and in all.
 RETRIES_PER_REJECTION = 2.0
 MAX_EXPECTED = 200.0
@@ -17,7 +17,7 @@
 
     def __init__(self, class_count: int) -> None:
         self.expected = INITIAL_EXPECTED  # retries still to come
-        self._longest_wait = [0.0] * class_count  # longest time left to an arrival, by class
+        self._longest_left_ms = [0.0] * class_count  # longest time left to an arrival, by class
 
     def waited_ms(self, now: float, event: RequestArrived, objective_ms: float) -> float:
         """Return how long the client of an arrival has waited before, over its earlier tries.
@@ -26,10 +26,10 @@
         less time left than others had is a retry.
         """
         left_ms = event.deadline - now
-        longest_ms = max(self._longest_wait[event.class_index], left_ms)
-        self._longest_wait[event.class_index] = longest_ms
+        longest_ms = max(self._longest_left_ms[event.class_index], left_ms)
+        self._longest_left_ms[event.class_index] = longest_ms
         waited_ms = longest_ms - left_ms
-        if waited_ms <= MIN_WAITED_PART * objective_ms or event.is_retry:
+        if waited_ms <= MIN_WAITED_FRACTION * objective_ms or event.is_retry:
             return waited_ms
         # Only as many are retries as were rejected. Others just come with less time: taken for retries whose
         # objective has passed they would fail unsent beside idle backends.
--- a/dunecove/policy/concurrency_limit.py
+++ b/dunecove/policy/concurrency_limit.py
@@ -8,13 +8,15 @@
 
 from collections.abc import Sequence
 
-from dunecove.policy.settings import Settings
-from dunecove.policy.smoothing import LATENCY_WEIGHT, moved_toward
+from dunecove.policy.settings import MAX_DENSE_PROXIES
+from dunecove.policy.smoothing import LATENCY_WEIGHT, MIN_RESPONSES, moved_toward
 
 # Requests of all proxies together, in flight at or waiting inside one backend.
-INITIAL_LIMIT = 4.0
+INITIAL_LIMIT = float(MAX_DENSE_PROXIES)  # one request of each
 MIN_LIMIT = 2.0  # one being processed and one to follow, or the backend would idle between two
 RAISE_BELOW_WAITING = 2.0
+TOTAL_RAISE = 2.0  # of all proxies' limits together, in one adjustment
+MAX_RAISE = 1.0  # of one proxy's limit
 REDUCE_ABOVE_WAITING = 4.0
 
 BASE_LATENCY_DRIFT = 1 / 400  # weight of one response: a backend that stays slow is believed in the end
@@ -24,14 +26,6 @@
 MIN_WINDOW_RESPONSES = 8  # between two adjustments
 
 
-def is_sparse(settings: Settings) -> bool:
-    """Whether this proxy's share of an unknown backend's limit is under one request.
-
-    Such a proxy, one of many, meets each backend too seldom to judge it alone.
-    """
-    return settings.proxy_count > INITIAL_LIMIT
-
-
 class LearnedLimit:
     """The concurrency limit of one backend and what it is learned from."""
 
@@ -69,7 +63,7 @@
         capped_ms = min(latency_ms, 2 * (self.latency_ms or latency_ms))
         self.latency_ms = moved_toward(self.latency_ms, capped_ms, weight)
         self.saturation = moved_toward(self.saturation, saturation, weight)
-        if self.response_count <= 1 / LATENCY_WEIGHT:  # a base from one lucky response would last for long
+        if self.response_count <= MIN_RESPONSES:  # a base from one lucky response would last for long
             self.base_latency_ms = self.latency_ms
         drifted_ms = moved_toward(self.base_latency_ms, self.latency_ms, BASE_LATENCY_DRIFT)
         self.base_latency_ms = min(drifted_ms, self.latency_ms)
@@ -83,7 +77,7 @@
         if waiting > REDUCE_ABOVE_WAITING or self.saturation > MAX_SATURATION:
             self.reduce_limit(SATURATION_FACTOR)
         elif waiting < RAISE_BELOW_WAITING and self.peak_in_flight + 1 > self.limit:
-            self.limit += min(1.0, 2 / self.proxy_count)
+            self.limit += min(MAX_RAISE, TOTAL_RAISE / self.proxy_count)
         self.window_responses = 0
         self.peak_in_flight = self.in_flight
 
@@ -103,7 +97,7 @@
         """Learn from one backend's response; reduce the limits of all backends if they are saturated."""
         self._saturation = moved_toward(self._saturation, saturation, LATENCY_WEIGHT)
         self._window_responses += 1
-        if self._window_responses < max(1 / LATENCY_WEIGHT, sum(backend.limit for backend in backends)):
+        if self._window_responses < max(MIN_RESPONSES, sum(backend.limit for backend in backends)):
             return
         self._window_responses = 0
         if self._saturation > MAX_SATURATION:
--- a/dunecove/policy/discovery_polling.py
+++ b/dunecove/policy/discovery_polling.py
@@ -8,7 +8,7 @@
 from dunecove.policy.settings import Settings
 
 FIRST_POLL_TURN_MS = 100.0  # of each proxy, for its first poll
-FIRST_POLL_MAX_PART = 0.7  # part of the longest poll interval within which all proxies have polled first
+FIRST_POLL_MAX_FRACTION = 0.7  # part of the longest poll interval within which all proxies have polled first
 FIRST_POLL_MAX_MS = 2500.0
 RETRY_TURN_MS = 10.0  # of each proxy, after a failed poll
 FIRST_RETRY_MS = 500.0  # after the first failure, doubled at each further one
@@ -46,7 +46,7 @@
         proxy_count = settings.proxy_count
         span_ms = min(
             FIRST_POLL_TURN_MS * proxy_count,
-            FIRST_POLL_MAX_PART * settings.max_poll_interval_ms,
+            FIRST_POLL_MAX_FRACTION * settings.max_poll_interval_ms,
             FIRST_POLL_MAX_MS,
         )
         turn = settings.proxy_index % proxy_count + self.rng.random()
--- a/dunecove/policy/dispatcher.py
+++ b/dunecove/policy/dispatcher.py
@@ -8,17 +8,17 @@
 from dunecove.policy.actions import Forward
 from dunecove.policy.backend import Backend
 from dunecove.policy.bandit import Bandit
-from dunecove.policy.concurrency_limit import is_sparse
 from dunecove.policy.in_flight_limit import InFlightLimit
 from dunecove.policy.latency_tracker import LatencyTracker
 from dunecove.policy.models import Idempotency
 from dunecove.policy.request import Attempt, Request
 from dunecove.policy.request_queue import RequestQueue
-from dunecove.policy.request_rules import first_executed_attempt
+from dunecove.policy.request_rules import dedup_window_end, first_executed_attempt
 from dunecove.policy.settings import Settings
 from dunecove.policy.subsetting import BackendSet
 
 UNRESPONSIVE_LATENCIES = 2.0  # usual latencies without a response after which a backend may hang
+MIN_LIMIT_LEFT = -1.0  # of a responsive backend: over its limit it takes at most one from the others
 MIN_TIMEOUT_MS = 1.0
 
 
@@ -35,7 +35,7 @@
         bandit: Bandit,
     ) -> None:
         self._settings = settings
-        self._is_sparse = is_sparse(settings)
+        self._is_sparse = settings.is_sparse_tier
         self._queues = queues
         self._backends = backends
         self._in_flight = in_flight
@@ -59,7 +59,7 @@
             request.queue.pop_head(now)
             forwards.append(self.forward(now, request, candidates))
             backend = request.attempts[-1].backend
-            if not backend.has_capacity(now, self._backends.min_limit):
+            if not backend.has_capacity(now, self._backends.sparse_backend_limit):
                 candidates.remove(backend)
         return forwards
 
@@ -76,7 +76,7 @@
         request_class = request.request_class
         if executed and request_class.idempotency is Idempotency.KEYED:
             # Its connection may come up late; by then the key may have been forgotten.
-            write_within_ms = executed.sent_at + request_class.dedup_window_ms - now
+            write_within_ms = dedup_window_end(request_class, executed) - now
         return Forward(request.id, backend.id, max(end - now, MIN_TIMEOUT_MS), write_within_ms)
 
     def _capacity(self, now: float) -> tuple[list[Backend], float]:
@@ -97,20 +97,20 @@
         return candidates, sends_left
 
     def _with_capacity(self, now: float, backends: Sequence[Backend]) -> list[Backend]:
-        min_limit = self._backends.min_limit
+        min_limit = self._backends.sparse_backend_limit
         return [backend for backend in backends if backend.has_capacity(now, min_limit)]
 
     def _sum_of_limits_left(self, now: float) -> float:
-        """Limits below one add up: one request each at every backend would be too many.
+        """Return the sum of what is left of all limits: each below one would else let a request through.
 
-        But a few backends that hang must not use up the sum: an unresponsive one takes nothing from the
-        others.
+        A backend that hangs uses up at most its own limit.
         """
         usual_ms = self._latencies.overall_ms or self._queues[-1].objective_ms
         unresponsive_since = now - UNRESPONSIVE_LATENCIES * usual_ms
         return sum(
             max(
-                backend.limit - backend.in_flight, -1.0 if backend.responsive_at > unresponsive_since else 0.0
+                backend.limit - backend.in_flight,
+                MIN_LIMIT_LEFT if backend.responsive_at > unresponsive_since else 0.0,
             )
             for backend in self._backends.subset
         )
--- a/dunecove/policy/feedback.py
+++ b/dunecove/policy/feedback.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from dunecove.policy.actions import BackendEjected
-from dunecove.policy.backend import Backend
+from dunecove.policy.backend import LOAD_FAILURES, Backend
 from dunecove.policy.bandit import Bandit
-from dunecove.policy.concurrency_limit import FAILURE_FACTOR, SharedSaturation, is_sparse
+from dunecove.policy.concurrency_limit import FAILURE_FACTOR, SharedSaturation
 from dunecove.policy.events import AttemptEnded
 from dunecove.policy.in_flight_limit import InFlightLimit
 from dunecove.policy.latency_tracker import MIN_LATENCY_MS, LatencyTracker
@@ -24,7 +24,6 @@
     AttemptResult.NO_LOCAL_RESOURCE,
     AttemptResult.BAD_REQUEST,
 )
-_LOAD_FAILURES = (AttemptResult.REJECTED, AttemptResult.TIMEOUT)
 
 
 class Feedback:
@@ -39,7 +38,7 @@
         bandit: Bandit,
         outliers: OutlierDetector,
     ) -> None:
-        self._is_sparse = is_sparse(settings)
+        self._is_sparse = settings.is_sparse_tier
         self._backends = backends
         self._latencies = latencies
         self._in_flight = in_flight
@@ -53,8 +52,11 @@
         """Learn from an outcome; return what to log if the backend is ejected."""
         result = event.result
         latency_ms = max(event.latency_ms, MIN_LATENCY_MS)
-        if result in _ABANDONED and not self._had_fair_chance(request, latency_ms):
-            return None
+        if result in _ABANDONED:
+            ordinary_max_ms = self._latencies.ordinary_max_ms(request)
+            self._latencies.record_abandoned(request, latency_ms)
+            if latency_ms < ordinary_max_ms:  # an ordinary attempt may take as long: says nothing
+                return None
         if result in _NOT_OF_BACKEND:
             return None
         objective_ms = request.queue.objective_ms
@@ -66,18 +68,12 @@
         if result is AttemptResult.OK:
             self._record_response(now, request, backend, latency_ms)
             return None
-        if result in _LOAD_FAILURES:
+        if result in LOAD_FAILURES:
             backend.reduce_limit(FAILURE_FACTOR)
             if self._is_sparse and request.work_hint_ms > 0 and backend.cold_until <= now:
                 self._latencies.record_work_rate_bound(backend.kind, latency_ms / request.work_hint_ms)
         return self._outliers.record_failure(now, backend, result)
 
-    def _had_fair_chance(self, request: Request, latency_ms: float) -> bool:
-        """Whether an attempt given up had the time that an ordinary one takes; learns from it in any case."""
-        fair_ms = self._latencies.fair_ms(request)
-        self._latencies.record_abandoned(request, latency_ms)
-        return latency_ms >= fair_ms
-
     def _record_response(self, now: float, request: Request, backend: Backend, latency_ms: float) -> None:
         self._outliers.record_success(now, backend)
         backend.record_response(now)
--- a/dunecove/policy/in_flight_limit.py
+++ b/dunecove/policy/in_flight_limit.py
@@ -7,9 +7,9 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from math import sqrt
+from math import inf, sqrt
 
-from dunecove.policy.backend import BACKEND_FAULTS, Backend
+from dunecove.policy.backend import BACKEND_FAULTS, LOAD_FAILURES, Backend
 from dunecove.policy.bandit import mean_payoff
 from dunecove.policy.concurrency_limit import INITIAL_LIMIT
 from dunecove.policy.events import AttemptEnded
@@ -20,10 +20,12 @@
 RAISE_STEP = 0.1  # times the limit's root
 REDUCE_STEP = 0.2  # part of the limit; in balance where a third of the outcomes are overload samples
 BURST = 4.0  # requests beyond the limit that may be in flight at once after idling
-MIN_LIMIT = 0.05  # one request in twenty usual latencies still shows how things are
+MIN_IN_FLIGHT_LIMIT = 0.05  # one request in twenty usual latencies still shows how things are
 HANG_LATENCIES = 4.0  # usual latencies beyond which an attempt hangs at its own backend
-OVERLOAD_PART = 0.85  # part of the objective: of a longer response the client's network has too little left
-UNLIMITED_MS = 1e9
+# Of the objective: a longer response leaves too little of it for the client's network.
+OVERLOAD_FRACTION = 0.85
+INITIAL_LATENCY_FRACTION = 1 / 4  # of the shortest objective, taken for the usual latency before a response
+UNUSED_LIMIT_FACTOR = 2  # times the attempts in flight and one more: a larger limit isn't used, nor raised
 
 
 class InFlightLimit:
@@ -34,9 +36,9 @@
         self.count = 0  # attempts in flight
         self.overload_share = 0.0  # smoothed share of outcomes that are overload samples
         self._proxy_count = proxy_count
-        self._first_latency_ms = shortest_objective_ms / 4  # taken for the usual one before a response
+        self._initial_latency_ms = INITIAL_LATENCY_FRACTION * shortest_objective_ms
         self._latencies = latencies
-        self._budget_ms = UNLIMITED_MS  # of time in flight
+        self._budget_ms = inf  # of time in flight
         self._refilled_at = 0.0  # ms
 
     def start(self, now: float) -> None:
@@ -45,15 +47,15 @@
 
     def reset(self, listed_count: int) -> None:
         """Set the limit to this proxy's part of what so many unknown backends take."""
-        self.limit = max(MIN_LIMIT, INITIAL_LIMIT * listed_count / self._proxy_count)
+        self.limit = max(MIN_IN_FLIGHT_LIMIT, INITIAL_LIMIT * listed_count / self._proxy_count)
 
     def sends_left(self, now: float) -> float:
-        """Return how many requests may be sent now; below 0 where they have to wait.
+        """Refill the budget and return how many requests may be sent now; below 0 where they have to wait.
 
         The limit holds on average, not at each moment: with a limit near one, two requests that come together
         must not wait for one another.
         """
-        usual_ms = self._latencies.overall_ms or self._first_latency_ms
+        usual_ms = self._latencies.overall_ms or self._initial_latency_ms
         full_ms = (BURST + self.limit) * usual_ms
         self._budget_ms = min(self._budget_ms + self.limit * (now - self._refilled_at), full_ms)
         self._refilled_at = now
@@ -88,11 +90,10 @@
         Work differs tenfold within a class, so only the objective, not a usual latency, tells a response that
         was long from one that waited.
         """
-        rejected = result in (AttemptResult.REJECTED, AttemptResult.TIMEOUT)
-        is_overload = rejected or latency_ms > OVERLOAD_PART * objective_ms
+        is_overload = result in LOAD_FAILURES or latency_ms > OVERLOAD_FRACTION * objective_ms
         self.overload_share = moved_toward(self.overload_share, is_overload, LATENCY_WEIGHT)
         if is_overload:
             if backend.payoff > mean_payoff(subset) / 2:  # a bad backend says nothing of the others
-                self.limit = max(MIN_LIMIT, self.limit * (1 - REDUCE_STEP))
-        elif result is AttemptResult.OK and self.limit < 2 + 2 * self.count:
+                self.limit = max(MIN_IN_FLIGHT_LIMIT, self.limit * (1 - REDUCE_STEP))
+        elif result is AttemptResult.OK and self.limit < UNUSED_LIMIT_FACTOR * (self.count + 1):
             self.limit += RAISE_STEP * sqrt(self.limit)
--- a/dunecove/policy/latency_tracker.py
+++ b/dunecove/policy/latency_tracker.py
@@ -5,7 +5,7 @@
 from dunecove.policy.request import Request
 from dunecove.policy.smoothing import LATENCY_WEIGHT, moved_toward, smooth
 
-FAIR_DEVIATIONS = 3.0  # above the usual latency that an attempt is given before its timeout says anything
+ORDINARY_DEVIATIONS = 3.0  # above the usual latency, up to which an attempt is an ordinary one
 MIN_LATENCY_MS = 0.001  # less is below the clock's resolution; nothing may be divided by zero
 # Weight of one response in a kind's work rate; a sparse proxy sees few.
 WORK_RATE_WEIGHT = 1 / 32
@@ -44,18 +44,18 @@
         """Return the usual latency of a class; 0 before its first response."""
         return self._by_class[class_index].mean_ms
 
-    def usual_ms(self, request: Request) -> float:
+    def capped_class_latency_ms(self, request: Request) -> float:
         """Return the usual latency of a request's class, at most half its objective."""
         return min(self.class_latency_ms(request.class_index), request.queue.objective_ms / 2)
 
-    def fair_ms(self, request: Request) -> float:
+    def ordinary_max_ms(self, request: Request) -> float:
         """Return how long an attempt may take and still be an ordinary one.
 
         It is at most half the objective: were the usual latency above the objective, nothing would ever be
         sent again and the latency never be corrected.
         """
         usual = self._by_class[request.class_index]
-        ordinary_ms = usual.mean_ms + FAIR_DEVIATIONS * usual.deviation_ms
+        ordinary_ms = usual.mean_ms + ORDINARY_DEVIATIONS * usual.deviation_ms
         return min(ordinary_ms, request.queue.objective_ms / 2)
 
     def record_response(self, request: Request, latency_ms: float) -> float:
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -1,7 +1,7 @@
 """Outlier detection: backends that fail far more than others are ejected for a while.
 
-A sparse proxy meets a backend too seldom to judge it soon, so all of them report failures to one another.
-Three within a second are no chance, and from two proxies: one that is itself cut off must not speak for all.
+A sparse proxy meets a backend too seldom to judge it, so proxies gossip failure reports. Three in a second
+from two proxies eject it: one proxy may itself be cut off.
 """
 
 from __future__ import annotations
@@ -18,7 +18,6 @@
     FailureReport,
 )
 from dunecove.policy.bandit import mean_payoff
-from dunecove.policy.concurrency_limit import is_sparse
 from dunecove.policy.events import GossipReceived
 from dunecove.policy.models import AttemptResult
 from dunecove.policy.settings import Settings
@@ -47,7 +46,7 @@
         self._settings = settings
         self._rng = rng
         self._backends = backends
-        self._is_sparse = is_sparse(settings)
+        self._is_sparse = settings.is_sparse_tier
         self.to_gossip: list[Backend] = []  # seen to fail in this step
 
     def record_success(self, now: float, backend: Backend) -> None:
@@ -105,7 +104,10 @@
         return backend.payoff <= part * mean_payoff(self._backends.subset)
 
     def _eject_outlier(self, now: float, backend: Backend) -> BackendEjected | None:
-        """Eject a backend, unless it is a usual one or most fail: then the fault is not this backend's."""
+        """Eject a backend, unless it is a usual one or most fail: then the fault is not this backend's.
+
+        If it declines, the count begins anew.
+        """
         active = self._backends.active
         failing = sum(
             other.consecutive_failures >= MAX_CONSECUTIVE_FAILURES and other is not backend
--- a/dunecove/policy/overload_detector.py
+++ b/dunecove/policy/overload_detector.py
@@ -2,6 +2,10 @@
 
 from __future__ import annotations
 
+from math import inf
+
+from dunecove.policy.settings import STEPS_TO_ACT
+
 WINDOW_OBJECTIVES = 0.5  # the window as a part of the objective: a verdict must come while it still helps
 MIN_WINDOW_SENDS = 8  # fewer say nothing: a window with fewer is stretched
 MAX_WAIT_OF_SLACK = 0.08  # part of (objective - usual latency) that the minimum wait may take
@@ -23,7 +27,7 @@
         self.previous_min_wait_ms = 0.0  # in the half before
         self.last_send_at = 0.0
         self.overloaded = False
-        self.overloaded_at = -1e9  # last time
+        self.overloaded_at = -inf  # last time
         self.release_objectives = MIN_RELEASE_OBJECTIVES
 
     def record_send(self, now: float, wait_ms: float) -> None:
@@ -53,23 +57,23 @@
         if overloaded:
             self.overloaded_at = now
 
-    def wait_ratio(self, now: float, head_arrived_at: float, usual_latency_ms: float) -> float:
+    def wait_ratio(self, now: float, head_arrived_at: float, mean_latency_ms: float) -> float:
         """Return the windowed minimum wait over its threshold, for a queue that isn't empty."""
         wait_ms = min(self.min_wait_ms, self.previous_min_wait_ms)
         if now - self.last_send_at > self.objective_ms * WINDOW_OBJECTIVES:
             wait_ms = now - head_arrived_at  # nothing leaves: a stuck queue must not look like a calm one
-        return wait_ms / self.threshold_ms(usual_latency_ms)
+        return wait_ms / self.threshold_ms(mean_latency_ms)
 
-    def threshold_ms(self, usual_latency_ms: float) -> float:
+    def threshold_ms(self, mean_latency_ms: float) -> float:
         """Return the minimum wait above which the queue is overloaded."""
-        slack_ms = self.objective_ms - usual_latency_ms
-        return max(MAX_WAIT_OF_SLACK * slack_ms, 2 * self.step_interval_ms)
+        slack_ms = self.objective_ms - mean_latency_ms
+        return max(MAX_WAIT_OF_SLACK * slack_ms, STEPS_TO_ACT * self.step_interval_ms)
 
     @property
     def release_ms(self) -> float:
         """The time after an overload over which the lowest level is admitted again."""
         return self.release_objectives * self.objective_ms
 
-    def released_part(self, now: float) -> float:
+    def released_fraction(self, now: float) -> float:
         """Return the part of the release that has passed; 1 and more: all of it."""
         return (now - self.overloaded_at) / self.release_ms
--- a/dunecove/policy/pinned_retries.py
+++ b/dunecove/policy/pinned_retries.py
@@ -35,10 +35,11 @@
             candidates = [
                 backend
                 for backend in self._scope_members(now, request, executed)
-                if backend.has_capacity(now, self._backends.min_limit)
+                if backend.has_capacity(now, self._backends.sparse_backend_limit)
             ]
             if candidates and now < request.latest_send:
                 request.is_queued = False
+                # Bounded by the retry budget, so not by the in-flight limit.
                 forwards.append(self._dispatcher.forward(now, request, candidates))
             else:
                 self.waiting.append(request)
--- a/dunecove/policy/request.py
+++ b/dunecove/policy/request.py
@@ -50,7 +50,7 @@
         self.request_class = request_class
         self.queue = queue
         self.arrived_at = now
-        # Where late responses earn something a late retry still does; failing it brings it back once more.
+        # Where late responses earn something, a retry's objective counts from now.
         counted_from = now if request_class.late_weight > 0 else first_try_at
         self.objective_end = counted_from + request_class.latency_objective_ms
         # After this a response earns nothing, or the client has left.
--- a/dunecove/policy/request_queue.py
+++ b/dunecove/policy/request_queue.py
@@ -18,7 +18,7 @@
     def __init__(self, objective_ms: float, step_interval_ms: float) -> None:
         self.objective_ms = objective_ms
         self.detector = OverloadDetector(objective_ms, step_interval_ms)
-        self.usual_latency_ms = 0.0  # smoothed, of responses
+        self.mean_latency_ms = 0.0  # smoothed, of responses
         self._requests: deque[Request] = deque()
 
     def __len__(self) -> int:
@@ -51,18 +51,18 @@
 
     def record_latency(self, latency_ms: float) -> None:
         """Learn from a response to one of its requests."""
-        self.usual_latency_ms = smooth(self.usual_latency_ms, latency_ms)
+        self.mean_latency_ms = smooth(self.mean_latency_ms, latency_ms)
 
     def overload_ratio(self, now: float) -> float:
         """Return how overloaded it is: above 1 it is overloaded, 0 while nothing waits."""
         head = self.head()
         if head is None:
             return 0.0  # whatever an old window says, the next request leaves at once
-        return self.detector.wait_ratio(now, head.arrived_at, self.usual_latency_ms)
+        return self.detector.wait_ratio(now, head.arrived_at, self.mean_latency_ms)
 
     def threshold_ms(self) -> float:
         """Return the minimum wait above which it is overloaded."""
-        return self.detector.threshold_ms(self.usual_latency_ms)
+        return self.detector.threshold_ms(self.mean_latency_ms)
 
 
 def create_queues(objectives_ms: set[float], step_interval_ms: float) -> dict[float, RequestQueue]:
--- a/dunecove/policy/request_rules.py
+++ b/dunecove/policy/request_rules.py
@@ -104,6 +104,11 @@
     return location.cell == executed.cell
 
 
+def dedup_window_end(request_class: RequestClass, executed: PreviousAttempt) -> float:
+    """Return when backends forget the key of a request that `executed` may have executed, in ms."""
+    return executed.sent_at + request_class.dedup_window_ms
+
+
 def retry_denial(
     settings: Settings, request_class: RequestClass, previous: Sequence[PreviousAttempt], now: float
 ) -> Denial | None:
@@ -122,8 +127,7 @@
         return None
     if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
         return Denial.MAY_HAVE_EXECUTED
-    window_end = executed.sent_at + request_class.dedup_window_ms
-    return Denial.DEDUP_WINDOW_OVER if now >= window_end else None
+    return Denial.DEDUP_WINDOW_OVER if now >= dedup_window_end(request_class, executed) else None
 
 
 def attempt_denial(
--- a/dunecove/policy/retry_policy.py
+++ b/dunecove/policy/retry_policy.py
@@ -9,13 +9,13 @@
 from dunecove.policy.models import AttemptResult, Idempotency
 from dunecove.policy.request import Request
 from dunecove.policy.request_rules import first_executed_attempt, retry_denial
-from dunecove.policy.settings import Settings
+from dunecove.policy.settings import STEPS_TO_ACT, Settings
 
 # Retries of what may have executed, per arrival: they can't add more than this to any load.
 BUDGET_PER_ARRIVAL = 0.1
 MAX_BUDGET = 10.0  # retries saved up
-# ms until a request that met a second local failure in a row is sent again, doubled at each attempt: all
-# would else be used up in that moment. After the first another backend may have a connection left.
+# ms before a request with a second local failure is sent again, doubled at each further one: else its
+# attempts are used up at once.
 LOCAL_FAILURE_BACKOFF_MS = 50.0
 
 
@@ -62,9 +62,10 @@
 
     def _may_retry(self, now: float, request: Request) -> bool:
         """Whether another attempt is allowed, and of use at its class's usual latency."""
-        sent_at = now + 2 * self._settings.step_interval_ms
+        sent_at = now + STEPS_TO_ACT * self._settings.step_interval_ms
         denial = retry_denial(self._settings, request.request_class, request.attempts, sent_at)
-        return denial is None and now + self._latencies.usual_ms(request) <= request.useful_until
+        response_at = now + self._latencies.capped_class_latency_ms(request)
+        return denial is None and response_at <= request.useful_until
 
     def _spend_budget(self, request: Request) -> Retry | EndReason:
         if first_executed_attempt(request.attempts) is None:
--- a/dunecove/policy/settings.py
+++ b/dunecove/policy/settings.py
@@ -8,6 +8,9 @@
 
 from dunecove.policy.models import DeduplicationScope, Idempotency
 
+MAX_DENSE_PROXIES = 4  # a larger tier is sparse
+STEPS_TO_ACT = 2  # step intervals within which a decision takes effect
+
 
 class InvalidSettingError(ValueError):
     """A setting has a value that no deployment can have."""
@@ -68,6 +71,14 @@
     )
     slow_start_window_ms: float = 1000.0  # for this long
 
+    @property
+    def is_sparse_tier(self) -> bool:
+        """Whether this is one of so many proxies that its share of a backend is under one request.
+
+        Such a proxy meets each backend too seldom to judge it alone.
+        """
+        return self.proxy_count > MAX_DENSE_PROXIES
+
     def check(self) -> None:
         """Raise InvalidSettingError for settings that no deployment can have."""
         if not self.classes:
--- a/dunecove/policy/slow_start.py
+++ b/dunecove/policy/slow_start.py
@@ -10,7 +10,7 @@
 
 from math import inf
 
-# How late an update may be: a start that is new in it is no older by a clock that is right.
+# Longest delay of an update: by a right clock, a start that is new in it is no older than this.
 MAX_UPDATE_DELAY_MS = 15_000.0
 
 
--- a/dunecove/policy/slow_start_budget.py
+++ b/dunecove/policy/slow_start_budget.py
@@ -6,12 +6,12 @@
 from random import Random
 
 from dunecove.policy.backend import Backend
-from dunecove.policy.concurrency_limit import is_sparse
 from dunecove.policy.settings import Settings
 from dunecove.policy.slow_start import SlowStart
-from dunecove.policy.smoothing import LATENCY_WEIGHT
+from dunecove.policy.smoothing import MIN_RESPONSES
 
 WARM_RATE_KEPT = 0.9  # part of a warm backend's known rate kept each second without one to look at
+BURST_FRACTION = 1 / 4  # of a window's requests that may be saved up
 MAX_SHARE_FACTOR = 1.2  # on a cold backend's share of a warm one's load, or half the overload factor
 
 
@@ -22,7 +22,7 @@
         self._settings = settings
         self._rng = rng
         self._slow_start = slow_start
-        self._is_sparse = is_sparse(settings)
+        self._is_sparse = settings.is_sparse_tier
         self._refilled_at = 0.0  # ms
         self._warm_rate: dict[int, float] = {}  # responses a second of a warm backend, by kind
         self._warm_base_latency_ms: dict[int, float] = {}  # of a warm backend, by kind
@@ -41,7 +41,7 @@
         # All proxies hear of it at once: their first requests must not come at once as well.
         backend.slow_start_tokens = self._rng.random() if self._is_sparse else 0.0
         window_ms = self._settings.slow_start_window_ms
-        backend.next_draw_at = now + backend.slow_start_tokens * window_ms
+        backend.next_token_draw_at = now + backend.slow_start_tokens * window_ms
 
     def refill(self, now: float, backends: Iterable[Backend], proxies_per_backend: float) -> None:
         """Add what has come in since the last refill; `proxies_per_backend`: that share a backend."""
@@ -58,11 +58,11 @@
         if self._is_sparse and rate * window_ms < 1:
             # One request saved up by each proxy while little came would be too many when all come at once:
             # each draws for each window whether it has one, and loses what it doesn't use.
-            if now >= backend.next_draw_at:
+            if now >= backend.next_token_draw_at:
                 backend.slow_start_tokens = float(self._rng.random() < rate * window_ms)
-                backend.next_draw_at = now + window_ms
+                backend.next_token_draw_at = now + window_ms
             return
-        burst = max(1.0, rate * window_ms / 4)
+        burst = max(1.0, rate * window_ms * BURST_FRACTION)
         added = rate * (now - self._refilled_at)
         backend.slow_start_tokens = min(burst, backend.slow_start_tokens + added)
 
@@ -75,7 +75,7 @@
         settings = self._settings
         age = max(0.0, 1 - (backend.cold_until - now) / max(settings.slow_start_ms, 1.0))
         capacity = settings.slow_start_capacity + (1 - settings.slow_start_capacity) * age
-        if backend.response_count * LATENCY_WEIGHT >= 1 and backend.kind in self._warm_base_latency_ms:
+        if backend.response_count >= MIN_RESPONSES and backend.kind in self._warm_base_latency_ms:
             # It has shown its speed: compared with the base latency of warm ones of its kind.
             speed = self._warm_base_latency_ms[backend.kind] / backend.latency_ms
             capacity = max(capacity, min(1.0, speed))
--- a/dunecove/policy/smoothing.py
+++ b/dunecove/policy/smoothing.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 LATENCY_WEIGHT = 1 / 16  # of one response: a few slow ones must not steer a limit
+MIN_RESPONSES = 1 / LATENCY_WEIGHT  # before a mean smoothed with this weight says anything
 
 
 def moved_toward(mean: float, sample: float, weight: float) -> float:
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -11,7 +11,6 @@
 
 from dunecove.policy import rendezvous_hash
 from dunecove.policy.backend import Backend
-from dunecove.policy.concurrency_limit import is_sparse
 from dunecove.policy.in_flight_limit import InFlightLimit
 from dunecove.policy.models import BackendInfo, BackendState
 from dunecove.policy.request_queue import RequestQueue
@@ -42,7 +41,7 @@
         slow_start_budget: SlowStartBudget,
     ) -> None:
         self._settings = settings
-        self._is_sparse = is_sparse(settings)
+        self._is_sparse = settings.is_sparse_tier
         self._queues = queues
         self._in_flight = in_flight
         self._slow_start_budget = slow_start_budget
@@ -56,7 +55,7 @@
         self.subset: list[Backend] = []  # those it sends to
         self.subset_size = 0  # of a sparse proxy: how many it wants
         self.cold_subset: list[Backend] = []  # those that were cold as the subset was chosen
-        self.min_limit = 0.0  # least limit of each backend
+        self.sparse_backend_limit = 0.0  # of a sparse proxy: least limit of each backend
 
     def find_by_hash(self, name_hash: int) -> Sequence[Backend]:
         """Return the backends with state whose names have this hash, the oldest first."""
@@ -147,7 +146,7 @@
             ranked = sorted(self.active, key=lambda backend: backend.rank)
             available = [backend for backend in ranked if backend.ejected_until <= now]
             self.subset = available[: self.subset_size] or ranked
-            self.min_limit = max(1.0, self._in_flight.limit / max(len(self.subset), 1))
+            self.sparse_backend_limit = max(1.0, self._in_flight.limit / max(len(self.subset), 1))
         self.cold_subset = [backend for backend in self.subset if backend.cold_until > now]
 
     def shrink_subscriptions(self) -> None:
--- a/dunecove/policy/tenant_quotas.py
+++ b/dunecove/policy/tenant_quotas.py
@@ -29,17 +29,20 @@
         """Begin to fill the buckets."""
         self._refilled_at = [now] * len(self._quotas)
 
-    def is_over_quota(self, now: float, tenant: int) -> bool:
-        """Count an arrival of a tenant and return whether it is over quota; an unknown tenant has none."""
+    def take_token(self, now: float, tenant: int) -> bool:
+        """Take a token for an arrival of a tenant, for retries too; return False if it is over quota.
+
+        An unknown tenant has no quota.
+        """
         if tenant >= len(self._quotas):
-            return False
+            return True
         rate = self._quotas[tenant] * self.traffic_share
         tokens = self._tokens[tenant] + (now - self._refilled_at[tenant]) * rate / 1000
         tokens = min(tokens, max(rate * BURST_S, MIN_BURST))
         self._refilled_at[tenant] = now
-        is_over = tokens < 1
-        self._tokens[tenant] = tokens if is_over else tokens - 1
-        return is_over
+        has_token = tokens >= 1
+        self._tokens[tenant] = tokens - 1 if has_token else tokens
+        return has_token
 
     def record_first_try(self, tenant: int) -> None:
         """Count an arrival that its client doesn't mark as a retry."""
