--- a/dunecove/__init__.py
+++ b/dunecove/__init__.py
@@ -1,4 +1,4 @@
-"""dunecove: the decisions of an HTTP load balancer run as a small bank of proxies."""
+"""dunecove: an HTTP/1.1 load balancer run as a tier of independent proxies."""
 
 from dunecove.policy.balancer import Balancer
 from dunecove.policy.settings import Settings
--- a/dunecove/config.py
+++ b/dunecove/config.py
@@ -38,8 +38,9 @@
 # With few descriptors a quarter of them, but no fewer than these: a running program has 16 of its own, peers
 # and discovery among them, and one more for each connection that is accepted or opened as another closes.
 MIN_RESERVED_DESCRIPTORS = 24
-# Of the other descriptors: clients hold a third of all for requests at most, each in flight once or waiting
-# here, and beside them there are kept and silent ones.
+# The fraction of the other descriptors that is for connections to backends. Requests hold at most a third of
+# all on the clients' side and, each with one attempt at a time, no more on the backends' side. What remains
+# is for clients' connections that are idle or silent.
 BACKEND_SHARE = 0.42
 
 
@@ -104,7 +105,7 @@
 
 def _parse(fields: JsonObject, environment: Mapping[str, str], slices: Iterable[list[Any]]) -> Config:
     info = as_object(required(fields, "settings"), "settings")
-    # The limit tells what the simulator's clients are given; HTTP has Retry-After for all of them.
+    # `Limits.RetryAfter` is for the simulator's clients; over HTTP all get Retry-After.
     settings = replace(read_settings(info), sends_retry_after=True)
     proxy_settings = read_proxy_settings(info)
     limits = as_object(fields.get("limits") or {}, "limits")
--- a/dunecove/policy/models.py
+++ b/dunecove/policy/models.py
@@ -29,7 +29,7 @@
     ERROR = "error"
     REJECTED = "rejected"  # by the backend: it promises that nothing was executed
     TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"
+    CONNECT_FAILED = "connect_failed"  # or the request was not written whole
     RESET = "reset"
     CANCELLED = "cancelled"
     WITHDRAWN = "withdrawn"  # before it was written: nobody waits for it any more
--- a/dunecove/proxy/clock.py
+++ b/dunecove/proxy/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of the proxy: monotonic milliseconds, anchored once to Unix time for `boot_ms`."""
+"""The clock of events and deadlines: monotonic milliseconds, anchored once to Unix time for `boot_ms`."""
 
 from __future__ import annotations
 
--- a/dunecove/proxy/discovery_client.py
+++ b/dunecove/proxy/discovery_client.py
@@ -1,4 +1,8 @@
-"""The watch on the discovery service that keeps the endpoint list up to date."""
+"""The watch on the discovery service that keeps the endpoint list up to date.
+
+A watch is long polls back to back, until one fails. A call is one request to the service. An opening call is
+the first of a watch; several may be in flight until one is answered.
+"""
 
 from __future__ import annotations
 
@@ -177,7 +181,8 @@
                     await asyncio.wait(self.opening_calls, return_when=asyncio.FIRST_COMPLETED)
         except DiscoveryTimeoutError:
             self.connection = None  # the call stays in flight among the opening calls
-            self._close_opening_calls(keep=self.max_opening_calls if self.max_opening_calls > 1 else 0)
+            if self.max_opening_calls == 1:
+                self._close_opening_calls(keep=0)  # the next one replaces it
             raise
         answered = self._answered_call() or latest
         self.connection = self.opening_calls.pop(answered)
--- a/dunecove/proxy/endpoint_list.py
+++ b/dunecove/proxy/endpoint_list.py
@@ -8,6 +8,8 @@
 from dunecove.policy.models import BackendInfo, BackendState
 from dunecove.proxy.sharded_table import ShardedTable
 
+ZONE_OFFSET = 2  # in an encoded endpoint, as is the next one
+CELL_OFFSET = 4
 MARSHAL_VERSION = 2  # the last one that writes no references, so that equal endpoints have equal encodings
 
 # An active endpoint as it is kept: small, and nothing that the garbage collector has to traverse.
@@ -63,4 +65,4 @@
 def decode_location(encoded: EncodedEndpoint) -> tuple[int, int]:
     """Decode zone and cell alone."""
     fields = loads(encoded)
-    return fields[2], fields[4]
+    return fields[ZONE_OFFSET], fields[CELL_OFFSET]
--- a/dunecove/proxy/http_exchange.py
+++ b/dunecove/proxy/http_exchange.py
@@ -7,12 +7,17 @@
 
 import httptools
 
-from dunecove.proxy.http_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
+from dunecove.proxy.http_limits import (
+    CHUNK_FRAMING_FACTOR,
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_LENGTH_DIGITS,
+    Headers,
+)
 from dunecove.proxy.socket_probe import shutdown_write
 
 BODY_PART_BYTES = MAX_BODY_BYTES  # a longer body is collected in several parts, so that none is ever copied
 MAX_INTERIM_RESPONSES = 8  # 1xx ahead of the final one: a server that sends more only delays its client
-MAX_CONTENT_LENGTH_DIGITS = 18
 STATUSES_WITHOUT_BODY = frozenset((204, 205, 304))  # they need not declare a length
 
 
@@ -43,7 +48,8 @@
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.transport: asyncio.Transport | None = None
         self.max_body_bytes = max_body_bytes
-        self.max_response_bytes = MAX_HEAD_BYTES + 4 * max_body_bytes  # as sent: chunks have their framing
+        # As sent, the framing of chunks included.
+        self.max_response_bytes = MAX_HEAD_BYTES + CHUNK_FRAMING_FACTOR * max_body_bytes
         self.is_awaiting_response = False  # a request has been sent and its response is incomplete
         self.is_reusable = True  # another exchange may follow
         self.has_unsent_bytes = False  # a part of the request has surely not left
@@ -197,7 +203,7 @@
             self._ends_at_close = self._status not in STATUSES_WITHOUT_BODY
 
     def _is_acceptable_length(self, length: bytes) -> bool:
-        if not length.isdigit() or len(length) > MAX_CONTENT_LENGTH_DIGITS:
+        if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS:
             return False
         return int(length) <= self.max_body_bytes
 
--- a/dunecove/proxy/http_request.py
+++ b/dunecove/proxy/http_request.py
@@ -8,12 +8,16 @@
 
 import httptools
 
-from dunecove.proxy.http_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
-
-MAX_REQUEST_BYTES = (
-    MAX_HEAD_BYTES + 4 * MAX_BODY_BYTES
-)  # of one request as sent, the framing of its chunks included
-MAX_LENGTH_DIGITS = 18  # of a content-length that is worth converting
+from dunecove.proxy.http_limits import (
+    CHUNK_FRAMING_FACTOR,
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_LENGTH_DIGITS,
+    Headers,
+)
+
+# Of one request as sent, the framing of its chunks included.
+MAX_REQUEST_BYTES = MAX_HEAD_BYTES + CHUNK_FRAMING_FACTOR * MAX_BODY_BYTES
 BUDGET_MS_PATTERN = re.compile(rb"0{0,8}[1-9][0-9]{0,8}")
 
 
--- a/dunecove/proxy/long_list.py
+++ b/dunecove/proxy/long_list.py
@@ -121,5 +121,6 @@
 
     async def _publish(self, revision: int, endpoints: Iterable[Endpoint]) -> None:
         self._on_update(EndpointListUpdate(revision, False, tuple(endpoints)))
-        await asyncio.sleep(0)  # the decision module processes the update in this turn, and not a second one
+        # two turns: the balancer's step with this update runs before the next is published
+        await asyncio.sleep(0)
         await asyncio.sleep(0)
--- a/dunecove/proxy/request_registry.py
+++ b/dunecove/proxy/request_registry.py
@@ -33,7 +33,7 @@
     """The ids that requests had of late, so that none is used again while its first request may be open."""
 
     def __init__(self, max_deadline_ms: float) -> None:
-        """Keep each id at least for as long as the longest deadline, in ms."""
+        """Keep each id at least for the longest deadline, in ms, unless there are over `MAX_RECENT_IDS`."""
         self._retention_ms = max(MIN_ID_RETENTION_MS, max_deadline_ms)
         self._arrivals: dict[str, float] = {}  # time of arrival by id, oldest first
 
