--- a/dunecove/proxy/attempt.py
+++ b/dunecove/proxy/attempt.py
@@ -31,18 +31,18 @@
         timeout_ms: float,
         on_end: Callable[[Attempt, AttemptResult, Response | None], None],
         write_within_ms: float = inf,
-        check_denial: Callable[[], Denial | None] = _never_denied,
+        record_denial: Callable[[], Denial | None] = _never_denied,
     ) -> None:
         """Begin an attempt that ends after `timeout_ms` and must be written within `write_within_ms`.
 
-        `head` is the request line and the headers, without the empty line at the end. `check_denial` tells
-        whether the rules still allow to write the request.
+        `head` is the request line and the headers, without the empty line at the end. `record_denial`
+        returns why the rules forbid to write the request now, and records it; None if they allow it.
         """
         self.backend_id = backend_id
         self.head = head
         self.body = body
         self.on_end = on_end
-        self.check_denial = check_denial
+        self.record_denial = record_denial
         self.started_at = now_ms()
         self.sent_at = self.started_at  # when its first byte was written, or earlier
         self.deadline = self.started_at + timeout_ms
--- a/dunecove/proxy/backend_connection.py
+++ b/dunecove/proxy/backend_connection.py
@@ -11,7 +11,7 @@
 from dunecove.proxy.http_exchange import HttpExchange, Response
 
 if TYPE_CHECKING:
-    from dunecove.proxy.backend_pool import BackendPool
+    from dunecove.proxy.backend_connections import BackendConnections
 
 REJECTED_STATUSES = (503, 504)  # with this header, a response tells that the request was not executed
 REJECTED_HEADER = b"x-rejected"
@@ -43,11 +43,13 @@
 class BackendConnection(HttpExchange):
     """A connection to one backend at one address, open or being opened."""
 
-    def __init__(self, owner: ConnectionOwner, backend_pool: BackendPool, address: tuple[str, int]) -> None:
+    def __init__(
+        self, owner: ConnectionOwner, backend_connections: BackendConnections, address: tuple[str, int]
+    ) -> None:
         super().__init__()
         self.owner = owner
-        self.backend_pool = backend_pool
-        self.generation = backend_pool.generation
+        self.backend_connections = backend_connections
+        self.generation = backend_connections.generation
         self.address = address
         self.attempt: Attempt | None = None
         self.connect_task: asyncio.Task[None] | None = None
@@ -55,7 +57,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the attempt that has waited for this connection, unless it is denied by now."""
-        self.backend_pool.connecting.discard(self)
+        self.backend_connections.connecting.discard(self)
         if self.attempt is not None:
             self.owner.end_if_denied(self.attempt)
         super().connection_made(transport)
@@ -86,7 +88,7 @@
         """Return this connection to the pool and end the attempt."""
         attempt = self.attempt
         self.attempt = None
-        self.backend_pool.last_response_at = now_ms()
+        self.backend_connections.last_response_at = now_ms()
         self.owner.release(self)
         if attempt is None:
             return
@@ -94,8 +96,8 @@
         attempt.end(result, response if result is AttemptResult.OK else None)
 
     def on_failed(self) -> None:
-        """Leave the idle connections and end the attempt."""
-        self.backend_pool.remove_idle(self)
+        """End the attempt: the connection broke, or its response is malformed."""
+        self.backend_connections.remove_idle(self)
         if self.attempt is not None:
             is_incomplete = self.is_request_incomplete()
             self.attempt.end(AttemptResult.CONNECT_FAILED if is_incomplete else AttemptResult.RESET)
--- a/dunecove/proxy/backend_pool.py
+++ b/dunecove/proxy/backend_connections.py
@@ -6,12 +6,12 @@
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.socket_probe import has_unread_input
 
-# A second response, noise, or the end of the stream may follow right behind a response. After this time idle
-# the kernel has it, and the connection is not lent. It costs a connection or two more, no further handshakes.
+# A second response, noise or EOF may follow a response. Only after this time idle is a connection lent:
+# `lend` then sees them in the kernel.
 MIN_IDLE_MS = 10.0
 
 
-class BackendPool:
+class BackendConnections:
     """Idle connections to one backend, and those being opened.
 
     The connections of an earlier generation are not used again: the process behind them has gone, or drains.
--- a/dunecove/proxy/cached_list_feed.py
+++ b/dunecove/proxy/cached_list_feed.py
@@ -1,4 +1,4 @@
-"""Tells a balancer that has just begun the endpoint list that the proxy has, a slice in each step."""
+"""Feeds the proxy's endpoint list to a new balancer, a slice in each step."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     A long list in one step would hold up requests.
     """
 
-    def __init__(self, backends: ConnectionPool) -> None:
-        """Read the backends' present entries from `backends` as each slice is told."""
-        self._backends = backends
+    def __init__(self, connection_pool: ConnectionPool) -> None:
+        """Read the backends' present entries from `connection_pool` as each slice is fed."""
+        self._connection_pool = connection_pool
         self._pending: list[str] = []  # ids, the next one last
 
     @property
@@ -38,4 +38,4 @@
     def _next_slice(self) -> tuple[BackendInfo, ...]:
         slice_ids = self._pending[-ENDPOINTS_PER_SLICE:][::-1]
         del self._pending[-ENDPOINTS_PER_SLICE:]
-        return self._backends.backend_infos(slice_ids)
+        return self._connection_pool.backend_infos(slice_ids)
--- a/dunecove/proxy/client_connection.py
+++ b/dunecove/proxy/client_connection.py
@@ -19,7 +19,7 @@
 from dunecove.proxy.http_limits import MAX_BODY_BYTES
 from dunecove.proxy.http_request import HttpRequest, RequestError, RequestReader
 from dunecove.proxy.receive_buffer import ReceiveBuffer, ReceivedChunk
-from dunecove.proxy.request_parser import RequestParser
+from dunecove.proxy.request_validator import RequestValidator
 from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer, last_arrival_ms
 from dunecove.proxy.telemetry import CounterName
 
@@ -58,14 +58,14 @@
     """What all client connections share."""
 
     engine: Engine
-    request_parser: RequestParser
+    request_validator: RequestValidator
     slots: ConnectionSlots
     disconnects: DisconnectWatcher
     is_shutting_down: bool = False  # connections are closed after their responses
 
     def is_ready(self) -> bool:
         """Return whether requests should be sent to this proxy."""
-        return not self.is_shutting_down and self.engine.backends.active_count() > 0
+        return not self.is_shutting_down and self.engine.connection_pool.active_count() > 0
 
 
 class ClientConnection(asyncio.Protocol):
@@ -116,7 +116,7 @@
     def data_received(self, data: bytes) -> None:
         """Handle received bytes."""
         if self.is_closing and self.owes_response():
-            # Read on, it might be aborted as a flood before its responses are written.
+            # Reading on could get it aborted as a flood before its responses are written.
             self.transport.pause_reading()
             self.server.disconnects.watch(self)
             return
@@ -154,12 +154,12 @@
         Either a part of it is unsent, or unread bytes of the client lie in the kernel: closed over them,
         the connection would be reset together with what the kernel has yet to send.
         """
-        if now_ms() - self.server.slots.lingering[self] > LINGER_READ_TIMEOUT_S * 1000:
+        if now_ms() - self.server.slots.lingering_since(self) > LINGER_READ_TIMEOUT_S * 1000:
             return False
         return self.has_unsent_bytes() or has_unread_input(self.transport)
 
-    def detect_disconnect(self) -> bool:
-        """Ask the kernel whether the client has left, and close the connection if so.
+    def close_if_disconnected(self) -> bool:
+        """Ask the kernel whether the client has left, close the connection if so, and return whether it did.
 
         The event loop reports it later, or never while reading is paused.
         """
@@ -311,7 +311,7 @@
     # Responses
 
     def _dispatch(self, request: HttpRequest | RequestError) -> None:
-        """ClientResponse a request here, or give it to the engine."""
+        """Answer a request here, or give it to the engine."""
         try:
             if isinstance(request, RequestError):
                 self.keep_alive = False
@@ -327,17 +327,19 @@
 
     def _route(self, request: HttpRequest) -> None:
         """Serve the readiness check here and all else by the engine; RequestError rejects the request."""
-        if self.detect_disconnect():  # while the request waited behind others, or in the kernel
+        if self.close_if_disconnected():  # while the request waited behind others, or in the kernel
             return
         if request.target.split(b"?", 1)[0] == READY_PATH:
             if request.method != b"GET":
                 raise RequestError(405)
             self._send_response(ClientResponse(200 if self.server.is_ready() else 503))
             return
-        taken = self.server.request_parser.parse(request, self.on_response, self.detect_disconnect)
-        if not self.server.engine.requests.accept(taken):
+        validated = self.server.request_validator.validate(
+            request, self.on_response, self.close_if_disconnected
+        )
+        if not self.server.engine.requests.accept(validated):
             raise RequestError(400)
-        self.request_id = taken.request_id
+        self.request_id = validated.request_id
 
     def on_response(self, response: ClientResponse) -> None:
         """Send the engine's response to the current request, and go on with the next one."""
--- a/dunecove/proxy/client_messages.py
+++ b/dunecove/proxy/client_messages.py
@@ -27,4 +27,4 @@
     head: bytes  # request line and headers for the backend, without the empty line at the end
     body: bytes
     respond: Callable[[ClientResponse], None]
-    has_disconnected: Callable[[], bool]  # asks whether the client has left by now, and tells the engine
+    close_if_disconnected: Callable[[], bool]  # whether the client has left; the engine hears of it
--- a/dunecove/proxy/connection_pool.py
+++ b/dunecove/proxy/connection_pool.py
@@ -10,7 +10,7 @@
 from dunecove.policy.request_rules import Denial
 from dunecove.proxy.attempt import Attempt
 from dunecove.proxy.backend_connection import BackendConnection
-from dunecove.proxy.backend_pool import BackendPool
+from dunecove.proxy.backend_connections import BackendConnections
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.endpoint_list import (
     EncodedEndpoint,
@@ -24,9 +24,10 @@
 # The fraction of the backend's own idle timeout after which the proxy closes first: a request written as the
 # backend closes would end as a reset.
 KEEPALIVE_FRACTION = 0.6
-EXPIRY_CHECKS = 20  # checks for expired connections within that time
+EXPIRY_CHECKS_PER_KEEPALIVE = 20  # how often expired connections are looked for within that time
 
-# How an attempt ends that must not be written. That this proxy was too slow is not the backend's fault.
+# How an attempt ends that must not be written, if not as withdrawn. Of a deadline this holds only before
+# connecting: then this proxy was slow; after it, the backend.
 RESULT_OF_DENIAL = {
     Denial.BACKEND_REMOVED: AttemptResult.CONNECT_FAILED,
     Denial.DEADLINE_EXCEEDED: AttemptResult.NO_LOCAL_RESOURCE,
@@ -58,7 +59,7 @@
         self.connections: set[BackendConnection] = set()
         self.endpoints = ShardedTable()  # all active ones
         # Only of backends that have connections, or had some a moment ago.
-        self.backend_pools: dict[str, BackendPool] = {}
+        self.connections_by_backend: dict[str, BackendConnections] = {}
         self.loop = asyncio.get_running_loop()
         self.expiry_timer = self._schedule_expiry_check()
 
@@ -81,24 +82,24 @@
         old_encoded = shard.get(endpoint.backend_id)
         new_encoded = encode_endpoint(endpoint)
         shard[endpoint.backend_id] = new_encoded
-        backend_pool = self.backend_pools.get(endpoint.backend_id)
-        if backend_pool is None or old_encoded is None or old_encoded == new_encoded:
+        backend_connections = self.connections_by_backend.get(endpoint.backend_id)
+        if backend_connections is None or old_encoded is None or old_encoded == new_encoded:
             return
         old = decode_endpoint(endpoint.backend_id, old_encoded)
         if old.address != endpoint.address:
-            self._stop_sending(backend_pool)
+            self._stop_sending(backend_connections)
         elif old.info.started_at != endpoint.info.started_at:
-            backend_pool.start_generation()
+            backend_connections.start_generation()
 
     def _remove(self, backend_id: str) -> None:
         self.endpoints.shard_of(backend_id).pop(backend_id, None)
-        if backend_id in self.backend_pools:
-            self._stop_sending(self.backend_pools.pop(backend_id))
+        if backend_id in self.connections_by_backend:
+            self._stop_sending(self.connections_by_backend.pop(backend_id))
 
-    def _stop_sending(self, backend_pool: BackendPool) -> None:
+    def _stop_sending(self, backend_connections: BackendConnections) -> None:
         # A drain counts from the first byte sent: what waits for its connection must not be written either.
-        backend_pool.start_generation()
-        for connection in list(backend_pool.connecting):
+        backend_connections.start_generation()
+        for connection in list(backend_connections.connecting):
             attempt = connection.attempt
             self._close_in_use(connection)
             if attempt is not None:
@@ -122,21 +123,21 @@
         encoded = self.endpoints.get(attempt.backend_id)
         if encoded is not None:
             attempt.zone, attempt.cell = decode_location(encoded)
-        denial = self._check_denial(attempt)
+        denial = self._find_denial(attempt)
         if denial is not None or encoded is None:
             denial = denial or Denial.BACKEND_REMOVED
             attempt.end(RESULT_OF_DENIAL.get(denial, AttemptResult.WITHDRAWN))
             return
         self._schedule_timeout(attempt, attempt.next_deadline)
-        backend_pool = self.backend_pools.get(attempt.backend_id)
-        if backend_pool is None:
-            backend_pool = BackendPool()
-            self.backend_pools[attempt.backend_id] = backend_pool
-        idle = backend_pool.lend()
+        backend_connections = self.connections_by_backend.get(attempt.backend_id)
+        if backend_connections is None:
+            backend_connections = BackendConnections()
+            self.connections_by_backend[attempt.backend_id] = backend_connections
+        idle = backend_connections.lend()
         if idle is not None:
             idle.send_attempt(attempt)
         elif self._make_room():
-            self._open_connection(attempt, backend_pool, encoded)
+            self._open_connection(attempt, backend_connections, encoded)
         else:
             attempt.end(AttemptResult.NO_LOCAL_RESOURCE)
 
@@ -145,24 +146,26 @@
         if len(self.connections) < self.max_connections:
             return True
         oldest = min(
-            (pool.idle[0] for pool in self.backend_pools.values() if pool.idle),
+            (connections.idle[0] for connections in self.connections_by_backend.values() if connections.idle),
             key=lambda connection: connection.idle_since,
             default=None,
         )
         if oldest is None:
             return False
-        oldest.backend_pool.idle.remove(oldest)
+        oldest.backend_connections.idle.remove(oldest)
         self.connections.discard(oldest)
         oldest.close()
         return True
 
-    def _open_connection(self, attempt: Attempt, backend_pool: BackendPool, encoded: EncodedEndpoint) -> None:
+    def _open_connection(
+        self, attempt: Attempt, backend_connections: BackendConnections, encoded: EncodedEndpoint
+    ) -> None:
         endpoint = decode_endpoint(attempt.backend_id, encoded)
-        connection = BackendConnection(self, backend_pool, endpoint.address)
+        connection = BackendConnection(self, backend_connections, endpoint.address)
         connection.attempt = attempt
         attempt.connection = connection
         self.connections.add(connection)
-        backend_pool.connecting.add(connection)
+        backend_connections.connecting.add(connection)
         connection.connect_task = self.loop.create_task(self._connect(connection))
 
     async def _connect(self, connection: BackendConnection) -> None:
@@ -178,7 +181,7 @@
                     AttemptResult.NO_LOCAL_RESOURCE if is_local else AttemptResult.CONNECT_FAILED
                 )
         finally:
-            connection.backend_pool.connecting.discard(connection)
+            connection.backend_connections.connecting.discard(connection)
             if connection.transport is None:
                 self.connections.discard(connection)
 
@@ -191,20 +194,23 @@
         if attempt.connection is not None and attempt.connection.is_request_incomplete():
             self._abort(attempt, AttemptResult.WITHDRAWN)
 
-    def _check_denial(self, attempt: Attempt) -> Denial | None:
-        """Why an attempt must not be written; asked before the first byte of each."""
+    def _find_denial(self, attempt: Attempt) -> Denial | None:
+        """Return why an attempt must not be written, or None; asked before the first byte of each.
+
+        A denial by the rules of its request is recorded there.
+        """
         if self.endpoints.get(attempt.backend_id) is None:
             return Denial.BACKEND_REMOVED
         if attempt.has_expired():
             return Denial.DEADLINE_EXCEEDED
-        return attempt.check_denial()
+        return attempt.record_denial()
 
     def end_if_denied(self, attempt: Attempt) -> None:
         """End an attempt that has waited for its connection and must not be written any more.
 
         The loop may not have come yet to the attempt's timer, or to the end of its client's connection.
         """
-        denial = self._check_denial(attempt)
+        denial = self._find_denial(attempt)
         if denial is Denial.DEADLINE_EXCEEDED:
             self._on_deadline(attempt)
         elif denial is not None:
@@ -221,13 +227,13 @@
             self._schedule_timeout(attempt, attempt.deadline)
             return
         self._abort(attempt, AttemptResult.CONNECT_FAILED if is_incomplete else AttemptResult.TIMEOUT)
-        backend_pool = self.backend_pools.get(attempt.backend_id)
-        if backend_pool is None or is_incomplete:
+        backend_connections = self.connections_by_backend.get(attempt.backend_id)
+        if backend_connections is None or is_incomplete:
             return
-        if backend_pool.last_response_at < attempt.started_at:
+        if backend_connections.last_response_at < attempt.started_at:
             # No response to any attempt in all that time: a machine that is cut off leaves its connections
             # open, and each request written to one of them would be lost.
-            backend_pool.close_idle()
+            backend_connections.close_idle()
 
     def _abort(self, attempt: Attempt, result: AttemptResult) -> None:
         if attempt.connection is not None:
@@ -235,7 +241,7 @@
         attempt.end(result)
 
     def _close_in_use(self, connection: BackendConnection) -> None:
-        connection.backend_pool.connecting.discard(connection)
+        connection.backend_connections.connecting.discard(connection)
         connection.attempt = None
         connection.close()
         if connection.transport is None:
@@ -244,24 +250,26 @@
 
     def release(self, connection: BackendConnection) -> None:
         """Take back a connection whose exchange is over."""
-        connection.backend_pool.put_back(connection)
+        connection.backend_connections.put_back(connection)
 
     def forget(self, connection: BackendConnection) -> None:
         """Count a connection no more."""
         self.connections.discard(connection)
 
     def _schedule_expiry_check(self) -> asyncio.TimerHandle:
-        return self.loop.call_later(self.keepalive_ms / 1000 / EXPIRY_CHECKS, self._close_expired)
+        return self.loop.call_later(
+            self.keepalive_ms / 1000 / EXPIRY_CHECKS_PER_KEEPALIVE, self._close_expired
+        )
 
     def _close_expired(self) -> None:
         """Close connections that have been idle for too long; forget backends without connections."""
         self.expiry_timer = self._schedule_expiry_check()
         idle_since = now_ms() - self.keepalive_ms
-        for backend_pool in self.backend_pools.values():
-            backend_pool.close_idle_since(idle_since)
-        in_use = {connection.backend_pool for connection in self.connections}
-        self.backend_pools = {
-            backend_id: pool for backend_id, pool in self.backend_pools.items() if pool in in_use
+        for backend_connections in self.connections_by_backend.values():
+            backend_connections.close_idle_since(idle_since)
+        in_use = {connection.backend_connections for connection in self.connections}
+        self.connections_by_backend = {
+            backend_id: pool for backend_id, pool in self.connections_by_backend.items() if pool in in_use
         }
 
     def close(self) -> None:
--- a/dunecove/proxy/connection_slots.py
+++ b/dunecove/proxy/connection_slots.py
@@ -22,7 +22,7 @@
 UNREAD_RESPONSE_GRACE_MS = 500.0  # ms after a request's deadline in which its response may still be read
 
 
-class Admission(NamedTuple):
+class AcceptDecision(NamedTuple):
     """Whether a new connection gets a slot, and who has to be evicted for it."""
 
     is_admitted: bool
@@ -44,6 +44,14 @@
         self.idle: dict[ClientConnection, float] = {}  # kept alive between two requests
         self.lingering: dict[ClientConnection, float] = {}  # its last response is written
 
+    def reserve(self) -> None:
+        """Take a slot for a connection that is being accepted."""
+        self.used += 1
+
+    def release(self) -> None:
+        """Give back the slot of a connection that is closed, or that could not be opened."""
+        self.used -= 1
+
     def add(self, connection: ClientConnection) -> None:
         """Register a new connection, which owes its first request."""
         self.connections.add(connection)
@@ -85,23 +93,28 @@
         """Return whether a connection only ends."""
         return connection in self.lingering
 
+    def lingering_since(self, connection: ClientConnection) -> float:
+        """Return when a lingering connection had its last response, in ms of `now_ms`."""
+        return self.lingering[connection]
+
     def _leave_state(self, connection: ClientConnection) -> None:
         self.awaiting_request.pop(connection, None)
         self.idle.pop(connection, None)
         self.lingering.pop(connection, None)
 
-    def admission(self, longest_deadline_ms: float) -> Admission:
+    def decide_accept(self, longest_deadline_ms: float) -> AcceptDecision:
         """Decide whether a new connection may be accepted now, and at whose cost."""
         if self.used < self.limit:
-            return Admission(True)
+            return AcceptDecision(True)
         evicted = self.eviction_candidate(longest_deadline_ms)
-        return Admission(evicted is not None, evicted)
+        return AcceptDecision(evicted is not None, evicted)
 
     def eviction_candidate(self, longest_deadline_ms: float) -> ClientConnection | None:
         """Return the connection whose slot is given to a new one, or None if all are in use.
 
         First one that has its last response, then one idle for long, then one whose first request does
-        not come, and last one that was of use just now. `longest_deadline_ms` is that of the slowest
+        not come, and last one that was of use just now. Of each of these only the first is asked whether
+        it may be evicted, since asking costs a system call. `longest_deadline_ms` is that of the slowest
         class: until then a client may still read its response.
         """
         now = now_ms()
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -55,13 +55,14 @@
         """Begin without backends, in a running loop."""
         self.telemetry = Telemetry()
         self.balancer = Balancer(settings, seed)
-        self.backends = ConnectionPool(
+        self.connection_pool = ConnectionPool(
             proxy_settings.connect_timeout_ms, proxy_settings.backend_idle_timeout_ms, max_backend_connections
         )
-        self.requests = RequestLifecycle(settings, self.backends, self.telemetry, self._raise_event)
-        self.cached_list_feed = CachedListFeed(self.backends)
+        self.requests = RequestLifecycle(settings, self.connection_pool, self.telemetry, self._raise_event)
+        self.cached_list_feed = CachedListFeed(self.connection_pool)
         self.discovery: DiscoveryClient | None = None
         self.gossip: GossipChannel | None = None
+        self.is_closed = False
         self._settings = settings
         self._seed = seed
         self._health_check_timeout_ms = proxy_settings.connect_timeout_ms
@@ -76,8 +77,8 @@
 
     def on_list(self, update: EndpointListUpdate, kind: ListUpdateKind | None = None) -> None:
         """Take over an endpoint list, as what it is or as `kind`."""
-        # The pools hear of a drain here and now, before anything else of this turn can be written.
-        self.backends.update(update.endpoints, update.is_snapshot)
+        # The pool hears of a drain here and now, before anything else of this turn can be written.
+        self.connection_pool.update(update.endpoints, update.is_snapshot)
         kind = kind or (ListUpdateKind.SNAPSHOT if update.is_snapshot else ListUpdateKind.DELTA)
         self.telemetry.count(CounterName.LIST_UPDATE, kind.value)
         if kind is ListUpdateKind.CACHED:
@@ -88,8 +89,8 @@
         self._schedule_step()
 
     def load_cached_list(self, cached_list: CachedEndpointList) -> None:
-        """Begin with a list from before this process; its table is the pools' from now on."""
-        self.backends.endpoints = cached_list.table
+        """Begin with a list from before this process; its table is the pool's from now on."""
+        self.connection_pool.endpoints = cached_list.table
         self._feed_cached_list(cached_list.backend_ids)
         self._schedule_step()
 
@@ -113,8 +114,9 @@
 
     def close(self) -> None:
         """Close all but the clients' connections."""
+        self.is_closed = True
         self.requests.report_unanswered()
-        self.backends.close()
+        self.connection_pool.close()
         if self.discovery is not None:
             self.discovery.close()
             self.discovery = None  # a signal or a step that comes yet must not open a watch again
@@ -173,7 +175,7 @@
         log(f"the balancer failed\n{traceback.format_exc()}")
         self._incarnation += 1
         self.balancer = Balancer(self._settings, self._seed + self._incarnation)
-        self._feed_cached_list(list(self.backends.endpoints))
+        self._feed_cached_list(list(self.connection_pool.endpoints))
         self._events = []
         if self._next_step is not None:
             self._next_step.cancel()
@@ -192,7 +194,7 @@
             case Forward():
                 self.requests.forward(action, self._step_time)
             case Reject() | Fail():
-                self.requests.end_without_response(action)
+                self.requests.send_final_response(action)
             case CancelAttempt():
                 self.requests.cancel_attempt(action)
             case SetTimer():
@@ -216,7 +218,7 @@
             self.gossip.send(payload)
 
     def _check_health(self, backend_id: str) -> None:
-        self.backends.start(
+        self.connection_pool.start(
             Attempt(
                 backend_id,
                 HEALTH_CHECK_HEAD,
--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -13,7 +13,7 @@
 from dunecove.proxy.disconnect_watcher import DisconnectWatcher
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.log_writer import log
-from dunecove.proxy.request_parser import RequestParser
+from dunecove.proxy.request_validator import RequestValidator
 
 ACCEPT_BACKLOG = 512  # connections that the kernel queues
 MAX_ACCEPTS_PER_TURN = 16  # a flood of new connections must not delay requests on open ones
@@ -26,11 +26,11 @@
 class Listener:
     """Accepts client connections and closes those that are overdue, evicted or in the way of a shutdown."""
 
-    def __init__(self, engine: Engine, request_parser: RequestParser, max_connections: int) -> None:
+    def __init__(self, engine: Engine, request_validator: RequestValidator, max_connections: int) -> None:
         self.engine = engine
         self.slots = ConnectionSlots(max_connections)
         self.disconnects = DisconnectWatcher()
-        self.server = ServerState(engine, request_parser, self.slots, self.disconnects)
+        self.server = ServerState(engine, request_validator, self.slots, self.disconnects)
         self.sock: socket.socket | None = None
         self.address = ""  # `host:port` where it listens
         self.is_accepting = False
@@ -74,8 +74,8 @@
         """Accept connections from the backlog; return whether it is empty."""
         assert self.sock is not None
         for _ in range(MAX_ACCEPTS_PER_TURN):
-            admission = self.slots.admission(self.engine.requests.max_deadline_ms)
-            if not admission.is_admitted:
+            decision = self.slots.decide_accept(self.engine.requests.max_deadline_ms)
+            if not decision.is_admitted:
                 self._pause_accepting()
                 return False
             try:
@@ -90,12 +90,12 @@
                 self._pause_accepting()
                 # Out of descriptors below the limit as well, whoever uses them.
                 self._evict(
-                    admission.evicted or self.slots.eviction_candidate(self.engine.requests.max_deadline_ms)
+                    decision.evicted or self.slots.eviction_candidate(self.engine.requests.max_deadline_ms)
                 )
                 return False
-            self._evict(admission.evicted)  # only once a connection has come for its slot
+            self._evict(decision.evicted)  # only once a connection has come for its slot
             self._open(sock)
-            if admission.evicted is not None:
+            if decision.evicted is not None:
                 return False  # its descriptor is free only after this turn of the loop
         return False
 
@@ -109,7 +109,7 @@
             connection.close(CloseReason.EVICTED)
 
     def _open(self, sock: socket.socket) -> None:
-        self.slots.used += 1
+        self.slots.reserve()
         coroutine = self._loop.connect_accepted_socket(self._create_connection, sock)
         task = cast("asyncio.Task[object]", self._loop.create_task(coroutine))
         self._opening.add(task)
@@ -130,7 +130,7 @@
         self._release_slot()
 
     def _release_slot(self) -> None:
-        self.slots.used -= 1
+        self.slots.release()
         self._resume_accepting()
         # While the socket is open another connection may come at any time.
         if self.sock is None and not self.slots.used:
--- a/dunecove/proxy/request_lifecycle.py
+++ b/dunecove/proxy/request_lifecycle.py
@@ -35,7 +35,7 @@
     def __init__(
         self,
         settings: Settings,
-        backends: ConnectionPool,
+        connection_pool: ConnectionPool,
         telemetry: Telemetry,
         raise_event: Callable[[Event], None],
     ) -> None:
@@ -44,7 +44,7 @@
         self.max_deadline_ms = max(request_class.deadline_ms for request_class in settings.classes)
         self.recent_ids = RecentIds(self.max_deadline_ms)
         self._settings = settings
-        self._backends = backends
+        self._connection_pool = connection_pool
         self._telemetry = telemetry
         self._raise_event = raise_event
         self._ended: list[OpenRequest] = []  # to be forgotten once the balancer has heard of their end
@@ -54,8 +54,10 @@
     # From the client
 
     def accept(self, parsed: ParsedRequest) -> bool:
-        """Begin with a request; False if its id is open or was of late: ids don't return, and another's must
-        not."""
+        """Begin with a request.
+
+        False if its id is in use or was used of late: an id names one request.
+        """
         self.recent_ids.expire()
         request_id = parsed.request_id
         if request_id in self.recent_ids or request_id in self.open:
@@ -123,19 +125,19 @@
                 request, attempt_index, ended, result, response
             ),
             action.write_within_ms - elapsed_ms,
-            lambda: self._denial(request, attempt_index),
+            lambda: self._record_denial(request, attempt_index),
         )
         request.attempts.append(attempt)
         self._telemetry.record(request.parsed.request_id, RequestStage.ATTEMPT_STARTED)
-        self._backends.start(attempt)
+        self._connection_pool.start(attempt)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
         """Give up an open attempt."""
         request = self.open.get(action.request_id)
         if request is not None and action.attempt_index < len(request.attempts):
-            self._backends.cancel(request.attempts[action.attempt_index])
+            self._connection_pool.cancel(request.attempts[action.attempt_index])
 
-    def end_without_response(self, action: Reject | Fail) -> None:
+    def send_final_response(self, action: Reject | Fail) -> None:
         """Send the final response that the balancer decided on, unless the request has had one."""
         request = self.open.get(action.request_id)
         if request is not None and not request.is_finished:
@@ -168,7 +170,7 @@
         self.open = {}
         for request in failed.values():
             for attempt in request.attempts:
-                self._backends.cancel(attempt)
+                self._connection_pool.cancel(attempt)
             if not request.is_finished:
                 self._respond(request, ClientResponse(500), ResponseReason.BALANCER_FAILED)
 
@@ -204,10 +206,10 @@
 
     def _abandon(self, request: OpenRequest) -> None:
         """Nobody waits for it any more. Whether attempts in flight may be cancelled is for the balancer to
-        decide; one whose bytes have not gone out is none yet, and never goes out."""
+        decide; one that is not written whole is withdrawn here."""
         self._raise_event(ClientDisconnected(request.parsed.request_id))
         for attempt in request.attempts:
-            self._backends.withdraw(attempt)
+            self._connection_pool.withdraw(attempt)
 
     def _on_attempt_ended(
         self,
@@ -225,8 +227,8 @@
         self._raise_event(AttemptEnded(request_id, attempt_index, result, latency_ms, request.is_finished))
         self._note_end(request)
 
-    def _denial(self, request: OpenRequest, attempt_index: int) -> Denial | None:
-        """Why an attempt may not be written now, or None.
+    def _record_denial(self, request: OpenRequest, attempt_index: int) -> Denial | None:
+        """Return why an attempt may not be written now, recorded and, if unexpected, reported; or None.
 
         That its client has left may wait for its turn of the loop, or lie behind what isn't read for now, so
         the kernel is asked.
@@ -234,7 +236,7 @@
         denial: Denial | None
         if request.is_finished:
             denial = Denial.ANSWERED
-        elif request.parsed.has_disconnected():
+        elif request.parsed.close_if_disconnected():
             denial = Denial.CLIENT_DISCONNECTED
         else:
             denial = attempt_denial(
--- a/dunecove/proxy/request_parser.py
+++ b/dunecove/proxy/request_validator.py
@@ -37,23 +37,23 @@
 AFFINITY_KEY_PATTERN = re.compile(rb"[0-9A-Fa-f]{1,16}")
 
 
-class RequestParser:
+class RequestValidator:
     """Validates requests against the request classes and tenants of the deployment."""
 
     def __init__(self, settings: Settings, proxy_settings: ProxySettings) -> None:
         self.settings = settings
         self.proxy_settings = proxy_settings
 
-    def parse(
+    def validate(
         self,
         request: HttpRequest,
         on_response: Callable[[ClientResponse], None],
-        has_disconnected: Callable[[], bool],
+        close_if_disconnected: Callable[[], bool],
     ) -> ParsedRequest:
         """Return the request for the engine; RequestError with the status that rejects it."""
         headers = dict(request.headers)
         _check_headers(request, headers)
-        cls = self._request_class(request, headers)
+        class_index = self._request_class(request, headers)
         request_id = headers.get(b"x-call-id", b"")
         budget = headers.get(b"x-budget-ms", b"")
         if not REQUEST_ID_PATTERN.fullmatch(request_id) or not BUDGET_MS_PATTERN.fullmatch(budget):
@@ -62,7 +62,7 @@
         waited_ms = now_ms() - request.arrived_at  # behind other requests of its connection
         return ParsedRequest(
             request_id.decode(),
-            cls,
+            class_index,
             self._tenant(headers.get(b"x-caller")),
             parse_affinity_key(headers.get(b"x-route-hash")),
             float(budget) - waited_ms,
@@ -71,23 +71,25 @@
             head,
             request.body,
             on_response,
-            has_disconnected,
+            close_if_disconnected,
         )
 
     def _request_class(self, request: HttpRequest, headers: dict[bytes, bytes]) -> int:
         """Return the index of the class that the path names, once method and body are right for it."""
         path = request.target.split(b"?", 1)[0]
-        cls = self.proxy_settings.class_indexes.get(decode_name(unquote_to_bytes(path.split(b"/")[1])))
-        if cls is None:
+        class_index = self.proxy_settings.class_indexes.get(
+            decode_name(unquote_to_bytes(path.split(b"/")[1]))
+        )
+        if class_index is None:
             raise RequestError(404)
-        idempotency = self.settings.classes[cls].idempotency
+        idempotency = self.settings.classes[class_index].idempotency
         if request.method != (b"GET" if idempotency is Idempotency.IDEMPOTENT else b"POST"):
             raise RequestError(405)
         if request.method == b"GET" and request.body:
             raise RequestError(400)
         if idempotency is Idempotency.KEYED and not headers.get(b"idempotency-key"):
             raise RequestError(400)
-        return cls
+        return class_index
 
     def _tenant(self, name: bytes | None) -> int:
         if not self.proxy_settings.tenant_indexes:
--- a/dunecove/server.py
+++ b/dunecove/server.py
@@ -18,7 +18,7 @@
 from dunecove.proxy.gossip import GossipChannel, PeerAddresses
 from dunecove.proxy.listener import Listener
 from dunecove.proxy.log_writer import log
-from dunecove.proxy.request_parser import RequestParser
+from dunecove.proxy.request_validator import RequestValidator
 from dunecove.proxy.telemetry import Telemetry
 from dunecove.reload import Reloader
 
@@ -50,11 +50,11 @@
         engine.on_list_failure,
         pushed=not config.settings.polls_discovery,
         memory_mb=config.memory_mb,
-        endpoints=engine.backends.endpoints,
+        endpoints=engine.connection_pool.endpoints,  # after load_cached_list, which replaces the table
     )
     if config.peer_addresses is not None:
         _open_gossip(engine, config.peer_addresses)
-    listener = Listener(engine, RequestParser(config.settings, config.proxy_settings), limits.clients)
+    listener = Listener(engine, RequestValidator(config.settings, config.proxy_settings), limits.clients)
     listener.listen(config.listen_address)  # before discovery is polled: this may end the program
     if not config.settings.polls_discovery:
         # A pushed list comes as far as the agent on this machine; from there it has to be read, from now on.
@@ -64,7 +64,7 @@
 
 def _open_gossip(engine: Engine, addresses: PeerAddresses) -> None:
     """Open the channel, or retry later: clients are served without it until the address is to be had."""
-    if engine.discovery is None:  # closed
+    if engine.is_closed:
         return
     try:
         engine.gossip = GossipChannel(addresses, engine.on_gossip)
--- a/scale/memory_child.py
+++ b/scale/memory_child.py
@@ -26,7 +26,7 @@
 from dunecove.proxy.engine import Engine
 from dunecove.proxy.gossip import GossipChannel, PeerAddresses
 from dunecove.proxy.listener import Listener
-from dunecove.proxy.request_parser import RequestParser
+from dunecove.proxy.request_validator import RequestValidator
 from dunecove.wire.settings import read_proxy_settings, read_settings
 from scale import synthetic
 from scale.process_memory import resident_bytes
@@ -57,14 +57,14 @@
 async def hold_classes(count: int, seed: int) -> object:
     """Return a balancer and a request parser with `count` request classes, each with settings of its own."""
     raw = synthetic.settings(PROXIES, classes=count)
-    return Balancer(read_settings(raw), seed), RequestParser(read_settings(raw), read_proxy_settings(raw))
+    return Balancer(read_settings(raw), seed), RequestValidator(read_settings(raw), read_proxy_settings(raw))
 
 
 async def hold_tenants(count: int, seed: int) -> object:
     """Return a balancer and a request parser with `count` tenants that have a quota; they share settings."""
     raw = synthetic.settings(PROXIES, tenants=count)
     settings = read_settings(raw)
-    return Balancer(settings, seed), RequestParser(settings, read_proxy_settings(raw))
+    return Balancer(settings, seed), RequestValidator(settings, read_proxy_settings(raw))
 
 
 async def hold_peers(count: int, seed: int) -> object:
@@ -84,7 +84,7 @@
     entries = [synthetic.list_entry(number, address=backend_address) for number in range(CONNECTION_BACKENDS)]
     wire = read_proxy_settings(proxy_settings)
     engine.on_list(read_list_update(synthetic.endpoint_list(1, entries), wire), ListUpdateKind.SNAPSHOT)
-    listener = Listener(engine, RequestParser(read_settings(proxy_settings), wire), CLIENT_SLOTS)
+    listener = Listener(engine, RequestValidator(read_settings(proxy_settings), wire), CLIENT_SLOTS)
     listener.listen("127.0.0.1:0")
     clients_connected = asyncio.Event()
     asyncio.get_running_loop().add_reader(0, clients_connected.set)
--- a/tests/proxy/pool_harness.py
+++ b/tests/proxy/pool_harness.py
@@ -9,7 +9,7 @@
 
 from dunecove.policy.models import AttemptResult, BackendInfo, BackendState
 from dunecove.proxy.attempt import Attempt
-from dunecove.proxy.backend_pool import MIN_IDLE_MS
+from dunecove.proxy.backend_connections import MIN_IDLE_MS
 from dunecove.proxy.connection_pool import ConnectionPool
 from dunecove.proxy.endpoint_list import Endpoint
 from dunecove.proxy.http_exchange import Response
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -87,7 +87,7 @@
             client.send()
             (await p.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
-            (connection,), (kept,) = p.listener.slots.connections, p.engine.backends.connections
+            (connection,), (kept,) = p.listener.slots.connections, p.engine.connection_pool.connections
             assert kept.transport is not None
             for transport in (connection.transport, kept.transport):
                 sock = transport.get_extra_info("socket")
@@ -346,7 +346,7 @@
     client = await p.client()
     client.send()
     received = await next_call(p)
-    (connection,) = p.engine.backends.connections
+    (connection,) = p.engine.connection_pool.connections
     transport = connection.transport
     assert transport is not None
     transport.pause_reading()
@@ -405,7 +405,7 @@
             assert received.body == b"by and by"
             answer = b"HTTP/1.1 103 Hints\r\nlink: </a>\r\n\r\n"
             answer += OK + b"transfer-encoding: chunked\r\n\r\n4\r\nslow\r\n3;x=y\r\nly.\r\n0\r\nt: u\r\n\r\n"
-            (backend_connection,) = p.engine.backends.connections
+            (backend_connection,) = p.engine.connection_pool.connections
             for byte in answer:
                 assert backend_connection.is_awaiting_response and client.reader._buffer == b""  # type: ignore[attr-defined]
                 size = backend_connection._received_bytes
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -10,7 +10,7 @@
 import pytest
 
 from dunecove.policy.models import AttemptResult, BackendState
-from dunecove.proxy.backend_pool import MIN_IDLE_MS
+from dunecove.proxy.backend_connections import MIN_IDLE_MS
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.socket_probe import has_unread_input
 from tests.loopback import ConnectGate, ScriptedServer, run, until
@@ -56,7 +56,7 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             await harness.serve_one(backend)
-            (idle,) = harness.pool.backend_pools["s"].idle
+            (idle,) = harness.pool.connections_by_backend["s"].idle
             transport = idle.transport
             assert transport is not None
             transport.pause_reading()
@@ -72,7 +72,7 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             await harness.serve_one(backend)
-            (idle,) = harness.pool.backend_pools["s"].idle
+            (idle,) = harness.pool.connections_by_backend["s"].idle
             transport = idle.transport
             assert transport is not None
             transport.pause_reading()
@@ -90,7 +90,7 @@
             call = await backend.requests.get()
             call.respond()
             await harness.result()
-            harness.pool.backend_pools["s"].idle[0].idle_since = (
+            harness.pool.connections_by_backend["s"].idle[0].idle_since = (
                 now_ms() + 1000
             )  # just now, however slow this machine is
             assert await harness.serve_one(backend) == 2
@@ -111,7 +111,7 @@
             harness.start(timeout_ms=50.0)
             await backend.requests.get()
             assert await harness.result() is AttemptResult.TIMEOUT
-            assert not harness.pool.backend_pools["s"].idle
+            assert not harness.pool.connections_by_backend["s"].idle
             assert await harness.serve_one(backend) == 3
 
     run(test())
@@ -328,7 +328,7 @@
             call.respond()
             assert await harness.result() is AttemptResult.OK
             await call.closed.wait()
-            assert not harness.pool.backend_pools["s"].idle
+            assert not harness.pool.connections_by_backend["s"].idle
 
     run(test())
 
@@ -424,7 +424,7 @@
             busy = await other.requests.get()
             harness.start("t")
             second = await other.requests.get()
-            assert not harness.pool.backend_pools["s"].idle
+            assert not harness.pool.connections_by_backend["s"].idle
             harness.start("s")
             assert await harness.result() is AttemptResult.NO_LOCAL_RESOURCE  # nothing is idle now
             for call in (busy, second):
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -101,7 +101,7 @@
             (await service.requests.get()).respond(body)
             await recorded.failures.get()
             assert recorded.updates.empty()
-            recorded.client.watch()  # when the module says so, from the version held
+            recorded.client.watch()  # when the balancer says so, since the revision at hand
             call = await service.requests.get()
             assert call.request_line.startswith("GET /registry/instances?since=41&")
             reply(call, listing(44))
@@ -159,11 +159,11 @@
             bad.respond(b'{"rev":2,"all":true,"targets":[{"uid":5}]}')
             client = await p.client()
             assert (await client.exchange("/health/ready", "GET")).status == 200
-            assert set(p.engine.backends.endpoints) == {"s0", "s1"}
+            assert set(p.engine.connection_pool.endpoints) == {"s0", "s1"}
             good = await p.registry.requests.get()
             reply(good, listing(3, target("s1", p.backends[1].address)))
             await p.registry.requests.get()  # the next poll: the update has been processed
-            assert set(p.engine.backends.endpoints) == {"s1"}
+            assert set(p.engine.connection_pool.endpoints) == {"s1"}
             for number in range(5):
                 client.send(x_call_id=f"c{number}")
                 (await p.backends[1].requests.get()).respond()
@@ -184,7 +184,7 @@
             assert "?since=1&" in second.request_line
             reply(second, listing(2, target("s0", p.backends[0].address, "leaving"), whole=False))
             await p.registry.requests.get()
-            assert p.engine.backends.active_count() == 1
+            assert p.engine.connection_pool.active_count() == 1
 
     run(test())
 
@@ -341,7 +341,8 @@
 
 @pytest.mark.parametrize("grace_ms", [500.0, 2_500.0, 6_000.0])
 def test_pushed_list_is_read_within_the_drain_grace_of_its_return(grace_ms: float) -> None:
-    # What it holds then counts as told at once. An open watch may have been left silent, or a call since.
+    # What the service has then counts as notified at once. An open watch may have been left silent, or a
+    # call since.
     discovery = client_for(True, grace_ms)
     again = max_ms_until_retry(Driver(settings(), *fleet(2)))
     assert discovery.long_poll_ms + discovery.response_timeout_ms + again <= grace_ms + 50
@@ -374,7 +375,7 @@
             first = await p.registry.requests.get()
             first.respond(json.dumps(listing(2, *many)).encode())
             call = await p.registry.requests.get()
-            assert "?since=2&" in call.request_line and p.engine.backends.active_count() == 20_000
+            assert "?since=2&" in call.request_line and p.engine.connection_pool.active_count() == 20_000
             assert p.engine.discovery is not None
             max_list_bytes = p.engine.discovery.max_list_bytes
             # A list takes up to three times its bytes.
@@ -388,7 +389,7 @@
                 with suppress(ConnectionError):
                     await call.writer.drain()
                 await asyncio.sleep(0)
-            assert p.engine.backends.active_count() == 20_000
+            assert p.engine.connection_pool.active_count() == 20_000
             assert "?since=2&" in (await p.registry.requests.get()).request_line
 
     run(test())
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -38,7 +38,7 @@
 from dunecove.proxy import engine as engine_module
 from dunecove.proxy import listener as listener_module
 from dunecove.proxy import log_writer as log_writer_module
-from dunecove.proxy import request_parser as request_parser_module
+from dunecove.proxy import request_validator as request_validator_module
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer
 from tests.loopback import Client, ConnectGate, Proxy, proxy, request, reset, run, until
@@ -385,7 +385,7 @@
 
     async def test() -> None:
         async with proxy(MayCancel=may_cancel) as p:
-            gate = ConnectGate.of(p.engine.backends)
+            gate = ConnectGate.of(p.engine.connection_pool)
             client, other = await p.client(), await p.client()
             client.send(x_budget_ms="20000" if why == "client leaves" else "50")
             comes_up = await gate.attempts.get()
@@ -407,7 +407,7 @@
 
 
 async def leave_unseen(p: Proxy, client: Client, how: str) -> None:
-    """The client leaves, and the loop is not told: as if it had been too busy to come to it since."""
+    """The client leaves, and the loop has not noticed: as if it had been too busy to come to it since."""
     (inside,) = p.listener.slots.connections
     inside.transport.pause_reading()
     if how == "half-close":
@@ -425,7 +425,7 @@
 def test_nothing_is_sent_for_a_client_that_left_while_the_loop_was_busy(
     script: type[Script], how: str, further: bool
 ) -> None:
-    """Nor sent again: an attempt that begins 0.1 s after the close is a break, however late the loop is."""
+    """Nor sent again: an attempt more than 0.1 s after the close is a violation, however late the loop is."""
 
     def act(batch: list[Any]) -> list[Action]:
         kinds = (TimerFired, RequestArrived) if further else TimerFired
@@ -466,7 +466,7 @@
 
     async def test() -> None:
         async with proxy() as p:
-            gate = ConnectGate.of(p.engine.backends)
+            gate = ConnectGate.of(p.engine.connection_pool)
             client = await p.client()
             client.send()
             comes_up = await gate.attempts.get()
@@ -474,7 +474,7 @@
             comes_up.set()
             await until(lambda: events(AttemptEnded))
             assert [e[:3] for e in events(AttemptEnded)] == [("c1", 0, AttemptResult.WITHDRAWN)]
-            await until(lambda: not p.engine.requests.open and not p.engine.backends.connections)
+            await until(lambda: not p.engine.requests.open and not p.engine.connection_pool.connections)
             assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].requests.empty()
 
     run(test())
@@ -506,7 +506,8 @@
                 client.send(x_call_id="first")
                 (await p.backends[0].requests.get()).respond()
                 assert (await client.read_response()).status == 200
-                p.engine.backends.backend_pools["s0"].idle[0].idle_since -= 1000.0  # it may be lent again
+                idle = p.engine.connection_pool.connections_by_backend["s0"].idle
+                idle[0].idle_since -= 1000.0  # it may be lent again
             client.send(x_call_id="late")
             if over == "neither":
                 call = await p.backends[0].requests.get()
@@ -584,14 +585,16 @@
     run(test())
 
 
-@pytest.mark.parametrize("told", [True, False])
+@pytest.mark.parametrize("arrival_is_known", [True, False])
 def test_what_lay_in_the_kernel_has_its_time_from_when_reading_paused(
-    script: type[Script], monkeypatch: pytest.MonkeyPatch, told: bool
+    script: type[Script], monkeypatch: pytest.MonkeyPatch, arrival_is_known: bool
 ) -> None:
-    """Or from when it came, where the kernel tells."""
+    """Or from when it arrived, where the kernel reports that."""
     clock = [0.0]
-    monkeypatch.setattr(connection_module, "last_arrival_ms", lambda _: clock[0] if told else None)
-    for module in (connection_module, listener_module, request_parser_module, slots_module):
+    monkeypatch.setattr(
+        connection_module, "last_arrival_ms", lambda _: clock[0] if arrival_is_known else None
+    )
+    for module in (connection_module, listener_module, request_validator_module, slots_module):
         monkeypatch.setattr(module, "now_ms", lambda: now_ms() + clock[0])
     script.act = each(
         RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)] * (e.request_id == "c1")
@@ -628,9 +631,11 @@
 
     async def test() -> None:
         async with proxy() as p:
-            probe = await p.backends[0].requests.get()
-            assert probe.request_line == "GET /stats HTTP/1.1" and "x-call-id" not in probe.headers
-            probe.respond()
+            health_check = await p.backends[0].requests.get()
+            assert (
+                health_check.request_line == "GET /stats HTTP/1.1" and "x-call-id" not in health_check.headers
+            )
+            health_check.respond()
             watch = await p.registry.requests.get()
             assert watch.request_line.startswith("GET /registry/instances?since=1&")
             await until(lambda: events(TimerFired) and events(HealthCheckResult))
@@ -712,7 +717,7 @@
             for name in ("held", "out", "left"):
                 clients[name].send(x_call_id=name)
             calls = [await p.backends[0].requests.get() for _ in range(2)]
-            gate = ConnectGate.of(p.engine.backends)
+            gate = ConnectGate.of(p.engine.connection_pool)
             clients["coming"].send(x_call_id="coming")
             comes_up = await gate.attempts.get()
             await until(lambda: "held" in p.engine.requests.open)
@@ -759,7 +764,7 @@
 
     async def test() -> None:
         async with proxy() as p:
-            monkeypatch.setattr(p.engine.backends, "start", lambda attempt: 1 / 0)
+            monkeypatch.setattr(p.engine.connection_pool, "start", lambda attempt: 1 / 0)
             assert (await (await p.client()).exchange()).status == 504
 
     run(test())
@@ -777,16 +782,16 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "work"), [("12500", 12.5), ("-1", 0.0), ("1e9", 0.0), ("", 0.0), (None, 0.0)]
+    ("header", "work"), [("12500", 12.5), ("-1", 0.0), ("1e9", 0.0), ("", 0.0), (None, 0.0)]
 )
 def test_a_work_hint_reaches_the_balancer_if_it_can_be_one(
-    script: type[Script], told: str | None, work: float
+    script: type[Script], header: str | None, work: float
 ) -> None:
     script.act = each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
         async with proxy() as p:
-            assert (await (await p.client()).exchange(x_call_cost=told)).status == 504
+            assert (await (await p.client()).exchange(x_call_cost=header)).status == 504
             assert events(RequestArrived)[0].work_hint_ms == work
 
     run(test())
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -1,4 +1,4 @@
-"""What proxies tell one another: the datagrams, and what the module makes of them."""
+"""Gossip between proxies: the datagrams, and what the balancer learns from them."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_http_exchange.py
+++ b/tests/proxy/test_http_exchange.py
@@ -71,7 +71,7 @@
             response = b"HTTP/1.1 503 X\r\nx-rejected: 1\r\ncontent-length: 0\r\n\r\n"
             await asyncio.get_running_loop().sock_sendall(backend, response)
             assert await harness.result() is AttemptResult.REJECTED
-            assert not harness.pool.backend_pools["s"].idle
+            assert not harness.pool.connections_by_backend["s"].idle
 
     run(test())
 
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -129,7 +129,7 @@
             assert served > 5
             (await p.registry.requests.get()).respond(json.dumps(listing(3, own)).encode())
             await until_listed(p, 1)
-            assert set(p.engine.backends.endpoints) == {"s0"}
+            assert set(p.engine.connection_pool.endpoints) == {"s0"}
             client.send()
             (await p.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
@@ -187,12 +187,12 @@
                 EndpointListUpdate(2, True, endpoints(10 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             assert (
-                not p.engine.backends.backend_pools
-                and p.engine.backends.active_count() == 10 * ENDPOINTS_PER_SLICE
+                not p.engine.connection_pool.connections_by_backend
+                and p.engine.connection_pool.active_count() == 10 * ENDPOINTS_PER_SLICE
             )
             assert await turns_until_notified(p) >= 10
             assert p.engine.balancer.backends.listed_count == 10 * ENDPOINTS_PER_SLICE and names(p) == set(
-                p.engine.backends.endpoints
+                p.engine.connection_pool.endpoints
             )
 
     run(test())
@@ -206,9 +206,9 @@
             )
             last = endpoints(1, 5 * ENDPOINTS_PER_SLICE - 1, BackendState.DRAINING)
             p.engine.on_list(EndpointListUpdate(3, False, (*last, *endpoints(1, 9999))))
-            assert p.engine.backends.active_count() == 5 * ENDPOINTS_PER_SLICE
+            assert p.engine.connection_pool.active_count() == 5 * ENDPOINTS_PER_SLICE
             await turns_until_notified(p)
-            assert names(p) == set(p.engine.backends.endpoints) and last[0].backend_id not in names(p)
+            assert names(p) == set(p.engine.connection_pool.endpoints) and last[0].backend_id not in names(p)
 
     run(test())
 
@@ -230,7 +230,7 @@
             await until(lambda: p.engine.balancer is not old)
             await turns_until_notified(p)
             assert p.engine.balancer.backends.listed_count == 5 * ENDPOINTS_PER_SLICE and names(p) == set(
-                p.engine.backends.endpoints
+                p.engine.connection_pool.endpoints
             )
 
     run(test())
@@ -243,11 +243,11 @@
             client.send()
             (await p.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
-            p.engine.backends._close_expired()
-            assert set(p.engine.backends.backend_pools) == {"s0"}  # its connection is kept
-            p.engine.backends.backend_pools["s0"].close_idle()
-            await until(lambda: not p.engine.backends.connections)
-            p.engine.backends._close_expired()
-            assert not p.engine.backends.backend_pools
+            p.engine.connection_pool._close_expired()
+            assert set(p.engine.connection_pool.connections_by_backend) == {"s0"}  # its connection is kept
+            p.engine.connection_pool.connections_by_backend["s0"].close_idle()
+            await until(lambda: not p.engine.connection_pool.connections)
+            p.engine.connection_pool._close_expired()
+            assert not p.engine.connection_pool.connections_by_backend
 
     run(test())
