--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -123,7 +123,7 @@
     run(test())
 
 
-def test_refusals_and_failures_go_out_at_once(script: type[Script]) -> None:
+def test_rejections_and_failures_go_out_at_once(script: type[Script]) -> None:
     script.act = each(
         RequestArrived,
         lambda e: (
@@ -194,7 +194,7 @@
     run(test())
 
 
-def test_an_attempt_after_the_end_is_not_sent_and_gets_its_outcome(script: type[Script]) -> None:
+def test_an_attempt_after_the_end_is_not_sent_and_gets_its_result(script: type[Script]) -> None:
     script.act = each(RequestArrived, lambda e: [Fail(e.request_id), Forward(e.request_id, "s0", 1000.0)])
 
     async def test() -> None:
@@ -211,7 +211,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_as_its_request_is_sent_again_gets_nothing_sent(script: type[Script]) -> None:
+def test_a_client_that_leaves_as_its_request_is_retried_gets_nothing_sent(script: type[Script]) -> None:
     # The balancer hears of the outcome and of the client's leaving in one step, and has sent again between.
     def act(batch: list[Any]) -> list[Action]:
         actions: list[Action] = [
@@ -269,7 +269,7 @@
     run(test())
 
 
-def test_hundreds_of_connections_that_are_not_read_cost_one_question(
+def test_hundreds_of_connections_that_are_not_read_cost_one_system_call(
     script: type[Script], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watcher_module, "DISCONNECT_POLL_S", 1000.0)  # the test gives the word
@@ -302,7 +302,7 @@
     run(test())
 
 
-def test_what_waited_behind_another_is_not_taken_once_its_client_has_left(
+def test_request_behind_another_is_not_accepted_once_its_client_has_left(
     script: type[Script], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
@@ -327,7 +327,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_with_answers_unread_is_gone_at_once(script: type[Script]) -> None:
+def test_a_client_that_leaves_with_responses_unread_is_closed_at_once(script: type[Script]) -> None:
     # Its connection is not lost before what waits to be written is out, which nobody reads.
     async def test() -> None:
         async with proxy() as p:
@@ -482,7 +482,7 @@
 
 @pytest.mark.parametrize("pooled", [False, True])
 @pytest.mark.parametrize("over", ["within", "limit", "neither"])
-def test_the_time_that_a_step_took_counts_against_the_times_of_its_sends(
+def test_the_time_that_a_step_took_counts_against_its_attempts(
     script: type[Script], over: str, pooled: bool
 ) -> None:
     """Times count from the start of the step; a long step, or many attempts in it, may outlast a window."""
@@ -526,7 +526,7 @@
     run(test())
 
 
-def test_requests_sent_ahead_have_their_time_from_when_they_were_sent(
+def test_pipelined_requests_have_their_time_from_when_they_were_sent(
     script: type[Script], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """However many lie before them: one that is parsed only when another has ended waited all that time."""
@@ -561,7 +561,7 @@
     run(test())
 
 
-def test_a_request_that_waited_for_a_place_has_the_time_that_is_left(script: type[Script]) -> None:
+def test_a_request_that_waited_for_a_slot_has_the_time_that_is_left(script: type[Script]) -> None:
     """Its bytes came while no connection was accepted."""
     script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
@@ -678,7 +678,7 @@
     assert shown.count("the balancer failed") == 1 and "in the balancer" in shown
 
 
-def test_a_request_sent_ahead_of_a_break_is_served_by_the_new_module(script: type[Script]) -> None:
+def test_a_request_pipelined_before_a_failure_is_served_by_the_new_balancer(script: type[Script]) -> None:
     def act(batch: list[Any]) -> list[Action]:
         arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "break" in arrivals:
@@ -771,7 +771,7 @@
     assert "was not carried out" in capfd.readouterr().err
 
 
-def test_a_flood_of_log_lines_is_cut_and_told(capfd: pytest.CaptureFixture[str]) -> None:
+def test_a_flood_of_log_lines_is_cut_and_reported(capfd: pytest.CaptureFixture[str]) -> None:
     log = log_writer_module.LogWriter()
     for number in range(1000):
         log(f"line {number}")
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -32,7 +32,7 @@
     return host, port
 
 
-def test_messages_come_with_the_number_of_their_sender_and_strangers_are_not_heard() -> None:
+def test_gossip_has_the_index_of_its_sender_and_strangers_are_ignored() -> None:
     async def test() -> None:
         (first, one), (second, two), (stranger, _) = bound(), bound(), bound()
         heard: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
@@ -90,7 +90,7 @@
     run(test())
 
 
-def test_an_address_for_peers_that_is_not_to_be_had_leaves_the_proxy_serving(tmp_path: Path) -> None:
+def test_unavailable_gossip_address_leaves_the_proxy_serving(tmp_path: Path) -> None:
     async def test() -> None:
         where = "203.0.113.1:1"
         engine, listener = start(with_peers(tmp_path, peer_listen=where, peers=[where], peers_all=where))
