--- a/dunecove/policy/actions.py
+++ b/dunecove/policy/actions.py
@@ -26,7 +26,7 @@
     request_id: str
     backend_id: str
     timeout_ms: float
-    write_within_ms: float = inf  # its last byte is written within this time, or no byte is
+    write_timeout_ms: float = inf  # its last byte is written within this time, or no byte is
 
 
 class Reject(NamedTuple):
--- a/dunecove/policy/backend.py
+++ b/dunecove/policy/backend.py
@@ -37,19 +37,19 @@
         "cold_until",
         "consecutive_failures",
         "ejected_until",
-        "ejection_ms",
         "failure_reports",
-        "gossiped_at",
         "id",
         "kind",
+        "last_progress_at",
+        "last_reported_at",
         "name_hash",
+        "next_ejection_ms",
         "next_token_draw_at",
         "outcome_count",
         "payoff",
         "rank",
         "response_rate",
         "responses_since_update",
-        "responsive_at",
         "slow_start_tokens",
         "started_at",
         "state",
@@ -63,10 +63,10 @@
         self.name_hash = name_hash(info.backend_id)
         self.rank = 0  # in this proxy's order of all backends
         self.update(info)
-        self._forget_outcomes()
+        self._reset_outcomes()
 
     def update(self, info: BackendInfo) -> None:
-        """Apply what the endpoint list says, except `started_at`: `BackendSet` sets that after `forget`."""
+        """Apply what the endpoint list says, except `started_at`: `BackendSet` sets that after `reset`."""
         self.state = info.state
         self.zone = info.zone
         self.kind = info.kind
@@ -77,24 +77,24 @@
         """Return what the endpoint list says of it."""
         return BackendInfo(self.id, self.state, self.zone, self.kind, self.cell, self.started_at, self.weight)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget all that was learned: a process that has just started shares nothing with the last one."""
         self.reset_limit()
-        self._forget_outcomes()
+        self._reset_outcomes()
 
-    def _forget_outcomes(self) -> None:
+    def _reset_outcomes(self) -> None:
         self.payoff = 1.0  # smoothed part of its outcomes that were good
         self.outcome_count = 0.0  # decayed
         self.consecutive_failures = 0
         self.ejected_until = 0.0
-        self.ejection_ms = MIN_EJECTION_MS  # the next one, before jitter
+        self.next_ejection_ms = MIN_EJECTION_MS  # the next one, before jitter
         self.failure_reports: list[FailureReport] = []  # of all proxies, the latest last
-        self.gossiped_at = -inf  # when this proxy last reported a failure of it
+        self.last_reported_at = -inf  # when this proxy last reported a failure of it
         self.responses_since_update = 0
         self.response_rate = 0.0  # a second, smoothed
         self.slow_start_tokens = 0.0  # requests that it may get while cold
         self.next_token_draw_at = 0.0  # when it is next drawn whether it may get a request while cold
-        self.responsive_at = 0.0  # its last response, or the first attempt since none was in flight
+        self.last_progress_at = 0.0  # its last response, or the first attempt since none was in flight
         self.started_at: float | None = None
         self.cold_until = 0.0
 
@@ -111,7 +111,7 @@
     def begin_attempt(self, now: float) -> None:
         """Count an attempt that is sent to it."""
         if self.in_flight == 0:
-            self.responsive_at = now
+            self.last_progress_at = now
         self.in_flight += 1
         self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
         if self.cold_until > now:
@@ -123,7 +123,7 @@
 
     def record_response(self, now: float) -> None:
         """Count a response of it."""
-        self.responsive_at = now
+        self.last_progress_at = now
         self.responses_since_update += 1
 
     def update_response_rate(self, seconds: float) -> None:
--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -171,7 +171,7 @@
         if not attempt.is_open:
             return
         attempt.end(event.result)
-        request.open_attempts -= 1
+        request.open_attempt_count -= 1
         attempt.backend.end_attempt()
         self.in_flight.end_attempt(event)
         ejection = self._feedback.record(now, request, attempt.backend, event)
@@ -179,7 +179,7 @@
             self._actions.append(ejection)
         if event.request_finished or request.is_finished:
             self._finish(request)
-        elif request.open_attempts == 0:
+        elif request.open_attempt_count == 0:
             self._continue(request, self.retry_policy.after_failure(now, request, event.result))
 
     def _continue(self, request: Request, decision: Retry | EndReason) -> None:
@@ -231,7 +231,7 @@
         """It has its final response; it is kept only until its open attempts have ended."""
         request.is_finished = True
         request.is_queued = False
-        if request.open_attempts == 0:
+        if request.open_attempt_count == 0:
             del self.requests[request.id]
 
     # Backends and time
--- a/dunecove/policy/dispatcher.py
+++ b/dunecove/policy/dispatcher.py
@@ -68,16 +68,16 @@
         executed = first_executed_attempt(request.attempts)
         backend = self._bandit.pick(now, request, candidates, len(self._backends.subset))
         request.attempts.append(Attempt(backend, now))
-        request.open_attempts += 1
+        request.open_attempt_count += 1
         self._in_flight.begin_attempt()
         backend.begin_attempt(now)
-        end = min(request.useful_until - self._settings.step_interval_ms, request.deadline)
-        write_within_ms = inf
+        end = min(request.value_expires_at - self._settings.step_interval_ms, request.deadline)
+        write_timeout_ms = inf
         request_class = request.request_class
         if executed and request_class.idempotency is Idempotency.KEYED:
             # Its connection may come up late; by then the key may have been forgotten.
-            write_within_ms = dedup_window_end(request_class, executed) - now
-        return Forward(request.id, backend.id, max(end - now, MIN_TIMEOUT_MS), write_within_ms)
+            write_timeout_ms = dedup_window_end(request_class, executed) - now
+        return Forward(request.id, backend.id, max(end - now, MIN_TIMEOUT_MS), write_timeout_ms)
 
     def _capacity(self, now: float) -> tuple[list[Backend], float]:
         """Return the backends with capacity, and how many requests may be sent."""
@@ -110,7 +110,7 @@
         return sum(
             max(
                 backend.limit - backend.in_flight,
-                MIN_LIMIT_LEFT if backend.responsive_at > unresponsive_since else 0.0,
+                MIN_LIMIT_LEFT if backend.last_progress_at > unresponsive_since else 0.0,
             )
             for backend in self._backends.subset
         )
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -52,8 +52,8 @@
     def record_success(self, now: float, backend: Backend) -> None:
         """Learn that a backend responded."""
         backend.consecutive_failures = 0
-        if backend.ejection_ms > MIN_EJECTION_MS and not self._is_suspect(now, backend):
-            backend.ejection_ms = MIN_EJECTION_MS
+        if backend.next_ejection_ms > MIN_EJECTION_MS and not self._is_suspect(now, backend):
+            backend.next_ejection_ms = MIN_EJECTION_MS
 
     def record_failure(self, now: float, backend: Backend, result: AttemptResult) -> BackendEjected | None:
         """Learn that a backend failed; return what to log if it is ejected."""
@@ -61,8 +61,8 @@
         # Seldom met, a backend that fails every other request seldom fails three in a row.
         if self._is_sparse and self._settings.may_gossip and result in BACKEND_FAULTS:
             self._report(now, backend, self._settings.proxy_index)
-            if now - backend.gossiped_at >= GOSSIP_INTERVAL_MS:
-                backend.gossiped_at = now
+            if now - backend.last_reported_at >= GOSSIP_INTERVAL_MS:
+                backend.last_reported_at = now
                 self.to_gossip.append(backend)
         # A timeout may show load alone, in which all share.
         is_bad = self._is_sparse and result is not AttemptResult.TIMEOUT and self._is_outlier(backend)
@@ -135,5 +135,5 @@
             self._eject(now, backend, REPORTED_JITTER)
 
     def _eject(self, now: float, backend: Backend, jitter: tuple[float, float]) -> None:
-        backend.ejected_until = now + backend.ejection_ms * self._rng.uniform(*jitter)
-        backend.ejection_ms = min(2 * backend.ejection_ms, MAX_EJECTION_MS)
+        backend.ejected_until = now + backend.next_ejection_ms * self._rng.uniform(*jitter)
+        backend.next_ejection_ms = min(2 * backend.next_ejection_ms, MAX_EJECTION_MS)
--- a/dunecove/policy/overload_detector.py
+++ b/dunecove/policy/overload_detector.py
@@ -4,7 +4,7 @@
 
 from math import inf
 
-from dunecove.policy.settings import STEPS_TO_ACT
+from dunecove.policy.settings import ACTION_DELAY_STEPS
 
 WINDOW_OBJECTIVES = 0.5  # the window as a part of the objective: a verdict must come while it still helps
 MIN_WINDOW_SENDS = 8  # fewer say nothing: a window with fewer is stretched
@@ -67,7 +67,7 @@
     def threshold_ms(self, mean_latency_ms: float) -> float:
         """Return the minimum wait above which the queue is overloaded."""
         slack_ms = self.objective_ms - mean_latency_ms
-        return max(MAX_WAIT_OF_SLACK * slack_ms, STEPS_TO_ACT * self.step_interval_ms)
+        return max(MAX_WAIT_OF_SLACK * slack_ms, ACTION_DELAY_STEPS * self.step_interval_ms)
 
     @property
     def release_ms(self) -> float:
--- a/dunecove/policy/pinned_retries.py
+++ b/dunecove/policy/pinned_retries.py
@@ -37,7 +37,7 @@
                 for backend in self._scope_members(now, request, executed)
                 if backend.has_capacity(now, self._backends.sparse_backend_limit)
             ]
-            if candidates and now < request.latest_send:
+            if candidates and now < request.send_deadline:
                 request.is_queued = False
                 # Bounded by the retry budget, so not by the in-flight limit.
                 forwards.append(self._dispatcher.forward(now, request, candidates))
--- a/dunecove/policy/queue_timeouts.py
+++ b/dunecove/policy/queue_timeouts.py
@@ -7,7 +7,7 @@
 from dunecove.policy.latency_tracker import LatencyTracker
 from dunecove.policy.request import Attempt, Request
 from dunecove.policy.request_rules import dedup_window_end
-from dunecove.policy.settings import STEPS_TO_ACT, Settings
+from dunecove.policy.settings import ACTION_DELAY_STEPS, Settings
 
 TICK_MS = 25.0  # between two housekeeping ticks: timeouts and recovery need no finer grain
 # Part of its wait after which a request never sent is failed: its client can still try again.
@@ -36,25 +36,32 @@
 
     def is_too_late(self, now: float, request: Request) -> bool:
         """Whether a request that has just come has to be answered now, since no later step could."""
-        return min(request.deadline, request.useful_until) <= now + STEPS_TO_ACT * self._step_interval_ms
+        return (
+            min(request.deadline, request.value_expires_at)
+            <= now + ACTION_DELAY_STEPS * self._step_interval_ms
+        )
 
     def start_queued(self, request: Request) -> None:
         """Set when a request that has just been queued has to be sent at the latest."""
         # An attempt that gets less than an ordinary one's time can't be useful.
         ordinary_max_ms = self._latencies.ordinary_max_ms(request)
-        answer_ms = TICK_MS + STEPS_TO_ACT * self._step_interval_ms  # to answer the client before it leaves
-        request.latest_send = min(request.useful_until - ordinary_max_ms, request.deadline - answer_ms)
+        answer_ms = (
+            TICK_MS + ACTION_DELAY_STEPS * self._step_interval_ms
+        )  # to answer the client before it leaves
+        request.send_deadline = min(request.value_expires_at - ordinary_max_ms, request.deadline - answer_ms)
         if not request.attempts:
             wait_ms = request.deadline - request.arrived_at
-            request.latest_send = min(request.latest_send, request.arrived_at + MAX_UNSENT_FRACTION * wait_ms)
-        self.schedule(min(request.latest_send, request.objective_end - ordinary_max_ms), request)
+            request.send_deadline = min(
+                request.send_deadline, request.arrived_at + MAX_UNSENT_FRACTION * wait_ms
+            )
+        self.schedule(min(request.send_deadline, request.objective_end - ordinary_max_ms), request)
 
     def start_pinned(self, request: Request, executed: Attempt) -> None:
         """Set when a retry that waits for its deduplication scope has to be sent at the latest."""
         window_end = dedup_window_end(request.request_class, executed)
         usual_ms = self._latencies.capped_class_latency_ms(request)
-        request.latest_send = min(request.useful_until - usual_ms, window_end - TICK_MS)
-        self.schedule(request.latest_send, request)
+        request.send_deadline = min(request.value_expires_at - usual_ms, window_end - TICK_MS)
+        self.schedule(request.send_deadline, request)
 
     def extend(self, now: float, request: Request) -> bool:
         """Whether a request whose time is up may wait on; if so its timer is set anew.
@@ -62,7 +69,7 @@
         A late response, if it earns something, is only for times with capacity to spare: under overload it
         costs a request that is still in time.
         """
-        if request.queue.overload_ratio(now) > 1 or now >= request.latest_send:
+        if request.queue.overload_ratio(now) > 1 or now >= request.send_deadline:
             return False
-        self.schedule(min(now + 2 * TICK_MS, request.latest_send), request)
+        self.schedule(min(now + 2 * TICK_MS, request.send_deadline), request)
         return True
--- a/dunecove/policy/request.py
+++ b/dunecove/policy/request.py
@@ -40,7 +40,7 @@
         request_class: RequestClass,
         queue: RequestQueue,
         now: float,
-        first_try_at: float,
+        original_arrival_at: float,
     ) -> None:
         self.id = event.request_id
         self.class_index = event.class_index
@@ -51,18 +51,18 @@
         self.queue = queue
         self.arrived_at = now
         # Where late responses earn something, a retry's objective counts from now.
-        counted_from = now if request_class.late_weight > 0 else first_try_at
+        counted_from = now if request_class.late_weight > 0 else original_arrival_at
         self.objective_end = counted_from + request_class.latency_objective_ms
         # After this a response earns nothing, or the client has left.
-        self.useful_until = self.deadline
+        self.value_expires_at = self.deadline
         if request_class.late_weight <= 0:
-            self.useful_until = min(self.deadline, self.objective_end)
-        self.latest_send = self.deadline
+            self.value_expires_at = min(self.deadline, self.objective_end)
+        self.send_deadline = self.deadline
         self.attempts: list[Attempt] = []
-        self.open_attempts = 0
+        self.open_attempt_count = 0
         self.is_queued = False  # in its queue, or pinned and waiting for its group
         self.is_finished = False
-        self.local_failures = 0  # attempts for which this proxy lacked a connection or another resource
+        self.local_failure_count = 0  # attempts for which this proxy lacked a connection or another resource
         self.retry_at = 0.0  # when it is sent again after a local failure; 0: not waiting for that
 
     def has_backoff_ended(self, now: float) -> bool:
--- a/dunecove/policy/retry_policy.py
+++ b/dunecove/policy/retry_policy.py
@@ -9,7 +9,7 @@
 from dunecove.policy.models import AttemptResult, Idempotency
 from dunecove.policy.request import Request
 from dunecove.policy.request_rules import first_executed_attempt, retry_denial
-from dunecove.policy.settings import STEPS_TO_ACT, Settings
+from dunecove.policy.settings import ACTION_DELAY_STEPS, Settings
 
 # Retries of what may have executed, per arrival: they can't add more than this to any load.
 BUDGET_PER_ARRIVAL = 0.1
@@ -48,9 +48,9 @@
         if not self._may_retry(now, request):
             return EndReason.RETRY_NOT_ALLOWED
         if result is AttemptResult.NO_LOCAL_RESOURCE:
-            request.local_failures += 1
-            if request.local_failures > 1:
-                backoff_ms = LOCAL_FAILURE_BACKOFF_MS * 2 ** (request.local_failures - 2)
+            request.local_failure_count += 1
+            if request.local_failure_count > 1:
+                backoff_ms = LOCAL_FAILURE_BACKOFF_MS * 2 ** (request.local_failure_count - 2)
                 request.retry_at = now + backoff_ms
                 return Retry.BACKOFF
         return self._spend_budget(request)
@@ -62,10 +62,10 @@
 
     def _may_retry(self, now: float, request: Request) -> bool:
         """Whether another attempt is allowed, and of use at its class's usual latency."""
-        sent_at = now + STEPS_TO_ACT * self._settings.step_interval_ms
+        sent_at = now + ACTION_DELAY_STEPS * self._settings.step_interval_ms
         denial = retry_denial(self._settings, request.request_class, request.attempts, sent_at)
         response_at = now + self._latencies.capped_class_latency_ms(request)
-        return denial is None and response_at <= request.useful_until
+        return denial is None and response_at <= request.value_expires_at
 
     def _spend_budget(self, request: Request) -> Retry | EndReason:
         if first_executed_attempt(request.attempts) is None:
--- a/dunecove/policy/settings.py
+++ b/dunecove/policy/settings.py
@@ -9,7 +9,7 @@
 from dunecove.policy.models import DeduplicationScope, Idempotency
 
 MAX_DENSE_PROXIES = 4  # a larger tier is sparse
-STEPS_TO_ACT = 2  # step intervals within which a decision takes effect
+ACTION_DELAY_STEPS = 2  # step intervals within which a decision takes effect
 
 
 class InvalidSettingError(ValueError):
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -118,7 +118,7 @@
         else:
             backend.update(entry)
         if entry.started_at != backend.started_at:
-            backend.forget()
+            backend.reset()
             backend.started_at = entry.started_at
             self._slow_start_budget.update(now, backend)
 
--- a/dunecove/proxy/attempt.py
+++ b/dunecove/proxy/attempt.py
@@ -30,10 +30,10 @@
         body: bytes,
         timeout_ms: float,
         on_end: Callable[[Attempt, AttemptResult, Response | None], None],
-        write_within_ms: float = inf,
+        write_timeout_ms: float = inf,
         record_denial: Callable[[], Denial | None] = _never_denied,
     ) -> None:
-        """Begin an attempt that ends after `timeout_ms` and must be written within `write_within_ms`.
+        """Begin an attempt that ends after `timeout_ms` and must be written within `write_timeout_ms`.
 
         `head` is the request line and the headers, without the empty line at the end. `record_denial`
         returns why the rules forbid to write the request now, and records it; None if they allow it.
@@ -46,7 +46,7 @@
         self.started_at = now_ms()
         self.sent_at = self.started_at  # when its first byte was written, or earlier
         self.deadline = self.started_at + timeout_ms
-        self.write_deadline = self.started_at + write_within_ms
+        self.write_deadline = self.started_at + write_timeout_ms
         self.zone = 0  # of its backend as it began, as is the cell
         self.cell = 0
         self.may_have_executed = True
--- a/dunecove/proxy/request_lifecycle.py
+++ b/dunecove/proxy/request_lifecycle.py
@@ -124,7 +124,7 @@
             lambda ended, result, response: self._on_attempt_ended(
                 request, attempt_index, ended, result, response
             ),
-            action.write_within_ms - elapsed_ms,
+            action.write_timeout_ms - elapsed_ms,
             lambda: self._record_denial(request, attempt_index),
         )
         request.attempts.append(attempt)
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -21,21 +21,23 @@
 from dunecove.policy.models import AttemptResult
 from dunecove.policy.settings import RequestClass, Settings
 from tests.policy.helpers import NON_IDEMPOTENT
-from tests.support import Driver, fleet, of_type, settings
+from tests.support import Driver, actions_of_type, make_backends, make_settings
 
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
     runs = []
     for _ in range(2):
-        driver = Driver(settings(), *fleet(5), seed=7)
-        runs.append([driver.end(driver.arrive()) and driver.forwards[f"r{i}"] for i in range(50)])
+        driver = Driver(make_settings(), *make_backends(5), seed=7)
+        runs.append(
+            [driver.end_attempt(driver.send_request()) and driver.forwards[f"r{i}"] for i in range(50)]
+        )
     assert runs[0] == runs[1]
 
 
 def test_an_outcome_of_an_unknown_request_is_ignored() -> None:
-    driver = Driver(settings(), *fleet(1))
-    request = driver.arrive()
-    driver.end(request)
+    driver = Driver(make_settings(), *make_backends(1))
+    request = driver.send_request()
+    driver.end_attempt(request)
     assert driver.step(AttemptEnded(request, 0, AttemptResult.OK, 1.0, True)) == []
     assert driver.step(AttemptEnded("nobody", 3, AttemptResult.OK, 1.0, True)) == []
 
@@ -83,71 +85,73 @@
 )
 def test_impossible_settings_are_named(name: str, value: object) -> None:
     with pytest.raises(ValueError, match=f"^{name} must"):
-        Balancer(settings(**{name: value}), 1)
+        Balancer(make_settings(**{name: value}), 1)
 
 
 def test_a_timeout_at_the_deadline_is_answered_in_the_same_step() -> None:
-    driver = Driver(settings(NON_IDEMPOTENT), *fleet(1))
-    request = driver.arrive()
-    assert [f.request_id for f in of_type(Fail, driver.end(request, AttemptResult.TIMEOUT, 299.0))] == [
-        request
-    ]
+    driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(1))
+    request = driver.send_request()
+    assert [
+        f.request_id for f in actions_of_type(Fail, driver.end_attempt(request, AttemptResult.TIMEOUT, 299.0))
+    ] == [request]
 
 
 def test_a_client_that_leaves_in_the_same_batch_as_the_end_is_ignored() -> None:
-    driver = Driver(settings(), *fleet(1))
-    request = driver.arrive()
+    driver = Driver(make_settings(), *make_backends(1))
+    request = driver.send_request()
     actions = driver.step(AttemptEnded(request, 0, AttemptResult.OK, 9.0, True), ClientDisconnected(request))
-    assert not of_type(Fail, actions) and not of_type(CancelAttempt, actions)
+    assert not actions_of_type(Fail, actions) and not actions_of_type(CancelAttempt, actions)
 
 
 def test_a_queued_request_whose_client_left_is_not_forwarded() -> None:
-    driver = Driver(settings(proxy_count=4), *fleet(1))
-    first, queued = driver.arrive(), driver.arrive()
-    assert not of_type(
+    driver = Driver(make_settings(proxy_count=4), *make_backends(1))
+    first, queued = driver.send_request(), driver.send_request()
+    assert not actions_of_type(
         Forward, driver.step(ClientDisconnected(queued), AttemptEnded(first, 0, AttemptResult.OK, 5.0, True))
     )
 
 
 def test_attempts_of_a_client_that_left_are_cancelled_where_permitted() -> None:
     for allowed in (True, False):
-        driver = Driver(settings(may_cancel=allowed), *fleet(1))
-        request = driver.arrive()
-        assert bool(of_type(CancelAttempt, driver.step(ClientDisconnected(request)))) is allowed
+        driver = Driver(make_settings(may_cancel=allowed), *make_backends(1))
+        request = driver.send_request()
+        assert bool(actions_of_type(CancelAttempt, driver.step(ClientDisconnected(request)))) is allowed
 
 
 def test_a_started_stream_is_left_alone() -> None:
-    driver = Driver(settings(RequestClass(100.0, 1000.0, streams_response=True)), *fleet(2))
-    request = driver.arrive()
+    driver = Driver(make_settings(RequestClass(100.0, 1000.0, streams_response=True)), *make_backends(2))
+    request = driver.send_request()
     driver.step(ResponseStarted(request, 0, 5.0))
-    assert not of_type(CancelAttempt, driver.run_ticks(500)) and not of_type(Fail, driver.run_ticks(1000))
+    assert not actions_of_type(CancelAttempt, driver.run_ticks(500)) and not actions_of_type(
+        Fail, driver.run_ticks(1000)
+    )
 
 
 def test_an_attempt_given_up_is_no_longer_in_flight() -> None:
     # Its work stops as its connection closes: counted for longer, it would limit what no socket holds.
-    driver = Driver(settings(NON_IDEMPOTENT), *fleet(1))
-    driver.end(driver.arrive(), AttemptResult.TIMEOUT, after=200)
+    driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(1))
+    driver.end_attempt(driver.send_request(), AttemptResult.TIMEOUT, elapsed_ms=200)
     assert driver.balancer.backends.active[0].in_flight == 0
 
 
 def test_nothing_is_forwarded_after_the_end() -> None:
-    driver = Driver(settings(), *fleet(2))
-    request = driver.arrive()
-    driver.end(request, AttemptResult.ERROR)
-    driver.end(request, AttemptResult.OK)
-    assert not of_type(Forward, driver.run_ticks(2000))
+    driver = Driver(make_settings(), *make_backends(2))
+    request = driver.send_request()
+    driver.end_attempt(request, AttemptResult.ERROR)
+    driver.end_attempt(request, AttemptResult.OK)
+    assert not actions_of_type(Forward, driver.run_ticks(2000))
     assert driver.balancer.requests == {}
 
 
 def test_a_balancer_that_is_replaced_is_freed_without_the_garbage_collector() -> None:
     # The program keeps the first list's objects from the collector: in a reference cycle they would stay.
-    driver = Driver(settings(proxy_count=300), *fleet(40))
-    driver.end(driver.arrive())
-    driver.arrive()
+    driver = Driver(make_settings(proxy_count=300), *make_backends(40))
+    driver.end_attempt(driver.send_request())
+    driver.send_request()
     old = ref(driver.balancer)
     gc.disable()
     try:
-        driver.balancer = Balancer(settings(), 1)
+        driver.balancer = Balancer(make_settings(), 1)
         assert old() is None
     finally:
         gc.enable()
--- a/tests/policy/test_bandit.py
+++ b/tests/policy/test_bandit.py
@@ -11,52 +11,52 @@
 )
 from dunecove.policy.models import AttemptResult, BackendInfo
 from dunecove.policy.settings import RequestClass
-from tests.support import Driver, fleet, settings
+from tests.support import Driver, make_backends, make_settings
 
 
 def test_the_higher_payoff_is_picked() -> None:
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(make_settings(), *make_backends(2))
     bad, good = driver.balancer.backends.active
     bad.payoff, bad.outcome_count, good.outcome_count = 0.2, 50.0, 50.0
-    driver.arrive()
+    driver.send_request()
     assert list(driver.forwards.values()) == [[good.id]]
 
 
 def test_the_exploration_bonus_tries_a_backend_without_recent_outcomes_again() -> None:
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(make_settings(), *make_backends(2))
     idle, busy = driver.balancer.backends.active
     driver.balancer.bandit.outcome_count = 200.0
     idle.payoff, idle.outcome_count, busy.outcome_count = 0.8, 0.0, 100.0
-    driver.arrive()
+    driver.send_request()
     assert list(driver.forwards.values()) == [[idle.id]]
 
 
 def test_ties_go_to_fewer_in_flight() -> None:
-    driver = Driver(settings(), *fleet(2))
-    used = driver.forwards[driver.arrive()][0]
-    assert driver.forwards[driver.arrive()][0] != used
+    driver = Driver(make_settings(), *make_backends(2))
+    used = driver.forwards[driver.send_request()][0]
+    assert driver.forwards[driver.send_request()][0] != used
 
 
 def test_an_outcome_is_one_within_the_objective_and_zero_if_late_or_failed() -> None:
-    driver = Driver(settings(), *fleet(1))
+    driver = Driver(make_settings(), *make_backends(1))
     backend = driver.balancer.backends.active[0]
     backend.payoff = 0.5
-    driver.end(driver.arrive(), after=299)
+    driver.end_attempt(driver.send_request(), elapsed_ms=299)
     assert backend.payoff == pytest.approx(0.55)
-    driver.end(driver.arrive(), after=301)
+    driver.end_attempt(driver.send_request(), elapsed_ms=301)
     assert backend.payoff == pytest.approx(0.495)
-    driver.end(driver.arrive(), AttemptResult.ERROR)
+    driver.end_attempt(driver.send_request(), AttemptResult.ERROR)
     assert backend.payoff == pytest.approx(0.4455)
 
 
 def test_with_key_affinity_every_proxy_draws_the_same_two_backends_for_a_key() -> None:
     used: dict[int, set[str]] = {}
     for seed in range(6):
-        driver = Driver(settings(key_affinity=True), *fleet(9), seed=seed)
+        driver = Driver(make_settings(key_affinity=True), *make_backends(9), seed=seed)
         for key in range(20):
-            request = driver.arrive(key=key)
+            request = driver.send_request(affinity_key=key)
             used.setdefault(key, set()).update(driver.forwards[request])
-            driver.end(request)
+            driver.end_attempt(request)
     assert all(len(backends) <= 2 for backends in used.values())
     assert len({frozenset(s) for s in used.values()}) > 5
 
@@ -65,26 +65,28 @@
     """The part of requests with this hint that goes to kind 1, the slow one."""
     slow = 0
     for _ in range(n):
-        request = f"h{next(driver.ids)}"
+        request = f"h{next(driver.request_ids)}"
         driver.step(RequestArrived(request, 0, 0, None, driver.now + 900, False, work))
         kind = kinds[driver.forwards[request][0]]
         slow += kind
-        driver.end(request, after=30.0, delay=(min(work, 30.0) or 30.0) * (1 + kind))
+        driver.end_attempt(request, elapsed_ms=30.0, latency_ms=(min(work, 30.0) or 30.0) * (1 + kind))
     return slow / n
 
 
 def learn_work_rates(driver: Driver, kinds: dict[str, int]) -> None:
     for _ in range(200):
-        request = f"l{next(driver.ids)}"
+        request = f"l{next(driver.request_ids)}"
         driver.step(RequestArrived(request, 0, 0, None, driver.now + 900, False, 20.0))
-        driver.end(request, after=30.0, delay=20.0 + 20.0 * kinds[driver.forwards[request][0]])
+        driver.end_attempt(
+            request, elapsed_ms=30.0, latency_ms=20.0 + 20.0 * kinds[driver.forwards[request][0]]
+        )
 
 
 @pytest.mark.parametrize("proxies", [3, 40])
 def test_work_too_large_for_a_slow_kind_goes_to_a_fast_one(proxies: int) -> None:
     backends = [BackendInfo(f"10.0.0.{i}:80", kind=i % 2) for i in range(12)]
     kinds = {s.backend_id: s.kind for s in backends}
-    driver = Driver(settings(RequestClass(300.0, 900.0), proxy_count=proxies), *backends)
+    driver = Driver(make_settings(RequestClass(300.0, 900.0), proxy_count=proxies), *backends)
     learn_work_rates(driver, kinds)
     assert part_sent_to_slow_kind(driver, kinds, 20.0) > 0.2  # short work is done in time by either kind
     assert part_sent_to_slow_kind(driver, kinds, 90.0) == 0.0
@@ -95,17 +97,17 @@
 def test_a_few_fast_backends_do_not_get_all_the_large_work() -> None:
     backends = [BackendInfo(f"10.0.0.{i}:80", kind=min(i, 1)) for i in range(12)]
     kinds = {s.backend_id: s.kind for s in backends}
-    driver = Driver(settings(RequestClass(300.0, 900.0)), *backends)
+    driver = Driver(make_settings(RequestClass(300.0, 900.0)), *backends)
     learn_work_rates(driver, kinds)
     assert part_sent_to_slow_kind(driver, kinds, 90.0) > 0.5
 
 
 def test_one_failure_of_a_backend_seldom_used_is_remembered() -> None:
-    driver = Driver(settings(proxy_count=8), *fleet(2))
-    bad = driver.forwards[driver.arrive()][0]
-    driver.end("r0", AttemptResult.ERROR, done=True)
+    driver = Driver(make_settings(proxy_count=8), *make_backends(2))
+    bad = driver.forwards[driver.send_request()][0]
+    driver.end_attempt("r0", AttemptResult.ERROR, request_finished=True)
     for _ in range(10):
-        driver.end(driver.arrive())
+        driver.end_attempt(driver.send_request())
         driver.run_ticks(200)
     later = [driver.forwards[f"r{n}"][0] for n in range(1, 11)]
     assert later.count(bad) <= 3
@@ -113,9 +115,9 @@
 
 def test_larger_backends_are_drawn_more_often() -> None:
     backends = [BackendInfo(f"10.0.0.{i}:80", weight=3.0 if i % 2 else 1.0) for i in range(6)]
-    driver = Driver(settings(proxy_count=8), *backends)
+    driver = Driver(make_settings(proxy_count=8), *backends)
     for _ in range(400):
-        driver.end(driver.arrive(), after=30.0)
+        driver.end_attempt(driver.send_request(), elapsed_ms=30.0)
         driver.tick()
     sent = Counter(int(s[0].split(".")[3].split(":")[0]) % 2 for s in driver.forwards.values())
     assert sent[1] > 1.5 * sent[0]
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -5,11 +5,11 @@
 import pytest
 
 from dunecove.policy.backend import Backend
-from tests.support import Driver, fleet, settings
+from tests.support import Driver, make_backends, make_settings
 
 
 def limit_after(latencies: list[float], proxies: int, objective: float = 1000.0, start: float = 4.0) -> float:
-    backend = Backend(fleet(1)[0], proxies)
+    backend = Backend(make_backends(1)[0], proxies)
     backend.limit = start
     for latency in latencies:
         backend.peak_in_flight = max(backend.peak_in_flight, int(max(1, backend.limit)))
@@ -38,10 +38,10 @@
 
 def test_all_limits_are_reduced_when_all_backends_together_are_saturated() -> None:
     """Two responses of each backend say nothing of it alone; twenty backends together say enough."""
-    driver = Driver(settings(proxy_count=4), *fleet(20))
+    driver = Driver(make_settings(proxy_count=4), *make_backends(20))
     backends = driver.balancer.backends.active
     before = sum(s.limit for s in backends)
     for _ in range(80):
-        driver.end(driver.arrive(), after=150)
+        driver.end_attempt(driver.send_request(), elapsed_ms=150)
     assert all(s.window_responses < 8 for s in backends)
     assert sum(s.limit for s in backends) == pytest.approx(before / 2)  # two requests of all proxies at each
--- a/tests/policy/test_list_updates.py
+++ b/tests/policy/test_list_updates.py
@@ -12,7 +12,7 @@
     ListUpdateKind,
 )
 from dunecove.policy.models import BackendInfo, BackendState
-from tests.support import Driver, fleet, of_type, settings
+from tests.support import Driver, actions_of_type, make_backends, make_settings
 
 
 def delta(name: str, state: BackendState) -> BackendListUpdate:
@@ -21,23 +21,23 @@
 
 @pytest.mark.parametrize("state", [BackendState.DRAINING, BackendState.REMOVED])
 def test_nothing_is_forwarded_to_a_backend_that_drains_or_is_removed(state: BackendState) -> None:
-    driver = Driver(settings(), *fleet(2))
+    driver = Driver(make_settings(), *make_backends(2))
     driver.step(delta("10.0.0.0:80", state))
     for _ in range(10):
-        driver.end(driver.arrive())
+        driver.end_attempt(driver.send_request())
     assert {s for sends in driver.forwards.values() for s in sends} == {"10.0.0.1:80"}
 
 
 def test_a_snapshot_without_a_backend_removes_it() -> None:
-    driver = Driver(settings(), *fleet(2))
-    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(1))))
+    driver = Driver(make_settings(), *make_backends(2))
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(make_backends(1))))
     assert [s.id for s in driver.balancer.backends.active] == ["10.0.0.0:80"]
 
 
 def test_a_removed_backend_that_responds_late_does_no_harm() -> None:
-    driver = Driver(settings(), *fleet(1))
-    request = driver.arrive()
+    driver = Driver(make_settings(), *make_backends(1))
+    request = driver.send_request()
     driver.step(delta("10.0.0.0:80", BackendState.REMOVED))
-    driver.end(request)
-    driver.arrive()
-    assert not of_type(Forward, driver.last)
+    driver.end_attempt(request)
+    driver.send_request()
+    assert not actions_of_type(Forward, driver.last_actions)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -16,22 +16,24 @@
     ListUpdateKind,
 )
 from dunecove.policy.models import AttemptResult
-from tests.policy.helpers import NON_IDEMPOTENT, two_zones
-from tests.support import Driver, fleet, of_type, settings
+from tests.policy.helpers import NON_IDEMPOTENT, make_backends_in_two_zones
+from tests.support import Driver, actions_of_type, make_backends, make_settings
 
 GOSSIPING: dict[str, Any] = {"proxy_count": 40, "may_gossip": True}
 
 
 def test_another_zone_serves_when_the_own_one_fails() -> None:
-    driver = Driver(settings(proxy_count=8, zone_count=2), *two_zones(8))
+    driver = Driver(make_settings(proxy_count=8, zone_count=2), *make_backends_in_two_zones(8))
     first: list[str] = []
     for _ in range(100):
-        request = driver.arrive()
+        request = driver.send_request()
         first.append(driver.forwards[request][0])
         for attempt in range(4):
             if len(driver.forwards[request]) > attempt:
                 near = driver.forwards[request][attempt].split(".")[2] == "0"
-                driver.end(request, AttemptResult.CONNECT_FAILED if near else AttemptResult.OK, after=1.0)
+                driver.end_attempt(
+                    request, AttemptResult.CONNECT_FAILED if near else AttemptResult.OK, elapsed_ms=1.0
+                )
         driver.run_ticks(100)
     assert sum(s.split(".")[2] == "1" for s in first[60:]) > 15
 
@@ -40,40 +42,46 @@
     """Of each three requests there it fails two, so that three in a row are rare."""
     sends = 0
     for _ in range(arrivals):
-        request = driver.arrive()
+        request = driver.send_request()
         there = driver.forwards[request][0] == bad
         sends += there
         fails = there and sends % 3 != 0
-        driver.end(
-            request, AttemptResult.ERROR if fails else AttemptResult.OK, after=10.0, done=True, delay=40.0
+        driver.end_attempt(
+            request,
+            AttemptResult.ERROR if fails else AttemptResult.OK,
+            elapsed_ms=10.0,
+            request_finished=True,
+            latency_ms=40.0,
         )
-        driver.tick(after=30.0)
+        driver.tick(elapsed_ms=30.0)
     return sends
 
 
 def test_a_backend_that_fails_often_but_seldom_in_a_row_is_ejected_and_replaced() -> None:
-    driver = Driver(settings(proxy_count=40), *fleet(30))
+    driver = Driver(make_settings(proxy_count=40), *make_backends(30))
     bad = driver.balancer.backends.subset[0]
     assert forwards_to_failing_backend(driver, bad.id, 250) <= 12  # an even share would be 20
-    assert bad.ejection_ms > 1000.0  # and a success between two failures does not reset its ejection
+    assert bad.next_ejection_ms > 1000.0  # and a success between two failures does not reset its ejection
     bad.ejected_until = driver.now + 3000.0
     driver.run_ticks(1100)
     assert bad not in driver.balancer.backends.subset and len(driver.balancer.backends.subset) >= 8
 
 
 def fail_one(driver: Driver, result: AttemptResult) -> tuple[str, list[SendGossip]]:
-    request = driver.arrive()
-    return driver.forwards[request][0], of_type(SendGossip, driver.end(request, result, done=True))
+    request = driver.send_request()
+    return driver.forwards[request][0], actions_of_type(
+        SendGossip, driver.end_attempt(request, result, request_finished=True)
+    )
 
 
 def test_a_failure_is_reported_and_one_that_may_be_load_is_not() -> None:
-    driver = Driver(settings(**GOSSIPING), *fleet(30))
+    driver = Driver(make_settings(**GOSSIPING), *make_backends(30))
     name, (gossip,) = fail_one(driver, AttemptResult.ERROR)
     assert gossip.payload == b"\x01" + driver.balancer.backends.by_id[name].name_hash.to_bytes(4, "big")
     for result in (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.REJECTED):
         assert fail_one(driver, result)[1] == []
-    alone = Driver(settings(proxy_count=3, may_gossip=True), *fleet(30))
-    forbidden = Driver(settings(proxy_count=40), *fleet(30))
+    alone = Driver(make_settings(proxy_count=3, may_gossip=True), *make_backends(30))
+    forbidden = Driver(make_settings(proxy_count=40), *make_backends(30))
     assert fail_one(alone, AttemptResult.ERROR)[1] == fail_one(forbidden, AttemptResult.ERROR)[1] == []
 
 
@@ -84,17 +92,17 @@
 def test_a_backend_that_other_proxies_see_fail_is_ejected(
     senders: tuple[int, ...], apart: float, ejected: bool
 ) -> None:
-    driver = Driver(settings(**GOSSIPING), *fleet(30))
+    driver = Driver(make_settings(**GOSSIPING), *make_backends(30))
     backend = driver.balancer.backends.subset[0]
     for sender in senders:
-        driver.step(GossipReceived(sender, b"\x01" + backend.name_hash.to_bytes(4, "big")), after=apart)
+        driver.step(GossipReceived(sender, b"\x01" + backend.name_hash.to_bytes(4, "big")), elapsed_ms=apart)
     assert (not backend.has_capacity(driver.now)) == ejected
     driver.run_ticks(2000)  # longer than its first ejection may last
     assert backend.has_capacity(driver.now)
 
 
 def test_other_proxies_cannot_eject_most_backends() -> None:
-    driver = Driver(settings(**GOSSIPING), *fleet(10))
+    driver = Driver(make_settings(**GOSSIPING), *make_backends(10))
     data = b"\x01" + b"".join(s.name_hash.to_bytes(4, "big") for s in driver.balancer.backends.active)
     for sender in (1, 2, 3):
         driver.step(GossipReceived(sender, data))
@@ -102,13 +110,13 @@
 
 
 def test_messages_that_say_nothing_to_this_proxy_are_ignored() -> None:
-    driver = Driver(settings(proxy_index=4, **GOSSIPING), *fleet(30))
+    driver = Driver(make_settings(proxy_index=4, **GOSSIPING), *make_backends(30))
     gone = driver.balancer.backends.subset[0].name_hash.to_bytes(4, "big")
     own = GossipReceived(4, b"\x01" + driver.balancer.backends.subset[1].name_hash.to_bytes(4, "big"))
     driver.step(
         BackendListUpdate(
             ListUpdateKind.SNAPSHOT,
-            tuple(s for s in fleet(30) if s.backend_id != driver.balancer.backends.subset[0].id),
+            tuple(s for s in make_backends(30) if s.backend_id != driver.balancer.backends.subset[0].id),
         )
     )
     for data in (b"", b"\x01", b"\x01abc", b"\x01abcd", b"\x02" + gone, b"\x01" + gone):
@@ -127,12 +135,12 @@
         driver.balancer.retry_policy.budget = 0.0
         if not driver.balancer.backends.active[backend].has_capacity(driver.now):
             break
-        actions += driver.end(driver.arrive(), result)
+        actions += driver.end_attempt(driver.send_request(), result)
     return actions
 
 
 def test_an_outlier_is_ejected_and_comes_back_on_trial() -> None:
-    driver = Driver(settings(NON_IDEMPOTENT), *fleet(4))
+    driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(4))
     backend = driver.balancer.backends.active[0]
     assert [a for a in fail_often(driver, 0, 10) if isinstance(a, BackendEjected)]
     assert not backend.has_capacity(driver.now)
@@ -141,19 +149,19 @@
     backend.in_flight = 1
     assert not backend.has_capacity(driver.now)  # one on trial, not a full load
     backend.in_flight = 0
-    driver.end(driver.arrive())
+    driver.end_attempt(driver.send_request())
     assert backend.consecutive_failures == 0
 
 
 def test_never_more_than_half_are_ejected() -> None:
-    driver = Driver(settings(NON_IDEMPOTENT), *fleet(4))
+    driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(4))
     for n in range(4):
         fail_often(driver, n, 12)
     assert sum(s.consecutive_failures >= 3 for s in driver.balancer.backends.active) <= 2
 
 
 def test_none_is_ejected_when_all_serve_alike() -> None:
-    driver = Driver(settings(NON_IDEMPOTENT), *fleet(4))
+    driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(4))
     for backend in driver.balancer.backends.active:
         backend.payoff = 0.2
     assert not [a for a in fail_often(driver, 0, 4) if isinstance(a, BackendEjected)]
--- a/tests/policy/test_overload_detector.py
+++ b/tests/policy/test_overload_detector.py
@@ -4,11 +4,11 @@
 
 from dunecove.policy.overload_detector import OverloadDetector
 from dunecove.policy.request_queue import RequestQueue
-from tests.policy.helpers import stuck_driver
+from tests.policy.helpers import driver_with_queued_request
 
 
 def queue_with_waits(*waits: float) -> tuple[RequestQueue, float]:
-    driver = stuck_driver()
+    driver = driver_with_queued_request()
     queue, now = driver.balancer.queues[0], driver.now
     detector = queue.detector
     detector.min_wait_ms, detector.previous_min_wait_ms, detector.send_count = 0.0, 0.0, 0
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -11,7 +11,7 @@
 from dunecove.policy.events import AttemptEnded, BackendListUpdate, ListUpdateKind
 from dunecove.policy.models import AttemptResult, BackendState
 from dunecove.policy.settings import RequestClass
-from tests.support import Driver, fleet, of_type, settings
+from tests.support import Driver, actions_of_type, make_backends, make_settings
 
 RECOVERY_MS = 12_000  # the longest ejection (8 s and a quarter), then its trial
 STEP_MS = 10  # one arrival each
@@ -26,7 +26,7 @@
             RequestClass(300.0, 1000.0, priority_weight=1.0),
             RequestClass(300.0, 1000.0, priority_weight=0.1),
         )
-        self.driver = Driver(settings(*classes), *fleet(backends))
+        self.driver = Driver(make_settings(*classes), *make_backends(backends))
         self.ends: list[tuple[float, str, int, AttemptResult, float]] = []
         self.attempts: Counter[str] = Counter()
         self.forwards: Counter[str] = Counter()
@@ -36,19 +36,21 @@
         self.forwards.clear()
         driver = self.driver
         for n in range(ms // STEP_MS):
-            self.schedule_ends(driver.tick(STEP_MS) if n % 3 == 0 else driver.step(after=STEP_MS), outcomes)
+            self.schedule_ends(
+                driver.tick(STEP_MS) if n % 3 == 0 else driver.step(elapsed_ms=STEP_MS), outcomes
+            )
             while self.ends and self.ends[0][0] <= driver.now:
                 _, request, attempt, result, delay = heappop(self.ends)
                 self.schedule_ends(
                     driver.step(AttemptEnded(request, attempt, result, delay, result is AttemptResult.OK)),
                     outcomes,
                 )
-            driver.arrive(n % 2)
-            self.schedule_ends(driver.last, outcomes)
+            driver.send_request(n % 2)
+            self.schedule_ends(driver.last_actions, outcomes)
 
     def schedule_ends(self, actions: list[Action], outcomes: dict[str, tuple[AttemptResult, float]]) -> None:
         now = self.driver.now
-        for forward in of_type(Forward, actions):
+        for forward in actions_of_type(Forward, actions):
             self.forwards[forward.backend_id] += 1
             result, delay = outcomes.get(forward.backend_id, (AttemptResult.OK, USUAL_MS))
             if delay > forward.timeout_ms:
@@ -60,7 +62,7 @@
 
 
 def all_of(backends: int, result: AttemptResult, delay: float) -> dict[str, tuple[AttemptResult, float]]:
-    return {s.backend_id: (result, delay) for s in fleet(backends)}
+    return {s.backend_id: (result, delay) for s in make_backends(backends)}
 
 
 FAULTS = {
@@ -103,11 +105,13 @@
 def test_backends_that_were_away_are_used_as_before() -> None:
     script = Script(4)
     script.run(5_000, {})
-    gone = fleet(4, state=BackendState.REMOVED)
+    gone = make_backends(4, state=BackendState.REMOVED)
     script.driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(gone)))
     script.run(3_000, {})
     assert not script.forwards
-    script.schedule_ends(script.driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(fleet(4)))), {})
+    script.schedule_ends(
+        script.driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(make_backends(4)))), {}
+    )
     script.run(3_000, {})  # level 4 comes back over four aims
     script.run(3_000, {})
     assert len(script.forwards) == 4 and sum(script.forwards.values()) >= 290
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -17,7 +17,7 @@
 from dunecove.policy.models import AttemptResult, BackendInfo
 from dunecove.policy.settings import RequestClass
 from dunecove.policy.slow_start import SlowStart
-from tests.support import settings
+from tests.support import make_settings
 
 SLOW_START_MS = 24_000.0
 WINDOW_MS = 1000.0
@@ -50,7 +50,7 @@
         """Start it, or start it anew: nothing of the process before it remains."""
         self.events = [event for event in self.events if event[2] != proxy]
         heapify(self.events)
-        config = settings(
+        config = make_settings(
             CLASS,
             proxy_count=self.proxies,
             proxy_index=proxy,
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -9,8 +9,8 @@
     ListUpdateKind,
 )
 from dunecove.policy.models import BackendInfo
-from tests.policy.helpers import two_zones
-from tests.support import Driver, fleet, settings
+from tests.policy.helpers import make_backends_in_two_zones
+from tests.support import Driver, make_backends, make_settings
 
 COLD = {
     "slow_start_capacity": 0.12,
@@ -27,16 +27,18 @@
         "slow_start_overload_factor": 3.0,
         "slow_start_window_ms": 1000.0,
     }
-    driver = Driver(settings(proxy_count=40, zone_count=2, zone=0, **cold), *two_zones(16))
+    driver = Driver(
+        make_settings(proxy_count=40, zone_count=2, zone=0, **cold), *make_backends_in_two_zones(16)
+    )
     for _ in range(200):
-        driver.end(driver.arrive(), after=10.0, delay=50.0)
-        driver.tick(after=40.0)
-    back = [s._replace(started_at=driver.now) for s in two_zones(16) if s.zone == 1]
+        driver.end_attempt(driver.send_request(), elapsed_ms=10.0, latency_ms=50.0)
+        driver.tick(elapsed_ms=40.0)
+    back = [s._replace(started_at=driver.now) for s in make_backends_in_two_zones(16) if s.zone == 1]
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(back)))
     driver.forwards.clear()
     for _ in range(200):
-        driver.end(driver.arrive(), after=10.0, delay=50.0)
-        driver.tick(after=40.0)
+        driver.end_attempt(driver.send_request(), elapsed_ms=10.0, latency_ms=50.0)
+        driver.tick(elapsed_ms=40.0)
     cold_ones = sum(sent[0].split(".")[2] == "1" for sent in driver.forwards.values())
     assert 10 <= cold_ones <= 80  # of 200, half of the backends being at a sixth to a half of their capacity
 
@@ -53,7 +55,7 @@
     times = []
     for me in range(proxies):
         driver = Driver(
-            settings(proxy_count=proxies, proxy_index=me, **cold),
+            make_settings(proxy_count=proxies, proxy_index=me, **cold),
             BackendInfo("new:1", started_at=990.0),
             seed=me,
         )
@@ -61,8 +63,8 @@
             if driver.forwards:
                 times.append(driver.now)
                 break
-            driver.arrive(wait=100)
-            driver.tick(after=50.0)
+            driver.send_request(timeout_ms=100)
+            driver.tick(elapsed_ms=50.0)
     assert len(times) <= proxies / 10 + 4
 
 
@@ -73,8 +75,8 @@
 @pytest.mark.parametrize("split", [(1, 1, 1), (1, 0, 0), (4, 1, 1)])
 def test_the_budget_of_all_proxies_stays_under_the_capacity_for_any_split(split: tuple[int, ...]) -> None:
     """Warm backends carry 10 a second each; a cold one's capacity is at least its part of that."""
-    config = settings(proxy_count=3, **COLD)
-    drivers = [Driver(config, *fleet(4), seed=s) for s in range(3)]
+    config = make_settings(proxy_count=3, **COLD)
+    drivers = [Driver(config, *make_backends(4), seed=s) for s in range(3)]
     pause = 1000.0 / 40.0 * sum(split)
     sent: list[tuple[float, int]] = []
     for tick in range(400):
@@ -84,8 +86,8 @@
                     BackendListUpdate(ListUpdateKind.DELTA, (BackendInfo("new:1", started_at=driver.now),))
                 )
             for _ in range(weight):
-                driver.end(driver.arrive(), after=0.0, delay=20.0)
-            driver.tick(after=pause)
+                driver.end_attempt(driver.send_request(), elapsed_ms=0.0, latency_ms=20.0)
+            driver.tick(elapsed_ms=pause)
         sent.append((drivers[0].now, forwards_to("new:1", drivers)))
     start = sent[200][0]
     for now, count in sent[200:]:
@@ -96,17 +98,17 @@
 
 
 def test_a_cold_backend_gets_little_before_anything_was_observed() -> None:
-    driver = Driver(settings(proxy_count=2, **COLD), BackendInfo("new:1", started_at=900.0))
+    driver = Driver(make_settings(proxy_count=2, **COLD), BackendInfo("new:1", started_at=900.0))
     for _ in range(40):
-        driver.arrive(wait=5000)
+        driver.send_request(timeout_ms=5000)
         for request in list(driver.forwards):
-            driver.end(request, after=0.0)
-        driver.tick(after=50.0)
+            driver.end_attempt(request, elapsed_ms=0.0)
+        driver.tick(elapsed_ms=50.0)
     assert forwards_to("new:1", [driver]) <= 3
 
 
 def test_a_restarted_backend_is_cold_and_its_limit_is_forgotten() -> None:
-    driver = Driver(settings(**COLD), *fleet(2))
+    driver = Driver(make_settings(**COLD), *make_backends(2))
     backend = driver.balancer.backends.active[0]
     backend.limit, backend.payoff = 9.0, 0.1
     driver.step(
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -26,17 +26,17 @@
 from dunecove.policy.rendezvous_hash import hash_pair
 from dunecove.policy.settings import RequestClass
 from tests.policy.helpers import (
-    SPARSE,
-    two_zones,
+    SPARSE_TIER,
+    make_backends_in_two_zones,
 )
-from tests.support import Driver, fleet, settings
+from tests.support import Driver, make_backends, make_settings
 
 LARGE_TIER = {"proxy_count": 3400, "proxy_index": 17, "zone_count": 2}
 # Each of the first four names has the CRC-32 of one of the last four.
 NAMES = [f"{name}{i}" for name in ("plumless", "buckeroo") for i in range(4)] + [f"s{i}" for i in range(40)]
 
 
-def make_backends(n: int, first: int = 0, **more: float) -> tuple[BackendInfo, ...]:
+def make_numbered_backends(n: int, first: int = 0, **more: float) -> tuple[BackendInfo, ...]:
     return tuple(
         BackendInfo(f"s-{i:08x}", zone=i % 3, cell=i // 4, **more)  # type: ignore[arg-type]
         for i in range(first, first + n)
@@ -81,7 +81,7 @@
 ) -> None:
     listed: dict[str, BackendState] = {}
     with patch.multiple(subsetting, MIN_SUBSCRIBED=16, SUBSCRIBED_SLACK=2):
-        balancer = Balancer(settings(**LARGE_TIER | {"proxy_index": me, "slow_start_ms": 5000.0}), 1)
+        balancer = Balancer(make_settings(**LARGE_TIER | {"proxy_index": me, "slow_start_ms": 5000.0}), 1)
         for number, (kind, entries) in enumerate(lists):
             if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
                 listed.clear()
@@ -108,10 +108,10 @@
 
 
 def test_a_change_among_many_touches_few(hashed: list[int]) -> None:
-    driver = Driver(settings(**LARGE_TIER), *make_backends(20_000))
+    driver = Driver(make_settings(**LARGE_TIER), *make_numbered_backends(20_000))
     hashed[0] = 0
     for n in range(50):
-        gone = make_backends(2, 400 * n)
+        gone = make_numbered_backends(2, 400 * n)
         driver.step(
             BackendListUpdate(
                 ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.DRAINING) for s in gone)
@@ -122,7 +122,7 @@
                 ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.REMOVED) for s in gone)
             )
         )
-        driver.step(BackendListUpdate(ListUpdateKind.DELTA, make_backends(2, 30_000 + 2 * n)))
+        driver.step(BackendListUpdate(ListUpdateKind.DELTA, make_numbered_backends(2, 30_000 + 2 * n)))
     assert hashed[0] / 150 < 30
     hashed[0] = 0
     driver.run_ticks(3000)
@@ -131,9 +131,9 @@
 
 
 def test_new_weights_of_all_touch_only_what_the_list_says_of_them() -> None:
-    driver = Driver(settings(**LARGE_TIER), *make_backends(5_000))
+    driver = Driver(make_settings(**LARGE_TIER), *make_numbered_backends(5_000))
     kept = list(driver.balancer.backends.by_id.values())
-    driver.step(BackendListUpdate(ListUpdateKind.DELTA, make_backends(5_000, weight=0.5)))
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, make_numbered_backends(5_000, weight=0.5)))
     assert list(driver.balancer.backends.by_id.values()) == kept and {s.weight for s in kept} == {0.5}
     unsubscribed = driver.balancer.backends.unsubscribed
     weights = {traits.weight for name in unsubscribed.first(maxsize) if (traits := unsubscribed.get(name))}
@@ -141,45 +141,45 @@
 
 
 def test_what_was_learned_is_kept_of_those_it_keeps_to() -> None:
-    driver = Driver(settings(**LARGE_TIER), *make_backends(5_000))
+    driver = Driver(make_settings(**LARGE_TIER), *make_numbered_backends(5_000))
     bad = driver.balancer.backends.subset[0]
     bad.payoff = 0.1
-    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, make_backends(6_000)))
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, make_numbered_backends(6_000)))
     driver.run_ticks(3000)
     assert driver.balancer.backends.by_id[bad.id] is bad and bad.payoff < 1.0
 
 
 def test_few_proxies_keep_to_few_of_a_long_list_and_to_more_under_load() -> None:
-    driver = Driver(settings(RequestClass(300.0, 5000.0), proxy_count=3), *make_backends(5_000))
+    driver = Driver(make_settings(RequestClass(300.0, 5000.0), proxy_count=3), *make_numbered_backends(5_000))
     assert len(driver.balancer.backends.subset) <= 320
     arrivals = [RequestArrived(f"q{n}", 0, 0, None, driver.now + 5000.0) for n in range(2_000)]
     for n in range(0, 2_000, 50):  # none ends: all are forwarded, since there are backends for all
         driver.step(*arrivals[n : n + 50])
     assert len(driver.forwards) == 2_000 and 1_000 < len(driver.balancer.backends.subset) < 4_500
     for request in list(driver.forwards):
-        driver.end(request, after=0.0, delay=20.0)
+        driver.end_attempt(request, elapsed_ms=0.0, latency_ms=20.0)
     driver.run_ticks(40_000)
     assert len(driver.balancer.backends.by_id) <= 320 and driver.balancer.backends.listed_count == 5_000
 
 
 def test_few_proxies_find_ready_backends_beyond_those_that_are_all_cold() -> None:
     cold = {"slow_start_capacity": 0.1, "slow_start_ms": 60_000.0, "slow_start_window_ms": 10_000.0}
-    driver = Driver(settings(proxy_count=3, **cold), *make_backends(2_000))
+    driver = Driver(make_settings(proxy_count=3, **cold), *make_numbered_backends(2_000))
     restarted = tuple(BackendInfo(s.id, started_at=driver.now) for s in driver.balancer.backends.active)
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, restarted))
-    assert driver.arrive() in driver.forwards
+    assert driver.send_request() in driver.forwards
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.CELL, DeduplicationScope.ZONE])
 def test_the_scope_of_a_keyed_request_is_found_among_the_unsubscribed(scope: DeduplicationScope) -> None:
     """Its repeats may go to the three others of its cell only, and of 1,250 cells few are kept whole."""
     spec = RequestClass(900.0, 5000.0, Idempotency.KEYED, scope, 4000.0)
-    driver = Driver(settings(spec, **LARGE_TIER), *make_backends(5_000))
-    request = driver.arrive(wait=5000)
+    driver = Driver(make_settings(spec, **LARGE_TIER), *make_numbered_backends(5_000))
+    request = driver.send_request(timeout_ms=5000)
     first = driver.forwards[request][0]
     gone = BackendInfo(first, BackendState.DRAINING)
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, (gone,)))
-    driver.end(request, AttemptResult.ERROR, done=False)
+    driver.end_attempt(request, AttemptResult.ERROR, request_finished=False)
     assert len(driver.forwards[request]) == 2
     one, other = (int(name[2:], 16) for name in driver.forwards[request])
     assert one != other and (
@@ -189,22 +189,22 @@
 
 def test_a_drain_of_an_unsubscribed_backend_is_known_at_once() -> None:
     spec = RequestClass(900.0, 5000.0, Idempotency.KEYED, DeduplicationScope.CELL, 4000.0)
-    driver = Driver(settings(spec, **LARGE_TIER), *make_backends(5_000))
-    request = driver.arrive(wait=5000)
+    driver = Driver(make_settings(spec, **LARGE_TIER), *make_numbered_backends(5_000))
+    request = driver.send_request(timeout_ms=5000)
     number = int(driver.forwards[request][0][2:], 16)
-    cell = make_backends(4, number - number % 4)
+    cell = make_numbered_backends(4, number - number % 4)
     drained = tuple(s._replace(state=BackendState.DRAINING) for s in cell)
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, drained))
-    driver.end(request, AttemptResult.ERROR, done=False)
+    driver.end_attempt(request, AttemptResult.ERROR, request_finished=False)
     assert len(driver.forwards[request]) == 1  # nobody is left who may see it again
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, cell[:1] if number % 4 else cell[1:2]))
     assert len(driver.forwards[request]) == 2
 
 
 def test_up_to_the_minimum_all_are_subscribed_in_the_order_of_the_list() -> None:
-    names = [s.backend_id for s in make_backends(256)]
+    names = [s.backend_id for s in make_numbered_backends(256)]
     for proxies in (3, 3400):
-        driver = Driver(settings(proxy_count=proxies), *make_backends(256))
+        driver = Driver(make_settings(proxy_count=proxies), *make_numbered_backends(256))
         driver.run_ticks(2000)
         assert [
             s.id for s in driver.balancer.backends.active
@@ -213,9 +213,9 @@
 
 def test_a_tick_looks_at_cold_backends_only() -> None:
     driver = Driver(
-        settings(slow_start_ms=60_000.0, **LARGE_TIER),
-        *make_backends(300),
-        *make_backends(1, 300, started_at=900.0),
+        make_settings(slow_start_ms=60_000.0, **LARGE_TIER),
+        *make_numbered_backends(300),
+        *make_numbered_backends(1, 300, started_at=900.0),
     )
     looked = [0]
 
@@ -232,11 +232,11 @@
 
 def test_one_that_arrives_ahead_of_those_moved_up_is_kept() -> None:
     ranked = sorted(
-        make_backends(60),
+        make_numbered_backends(60),
         key=lambda s: hash_pair(LARGE_TIER["proxy_index"] + 1, crc32(s.backend_id.encode())),
     )
     with patch.multiple(subsetting, MIN_SUBSCRIBED=16, SUBSCRIBED_SLACK=2):
-        driver = Driver(settings(**LARGE_TIER), *ranked[:20], *ranked[30:])
+        driver = Driver(make_settings(**LARGE_TIER), *ranked[:20], *ranked[30:])
         gone = tuple(s._replace(state=BackendState.REMOVED) for s in ranked[:10])
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, gone))
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(ranked[20:22])))
@@ -251,9 +251,9 @@
 def test_a_sparse_proxy_uses_a_few_backends_of_all_zones() -> None:
     """Hundreds of proxies with a connection to each backend would fill its table (incident i02567f); one
     zone's proxies alone would carry too much for its backends or too little."""
-    driver = Driver(settings(**SPARSE), *two_zones(40))
+    driver = Driver(make_settings(**SPARSE_TIER), *make_backends_in_two_zones(40))
     for _ in range(200):
-        driver.end(driver.arrive())
+        driver.end_attempt(driver.send_request())
         driver.tick()
     assert len(used_backends(driver)) <= 13 and {s.split(".")[2] for s in used_backends(driver)} == {"0", "1"}
 
@@ -261,32 +261,34 @@
 def test_subsets_are_spread_evenly_over_the_proxies() -> None:
     counts: Counter[str] = Counter()
     for me in range(100):
-        driver = Driver(settings(proxy_index=me, **SPARSE), *fleet(20))
+        driver = Driver(make_settings(proxy_index=me, **SPARSE_TIER), *make_backends(20))
         counts.update(s.id for s in driver.balancer.backends.subset)
     assert len(counts) == 20 and max(counts.values()) < 1.5 * 40 and min(counts.values()) > 40 / 1.5
 
 
 def test_a_subset_stays_as_it_is_when_a_backend_leaves() -> None:
-    driver = Driver(settings(**SPARSE), *fleet(20))
+    driver = Driver(make_settings(**SPARSE_TIER), *make_backends(20))
     before = [s.id for s in driver.balancer.backends.subset]
-    left = [s for s in fleet(20) if s.backend_id != before[0]]
+    left = [s for s in make_backends(20) if s.backend_id != before[0]]
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(left)))
     assert len({s.id for s in driver.balancer.backends.subset} & set(before)) == len(before) - 1
 
 
 def test_an_empty_list_at_the_start_is_survived() -> None:
     driver = Driver(
-        settings(RequestClass(300.0, 900.0), RequestClass(300.0, 900.0, priority_weight=0.1), **SPARSE)
+        make_settings(
+            RequestClass(300.0, 900.0), RequestClass(300.0, 900.0, priority_weight=0.1), **SPARSE_TIER
+        )
     )
-    driver.arrive(1)
-    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(40))))
+    driver.send_request(1)
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(make_backends(40))))
     driver.run_ticks(100)
-    assert driver.forwards[driver.arrive()]
+    assert driver.forwards[driver.send_request()]
 
 
 def test_the_subset_of_a_sparse_proxy_grows_with_its_traffic() -> None:
     """Spread over a dozen, the few requests of one of hundreds teach it next to nothing of any."""
-    driver = Driver(settings(**SPARSE), *fleet(60))
+    driver = Driver(make_settings(**SPARSE_TIER), *make_backends(60))
     assert len(driver.balancer.backends.subset) <= 8
     driver.balancer.in_flight.limit = 9.0
     driver.run_ticks(1100)
--- a/tests/policy/test_tenant_quotas.py
+++ b/tests/policy/test_tenant_quotas.py
@@ -7,19 +7,19 @@
 from dunecove.policy.events import (
     RequestArrived,
 )
-from tests.support import Driver, fleet, settings
+from tests.support import Driver, make_backends, make_settings
 
 
 def test_a_proxy_with_a_large_traffic_share_does_not_take_all_for_over_quota() -> None:
-    config = settings(
+    config = make_settings(
         tenant_quotas=(40.0, 10.0, 10.0, 10.0), over_quota_weight=0.05, proxy_count=4, zone_count=2
     )
-    driver = Driver(config, *fleet(9))
+    driver = Driver(config, *make_backends(9))
     for second in range(12):  # this proxy gets half of all traffic; tenant 0 asks for three times its share
         for slot in range(80):
             tenant = 0 if slot < 60 else 1 + slot % 3
             driver.step(RequestArrived(f"{second}.{slot}", 0, tenant, None, driver.now + 900))
-            driver.tick(after=12.5)
+            driver.tick(elapsed_ms=12.5)
     balancer, spec = driver.balancer, config.classes[0]
     assert balancer.admission.quotas.traffic_share > 0.4
     driver.now += 1000
@@ -29,24 +29,30 @@
 
 
 def test_in_a_flood_of_all_tenants_the_traffic_share_is_at_most_a_zone() -> None:
-    config = settings(tenant_quotas=(10.0, 10.0, 10.0), over_quota_weight=0.05, proxy_count=4, zone_count=3)
-    driver = Driver(config, *fleet(9))
+    config = make_settings(
+        tenant_quotas=(10.0, 10.0, 10.0), over_quota_weight=0.05, proxy_count=4, zone_count=3
+    )
+    driver = Driver(config, *make_backends(9))
     for count in range(800):
         driver.step(RequestArrived(f"{count}", 0, count % 3, None, driver.now + 900))
-        driver.tick(after=10)
+        driver.tick(elapsed_ms=10)
     assert driver.balancer.admission.quotas.traffic_share == pytest.approx(1 / 3)
 
 
 def test_without_other_tenants_to_compare_the_traffic_share_is_one_in_n() -> None:
-    driver = Driver(settings(tenant_quotas=(10.0,), over_quota_weight=0.05, proxy_count=4), *fleet(9))
+    driver = Driver(
+        make_settings(tenant_quotas=(10.0,), over_quota_weight=0.05, proxy_count=4), *make_backends(9)
+    )
     for _ in range(200):
-        driver.arrive()
+        driver.send_request()
         driver.tick()
     assert driver.balancer.admission.quotas.traffic_share == 0.25
 
 
 def test_chance_does_not_put_a_tenant_with_little_traffic_over_quota() -> None:
-    driver = Driver(settings(tenant_quotas=(300.0,), over_quota_weight=0.1, proxy_count=300), *fleet(9))
+    driver = Driver(
+        make_settings(tenant_quotas=(300.0,), over_quota_weight=0.1, proxy_count=300), *make_backends(9)
+    )
     balancer = driver.balancer
     driver.now += 10_000
     levels = [
--- a/tests/proxy/pool_harness.py
+++ b/tests/proxy/pool_harness.py
@@ -36,7 +36,7 @@
         backend_id: str = "s",
         timeout_ms: float = 30000.0,
         body: bytes = b"",
-        write_within_ms: float = inf,
+        write_timeout_ms: float = inf,
     ) -> Attempt:
         head = HEAD + b"content-length: %d\r\n" % len(body)
         attempt = Attempt(
@@ -45,7 +45,7 @@
             body,
             timeout_ms,
             lambda _, *result: self.results.put_nowait(result),
-            write_within_ms,
+            write_timeout_ms,
         )
         self.pool.start(attempt)
         return attempt
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -206,11 +206,11 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             gate = ConnectGate.of(harness.pool)
-            harness.start(write_within_ms=30.0)
+            harness.start(write_timeout_ms=30.0)
             may_open = await gate.attempts.get()
             assert await harness.result() is AttemptResult.CONNECT_FAILED
             may_open.set()
-            harness.start(write_within_ms=30_000.0)
+            harness.start(write_timeout_ms=30_000.0)
             (await gate.attempts.get()).set()
             call = await backend.requests.get()
             assert backend.requests.empty()
@@ -227,7 +227,7 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             gate = ConnectGate.of(harness.pool)
-            attempt = harness.start(write_within_ms=20000.0)
+            attempt = harness.start(write_timeout_ms=20000.0)
             may_open = await gate.attempts.get()
             setattr(attempt, deadline, now_ms() - 1.0)
             may_open.set()
@@ -244,7 +244,7 @@
 def test_attempt_written_in_time_may_wait_until_its_deadline() -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            attempt = harness.start(write_within_ms=20_000.0)
+            attempt = harness.start(write_timeout_ms=20_000.0)
             call = await backend.requests.get()
             harness.pool._on_deadline(attempt)  # as its timer does
             assert not attempt.has_ended
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -23,7 +23,7 @@
 from dunecove.proxy.endpoint_list import EndpointListUpdate
 from dunecove.wire.settings import ProxySettings
 from tests.loopback import ReceivedRequest, ScriptedServer, listing, proxy, run, target, until
-from tests.support import Driver, fleet, of_type, settings
+from tests.support import Driver, actions_of_type, make_backends, make_settings
 
 ADDRESS = "127.0.0.9:80"
 
@@ -191,7 +191,7 @@
 
 def ms_until_poll(driver: Driver) -> float:
     start = driver.now
-    while not of_type(PollDiscovery, driver.tick()):
+    while not actions_of_type(PollDiscovery, driver.tick()):
         pass
     return driver.now - start
 
@@ -222,13 +222,13 @@
     pushed: bool, proxies: int, max_poll_interval_ms: float
 ) -> None:
     # What it missed counts as notified 6 s after it fell silent, which may have been at the start of a call.
-    config = settings(
+    config = make_settings(
         polls_discovery=not pushed, proxy_count=proxies, max_poll_interval_ms=max_poll_interval_ms
     )
-    driver = Driver(config, *fleet(2))
+    driver = Driver(config, *make_backends(2))
     if not pushed:
-        assert of_type(PollDiscovery, driver.run_ticks(2_525))  # a new process polls soon, too
-    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(2))))
+        assert actions_of_type(PollDiscovery, driver.run_ticks(2_525))  # a new process polls soon, too
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(make_backends(2))))
     discovery = client_for(pushed, 300.0)
     silent = discovery.long_poll_ms + discovery.response_timeout_ms
     assert (
@@ -242,7 +242,8 @@
 def test_list_is_read_within_6_s_of_the_services_return(proxies: int, failures: int) -> None:
     # It returns just after a call that hangs has begun, and takes as long to answer the next as a call may.
     driver = Driver(
-        settings(polls_discovery=True, proxy_count=proxies, max_poll_interval_ms=10_000.0), *fleet(2)
+        make_settings(polls_discovery=True, proxy_count=proxies, max_poll_interval_ms=10_000.0),
+        *make_backends(2),
     )
     for _ in range(failures - 1):  # refused at once
         ms_until_poll(driver)
@@ -255,7 +256,9 @@
 
 @pytest.mark.parametrize("proxies", [200, 3_400])
 def test_new_process_whose_first_call_hangs_has_the_list_within_6_s(proxies: int) -> None:
-    driver = Driver(settings(polls_discovery=True, proxy_count=proxies, proxy_index=proxies - 1), *fleet(2))
+    driver = Driver(
+        make_settings(polls_discovery=True, proxy_count=proxies, proxy_index=proxies - 1), *make_backends(2)
+    )
     assert (
         ms_until_poll(driver) + client_for(False, 300.0).opening_timeout_ms + max_ms_until_retry(driver)
         < 6_000
@@ -264,17 +267,17 @@
 
 def test_all_proxies_get_the_list_from_a_service_that_answers_calls_in_turn() -> None:
     """If each try began at the end of the queue, only the first few proxies would ever get it."""
-    config = settings(polls_discovery=True, proxy_count=32)
+    config = make_settings(polls_discovery=True, proxy_count=32)
     ms_a_call = 250.0
     timeout_ms = client_for(False, 300.0).opening_timeout_ms
-    drivers = [Driver(replace(config, proxy_index=me), *fleet(2), seed=me) for me in range(32)]
+    drivers = [Driver(replace(config, proxy_index=me), *make_backends(2), seed=me) for me in range(32)]
     queue: deque[tuple[int, int]] = deque()  # index of the proxy, number of its call
     calls = Counter[int]()
     deadlines: dict[int, float] = {}  # of the latest call of each
     served: set[int] = set()
     for tick in range(400):
         for me, driver in enumerate(drivers):
-            if of_type(PollDiscovery, driver.tick()) and me not in deadlines and me not in served:
+            if actions_of_type(PollDiscovery, driver.tick()) and me not in deadlines and me not in served:
                 calls[me] += 1
                 queue.append((me, calls[me]))
                 deadlines[me] = driver.now + timeout_ms
@@ -286,7 +289,7 @@
             if number > calls[me] - discovery_client_module.MAX_OPENING_CALLS and me not in served:
                 served.add(me)
                 deadlines.pop(me, None)
-                drivers[me].step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(fleet(2))))
+                drivers[me].step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(make_backends(2))))
     assert len(served) == 32  # within 10 s, 2 s more than the service needs for all
 
 
@@ -344,7 +347,7 @@
     # What the service has then counts as notified at once. An open watch may have been left silent, or a
     # call since.
     discovery = client_for(True, grace_ms)
-    again = max_ms_until_retry(Driver(settings(), *fleet(2)))
+    again = max_ms_until_retry(Driver(make_settings(), *make_backends(2)))
     assert discovery.long_poll_ms + discovery.response_timeout_ms + again <= grace_ms + 50
 
 
