--- a/dunecove/policy/actions.py
+++ b/dunecove/policy/actions.py
@@ -1,4 +1,4 @@
-"""What the decisions want done: the output of `Balancer.step`. Durations are in milliseconds."""
+"""Actions: the output of `Balancer.step`. Durations are in milliseconds."""
 
 from __future__ import annotations
 
@@ -8,57 +8,57 @@
 
 
 class EndReason(Enum):
-    """Why a request ends without a backend's response."""
+    """Why a request ends without a response from a backend."""
 
     UNSPECIFIED = "unspecified"
-    LOAD_SHED = "load_shed"  # on arrival
-    DEADLINE_TOO_CLOSE = "deadline_too_close"  # on arrival: too little time for a response
-    QUEUE_TIMEOUT = "queue_timeout"  # no backend had capacity for it in its time
+    LOAD_SHED = "load_shed"  # rejected on arrival, because of overload
+    DEADLINE_TOO_CLOSE = "deadline_too_close"  # failed on arrival: too little time left for a response
+    QUEUE_TIMEOUT = "queue_timeout"  # no backend had capacity before the send deadline
     RETRY_BUDGET_EXHAUSTED = "retry_budget_exhausted"
-    RETRY_NOT_ALLOWED = "retry_not_allowed"  # by its class, its deadline or its number of attempts
-    ATTEMPT_WITHDRAWN = "attempt_withdrawn"  # the attempt lost its purpose before it was written
-    BAD_REQUEST = "bad_request"  # its backend said so
+    RETRY_NOT_ALLOWED = "retry_not_allowed"  # because of its class, deadline or number of attempts
+    ATTEMPT_WITHDRAWN = "attempt_withdrawn"  # withdrawn before it was written to a backend
+    BAD_REQUEST = "bad_request"  # the backend reported that the request is invalid
 
 
 class Forward(NamedTuple):
-    """Begin an attempt of a request at a backend."""
+    """Start an attempt of a request at a backend."""
 
     request_id: str
     backend_id: str
     timeout_ms: float
-    write_timeout_ms: float = inf  # its last byte is written within this time, or no byte is
+    write_timeout_ms: float = inf  # an attempt not completely written by then is aborted
 
 
 class Reject(NamedTuple):
-    """Final response: nothing was executed, and a retry is safe."""
+    """Send a final response that promises that a retry is safe."""
 
     request_id: str
-    retry_after_ms: float  # 0: not said
+    retry_after_ms: float  # 0: no Retry-After
     reason: EndReason = EndReason.UNSPECIFIED
 
 
 class Fail(NamedTuple):
-    """Final response: the request may have been executed."""
+    """Send a final error response; the request may have been executed."""
 
     request_id: str
     reason: EndReason = EndReason.UNSPECIFIED
 
 
 class CancelAttempt(NamedTuple):
-    """Abandon an open attempt."""
+    """Cancel an open attempt."""
 
     request_id: str
     attempt_index: int
 
 
 class SendHealthCheck(NamedTuple):
-    """Check a backend's health. Part of the wire; not used by the decisions so far."""
+    """Check a backend's health. Part of the wire format; `Balancer` never returns it."""
 
     backend_id: str
 
 
 class PollDiscovery(NamedTuple):
-    """Open a watch on the endpoint list."""
+    """Poll discovery: open a watch on the endpoint list."""
 
 
 class SendGossip(NamedTuple):
@@ -68,16 +68,16 @@
 
 
 class SetTimer(NamedTuple):
-    """Raise `TimerFired` with this token after a delay."""
+    """Deliver a `TimerFired` event with this token after a delay."""
 
     delay_ms: float
     token: int
 
 
 class BackendEjected(NamedTuple):
-    """To be logged: this proxy's own failure count ejected a backend.
+    """Log that a backend was ejected because of failures that this proxy observed.
 
-    Ejections by gossip reports are not logged.
+    Ejections caused by gossiped failure reports are not logged.
     """
 
     backend_id: str
--- a/dunecove/policy/backend.py
+++ b/dunecove/policy/backend.py
@@ -1,4 +1,4 @@
-"""What this proxy knows of one backend."""
+"""The state that this proxy keeps of one backend."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 from dunecove.policy.models import AttemptResult, BackendInfo
 from dunecove.policy.rendezvous_hash import name_hash
 
-MAX_CONSECUTIVE_FAILURES = 3  # at which a backend may be ejected
-MIN_EJECTION_MS = 500.0  # the first ejection; doubled each time, jittered
+MAX_CONSECUTIVE_FAILURES = 3  # a backend with as many may be ejected
+MIN_EJECTION_MS = 500.0  # duration of the first ejection, before jitter; doubled each time
 MAX_EJECTION_MS = 8000.0
 MIN_WEIGHT = 0.01
 
-# Failures that are the backend's own, not its load's.
+# Failures caused by the backend itself rather than by its load.
 BACKEND_FAULTS = (AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.CONNECT_FAILED)
 LOAD_FAILURES = (AttemptResult.REJECTED, AttemptResult.TIMEOUT)
 
 
 class FailureReport(NamedTuple):
-    """A proxy saw the backend fail."""
+    """A failure of a backend, as observed by one proxy."""
 
     reported_at: float  # ms
     proxy_index: int
 
 
 class Backend(LearnedLimit):
-    """One backend: what the endpoint list says of it, and what was learned. Times are in ms.
+    """A backend: its entry in the endpoint list and the state learned from its responses. Times are in ms.
 
-    The learned limit is a base class since its fields are read for each backend at each dispatch.
+    `LearnedLimit` is a base class rather than an attribute because its fields are read for each backend at
+    each dispatch.
     """
 
     __slots__ = (
@@ -61,12 +62,12 @@
         super().__init__(proxy_count)
         self.id = info.backend_id
         self.name_hash = name_hash(info.backend_id)
-        self.rank = 0  # in this proxy's order of all backends
+        self.rank = 0  # position in this proxy's order of all backends
         self.update(info)
         self._reset_outcomes()
 
     def update(self, info: BackendInfo) -> None:
-        """Apply what the endpoint list says, except `started_at`: `BackendSet` sets that after `reset`."""
+        """Apply an entry of the endpoint list, except `started_at`: `BackendSet` sets that after `reset`."""
         self.state = info.state
         self.zone = info.zone
         self.kind = info.kind
@@ -74,42 +75,42 @@
         self.weight = max(info.weight, MIN_WEIGHT)
 
     def info(self) -> BackendInfo:
-        """Return what the endpoint list says of it."""
+        """Return the backend's entry in the endpoint list."""
         return BackendInfo(self.id, self.state, self.zone, self.kind, self.cell, self.started_at, self.weight)
 
     def reset(self) -> None:
-        """Forget all that was learned: a process that has just started shares nothing with the last one."""
+        """Discard all learned state: none of it applies to a backend process that has restarted."""
         self.reset_limit()
         self._reset_outcomes()
 
     def _reset_outcomes(self) -> None:
-        self.payoff = 1.0  # smoothed part of its outcomes that were good
-        self.outcome_count = 0.0  # decayed
+        self.payoff = 1.0  # smoothed fraction of outcomes that were responses within the objective
+        self.outcome_count = 0.0  # decays over time
         self.consecutive_failures = 0
         self.ejected_until = 0.0
-        self.next_ejection_ms = MIN_EJECTION_MS  # the next one, before jitter
-        self.failure_reports: list[FailureReport] = []  # of all proxies, the latest last
-        self.last_reported_at = -inf  # when this proxy last reported a failure of it
+        self.next_ejection_ms = MIN_EJECTION_MS  # before jitter
+        self.failure_reports: list[FailureReport] = []  # from all proxies, latest last
+        self.last_reported_at = -inf  # time of the last failure report that this proxy sent
         self.responses_since_update = 0
-        self.response_rate = 0.0  # a second, smoothed
-        self.slow_start_tokens = 0.0  # requests that it may get while cold
-        self.next_token_draw_at = 0.0  # when it is next drawn whether it may get a request while cold
-        self.last_progress_at = 0.0  # its last response, or the first attempt since none was in flight
+        self.response_rate = 0.0  # responses per second, smoothed
+        self.slow_start_tokens = 0.0  # requests that may be sent to it while it is cold
+        self.next_token_draw_at = 0.0  # next random draw of a slow start token by a sparse proxy
+        self.last_progress_at = 0.0  # its last response, or the last attempt started while none was in flight
         self.started_at: float | None = None
         self.cold_until = 0.0
 
     def has_capacity(self, now: float, min_limit: float = 0.0) -> bool:
-        """Whether another request may be sent to it; its limit counts as `min_limit` at least."""
+        """Whether another request may be sent to it, with a concurrency limit of at least `min_limit`."""
         if self.ejected_until > now:
             return False
-        if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:  # after ejection: one request on trial
+        if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:  # after an ejection: one trial request
             return self.in_flight == 0
         if self.cold_until > now and self.slow_start_tokens < 1.0:
             return False
         return self.in_flight < max(self.limit, min_limit)
 
     def begin_attempt(self, now: float) -> None:
-        """Count an attempt that is sent to it."""
+        """Record the start of an attempt."""
         if self.in_flight == 0:
             self.last_progress_at = now
         self.in_flight += 1
@@ -118,15 +119,15 @@
             self.slow_start_tokens -= 1
 
     def end_attempt(self) -> None:
-        """Count an attempt that has ended, also an abandoned one: its work stops as its connection closes."""
+        """Record the end of an attempt, even an abandoned one: closing its connection stops the work."""
         self.in_flight -= 1
 
     def record_response(self, now: float) -> None:
-        """Count a response of it."""
+        """Record a response."""
         self.last_progress_at = now
         self.responses_since_update += 1
 
     def update_response_rate(self, seconds: float) -> None:
-        """Close a period of so many seconds in which responses were counted."""
+        """Update the smoothed response rate with the responses of the last `seconds`."""
         self.response_rate = (self.response_rate + self.responses_since_update / seconds) / 2
         self.responses_since_update = 0
--- a/dunecove/policy/events.py
+++ b/dunecove/policy/events.py
@@ -1,4 +1,4 @@
-"""What happens outside the decisions: the input of `Balancer.step`. Times and durations are in ms."""
+"""Events: the input of `Balancer.step`. Times and durations are in ms."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 
 class RequestArrived(NamedTuple):
-    """A client's request has been read to its last byte."""
+    """A client's request has been received in full."""
 
     request_id: str
-    class_index: int  # in `Settings.classes`
+    class_index: int  # index in `Settings.classes`
     tenant: int  # index in `Settings.tenant_quotas`
     affinity_key: int | None
-    deadline: float  # time at which the client stops waiting, for this try and all others
-    is_retry: bool = False  # marked by the client as a retry
-    work_hint_ms: float = 0.0  # the client's estimate, on a standard core; 0 where it gives none
+    deadline: float  # time at which the client stops waiting, also for its own retries
+    is_retry: bool = False  # whether the client marked it as a retry
+    work_hint_ms: float = 0.0  # the client's estimate of the work on a standard core; 0: no estimate
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has its result."""
+    """An attempt has ended."""
 
     request_id: str
-    attempt_index: int  # from 0, in the order of `Forward` actions for this request
+    attempt_index: int  # 0 for the first `Forward` action of this request
     result: AttemptResult
     latency_ms: float
-    request_finished: bool  # the request is over, by this result or before it
+    request_finished: bool  # whether the request has its final response, from this attempt or earlier
 
 
 class ResponseStarted(NamedTuple):
-    """The first part of a streamed response has come (raised by the simulator only).
+    """The first part of a streamed response has been received (raised by the simulator only).
 
-    It takes a waiting retry out of its queue.
+    A retry of the request that is still queued is dropped.
     """
 
     request_id: str
@@ -42,34 +42,34 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """Nobody waits for the response any more."""
+    """The client has disconnected and no longer waits for the response."""
 
     request_id: str
 
 
 class ListUpdateKind(Enum):
-    """What an update of the endpoint list holds."""
+    """The content of an endpoint list update."""
 
-    DELTA = "delta"  # the entries that changed
+    DELTA = "delta"  # only the entries that changed
     SNAPSHOT = "snapshot"  # all entries
-    CACHED = "cached"  # a list from before this process, of unknown age
+    CACHED = "cached"  # a list from before this process started, of unknown age
     CACHED_CONTINUED = "cached_continued"  # further entries of a long cached list
-    FAILED = "failed"  # nothing: the poll failed
+    FAILED = "failed"  # no entries: the poll failed
 
 
 class BackendListUpdate(NamedTuple):
-    """Discovery has answered, or failed to."""
+    """Discovery has returned an endpoint list update, or the poll has failed."""
 
     kind: ListUpdateKind
     entries: tuple[BackendInfo, ...] = ()
 
 
 class DiscoveryMoved(NamedTuple):
-    """The endpoint list comes from another discovery service from now on, which has not been polled yet."""
+    """The proxy now uses another discovery service, which has not been polled yet."""
 
 
 class HealthCheckResult(NamedTuple):
-    """A health check has ended. Part of the wire; not used by the decisions so far."""
+    """A health check has ended. Part of the wire format; `Balancer` ignores it."""
 
     backend_id: str
     result: AttemptResult
@@ -77,14 +77,14 @@
 
 
 class GossipReceived(NamedTuple):
-    """A message of another proxy of this tier; it may come late, twice or never."""
+    """A message from another proxy of this tier; it may be delayed, duplicated or lost."""
 
     sender_index: int  # the sender's `Settings.proxy_index`
     payload: bytes
 
 
 class TimerFired(NamedTuple):
-    """The timer of a `SetTimer` action has run out."""
+    """The timer of a `SetTimer` action has expired."""
 
     token: int
 
--- a/dunecove/policy/models.py
+++ b/dunecove/policy/models.py
@@ -1,4 +1,4 @@
-"""The values that events, actions and settings are made of."""
+"""Types shared by events, actions and settings."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may be attempted again once it may have executed."""
+    """Whether a request may be retried after an attempt that may have executed."""
 
     IDEMPOTENT = "idempotent"
-    KEYED = "keyed"  # by an idempotency key, within the class's deduplication scope and window
+    KEYED = "keyed"  # has an idempotency key, valid in its class's deduplication scope and window
     NON_IDEMPOTENT = "non_idempotent"
 
 
 class DeduplicationScope(Enum):
-    """The backends that share what they know of an idempotency key."""
+    """The set of backends that share their record of an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,14 +27,14 @@
 
     OK = "ok"
     ERROR = "error"
-    REJECTED = "rejected"  # by the backend: it promises that nothing was executed
+    REJECTED = "rejected"  # by the backend, which guarantees that nothing was executed
     TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"  # or the request was not written whole
+    CONNECT_FAILED = "connect_failed"  # also: the request was not written completely
     RESET = "reset"
     CANCELLED = "cancelled"
-    WITHDRAWN = "withdrawn"  # before it was written: nobody waits for it any more
-    NO_LOCAL_RESOURCE = "no_local_resource"  # this proxy lacked a connection, a descriptor or the time
-    BAD_REQUEST = "bad_request"  # the request itself is at fault, another backend would say so too
+    WITHDRAWN = "withdrawn"  # before it was written, since its result is no longer needed
+    NO_LOCAL_RESOURCE = "no_local_resource"  # no connection, file descriptor or time was left at this proxy
+    BAD_REQUEST = "bad_request"  # the request is invalid; any other backend would report the same
 
 
 NEVER_EXECUTED = frozenset(
@@ -48,7 +48,7 @@
 
 
 class BackendState(Enum):
-    """What the endpoint list says of a backend."""
+    """The state of a backend in the endpoint list."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -61,7 +61,7 @@
     backend_id: str
     state: BackendState = BackendState.ACTIVE
     zone: int = 0
-    kind: int = 0  # of hardware
-    cell: int = 0  # the rack
-    started_at: float | None = None  # ms on the proxy's clock, its latest start; None: long ago
-    weight: float = 1.0  # capacity relative to other backends; 1 where unknown
+    kind: int = 0  # kind of hardware
+    cell: int = 0  # rack
+    started_at: float | None = None  # latest start, in ms of the proxy's clock; None: long ago
+    weight: float = 1.0  # capacity relative to other backends; 1 if unknown
--- a/dunecove/policy/request.py
+++ b/dunecove/policy/request.py
@@ -1,4 +1,4 @@
-"""A client's request and its attempts."""
+"""Requests of clients and their attempts at backends."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
         self.sent_at = sent_at  # ms
         self.is_open = True
         self.may_have_executed = True
-        # Where it was sent, wherever the list puts the backend later.
+        # The location at the time of sending: a later list update may move the backend.
         self.zone = backend.zone
         self.cell = backend.cell
 
     def end(self, result: AttemptResult) -> None:
-        """Record that it has ended with this result."""
+        """Record the result of the attempt."""
         self.is_open = False
         self.may_have_executed = result not in NEVER_EXECUTED
 
 
 class Request:
-    """A request that has no final response yet, or whose last attempt has not ended. Times are in ms."""
+    """A request without a final response, or with an attempt that has not ended. Times are in ms."""
 
     def __init__(
         self,
@@ -45,26 +45,26 @@
         self.id = event.request_id
         self.class_index = event.class_index
         self.affinity_key = event.affinity_key
-        self.work_hint_ms = event.work_hint_ms  # 0 where the client gives none
+        self.work_hint_ms = event.work_hint_ms  # 0 if the client gave none
         self.deadline = event.deadline
         self.request_class = request_class
         self.queue = queue
         self.arrived_at = now
-        # Where late responses earn something, a retry's objective counts from now.
-        counted_from = now if request_class.late_weight > 0 else original_arrival_at
-        self.objective_end = counted_from + request_class.latency_objective_ms
-        # After this a response earns nothing, or the client has left.
+        # If late responses have a value, the objective of a client's retry counts from its own arrival.
+        objective_start = now if request_class.late_weight > 0 else original_arrival_at
+        self.objective_end = objective_start + request_class.latency_objective_ms
+        # After this time a response has no value, or the client has stopped waiting.
         self.value_expires_at = self.deadline
         if request_class.late_weight <= 0:
             self.value_expires_at = min(self.deadline, self.objective_end)
         self.send_deadline = self.deadline
         self.attempts: list[Attempt] = []
         self.open_attempt_count = 0
-        self.is_queued = False  # in its queue, or pinned and waiting for its group
+        self.is_queued = False  # in its queue, or waiting for a backend in its deduplication scope
         self.is_finished = False
-        self.local_failure_count = 0  # attempts for which this proxy lacked a connection or another resource
-        self.retry_at = 0.0  # when it is sent again after a local failure; 0: not waiting for that
+        self.local_failure_count = 0  # attempts that ended with NO_LOCAL_RESOURCE
+        self.retry_at = 0.0  # end of the backoff after a local failure; 0: no backoff
 
     def has_backoff_ended(self, now: float) -> bool:
-        """Whether it has waited long enough after a local failure."""
+        """Whether its backoff after a local failure has ended."""
         return not self.is_finished and 0 < self.retry_at <= now
--- a/dunecove/policy/settings.py
+++ b/dunecove/policy/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a deployment, as the decisions use them. Durations are in milliseconds."""
+"""The settings of a deployment. Durations are in milliseconds."""
 
 from __future__ import annotations
 
@@ -8,81 +8,84 @@
 
 from dunecove.policy.models import DeduplicationScope, Idempotency
 
-MAX_DENSE_PROXIES = 4  # a larger tier is sparse
-ACTION_DELAY_STEPS = 2  # step intervals within which a decision takes effect
+MAX_DENSE_PROXIES = 4  # a tier with more proxies is sparse
+ACTION_DELAY_STEPS = 2  # step intervals until an action has taken effect
 
 
 class InvalidSettingError(ValueError):
-    """A setting has a value that no deployment can have."""
+    """A setting has an invalid value."""
 
     def __init__(self, setting: str, problem: str, class_index: int | None = None) -> None:
-        """Name the field of `Settings`, or that of the request class at `class_index`."""
+        """Initialize the error.
+
+        `setting` is a field of `Settings`, or of the request class at `class_index` if that is given.
+        """
         self.setting = setting
         self.problem = problem
         self.class_index = class_index
         super().__init__(self.describe(setting))
 
     def describe(self, key: str) -> str:
-        """Return the error's text with `key` as the setting's name."""
+        """Return the error message with `key` as the name of the setting."""
         prefix = "" if self.class_index is None else f"class {self.class_index}: "
         return f"{prefix}{key} {self.problem}"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What holds for all requests of one class."""
+    """The settings of one request class."""
 
-    latency_objective_ms: float  # a response within it earns the full priority weight
-    deadline_ms: float  # after this long the client stops waiting, for its first try and all others
+    latency_objective_ms: float  # a response within this time earns the full priority weight
+    deadline_ms: float  # time for which the client waits, including its own retries
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     dedup_scope: DeduplicationScope = DeduplicationScope.ALL  # KEYED only
-    dedup_window_ms: float = 0.0  # KEYED only: for how long backends remember a key
-    priority_weight: float = 1.0  # value of a response in time for each unit of work
-    late_weight: float = 0.0  # part of the priority weight that a response past the objective earns
+    dedup_window_ms: float = 0.0  # KEYED only: time for which backends remember a key
+    priority_weight: float = 1.0  # value of a response within the objective, per unit of work
+    late_weight: float = 0.0  # fraction of the priority weight earned by a response after the objective
     streams_response: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What the operator configures. `check` says whether it is consistent."""
+    """The settings of a proxy and its tier; `check` validates them."""
 
     classes: tuple[RequestClass, ...]
-    proxy_count: int = 1  # proxies of this tier, this one included
-    proxy_index: int = 0  # of this one
+    proxy_count: int = 1  # proxies in this tier, including this one
+    proxy_index: int = 0  # index of this proxy in the tier
     zone: int = 0
-    zone_count: int = 1  # each zone's clients come to the proxies of their own zone
-    tenant_quotas: tuple[float, ...] = ()  # requests a second by tenant, over all proxies
-    over_quota_weight: float = 1.0  # factor on the priority weight of a request over its tenant's quota
-    step_interval_ms: float = 1.0  # shortest time between two calls of `Balancer.step`
-    polls_discovery: bool = False  # the endpoint list has to be polled; otherwise it is pushed
-    max_poll_interval_ms: float = 10000.0  # longest time without a poll or an open watch
+    zone_count: int = 1  # number of zones; clients use the proxies of their own zone
+    tenant_quotas: tuple[float, ...] = ()  # requests per second of each tenant, over all proxies
+    over_quota_weight: float = 1.0  # factor on the priority weight of requests over their tenant's quota
+    step_interval_ms: float = 1.0  # minimum time between two calls of `Balancer.step`
+    polls_discovery: bool = False  # whether the endpoint list is polled rather than pushed
+    max_poll_interval_ms: float = 10000.0  # maximum time without a poll or an open watch
     may_cancel: bool = False
-    may_hedge: bool = False  # a second attempt may be open beside the first
-    may_health_check: bool = False  # not used by the decisions so far
+    may_hedge: bool = False  # whether a request may have several open attempts at once
+    may_health_check: bool = False  # not used by `Balancer`
     may_gossip: bool = False
     sends_retry_after: bool = False
     max_retry_after_ms: float = 0.0
-    max_attempts: int = 1  # for one request
-    key_affinity: bool = False  # a backend has less work with a key that it met lately
-    slow_start_capacity: float = 1.0  # part of its capacity that a backend starts with, at least
-    slow_start_ms: float = 0.0  # a backend has warmed up no later than this after its start
-    slow_start_overload_factor: float = (
-        2.0  # a cold backend fails when sent more than this times its capacity
-    )
-    slow_start_window_ms: float = 1000.0  # for this long
+    max_attempts: int = 1  # per request
+    key_affinity: bool = False  # whether a backend needs less work for a key that it has recently handled
+    slow_start_capacity: float = 1.0  # minimum fraction of its capacity that a backend has at its start
+    slow_start_ms: float = 0.0  # maximum time from the start of a backend until it is warm
+    # A cold backend fails if its load exceeds its current capacity by this factor throughout the window.
+    slow_start_overload_factor: float = 2.0
+    slow_start_window_ms: float = 1000.0
 
     @property
     def is_sparse_tier(self) -> bool:
-        """Whether this is one of so many proxies that its share of a backend is under one request.
+        """Whether the tier has more than `MAX_DENSE_PROXIES` proxies.
 
-        Such a proxy meets each backend too seldom to judge it alone.
+        A proxy's share of one backend is then less than one request in flight, too few to judge the backend
+        from this proxy's own requests.
         """
         return self.proxy_count > MAX_DENSE_PROXIES
 
     def check(self) -> None:
-        """Raise InvalidSettingError for settings that no deployment can have."""
+        """Raise `InvalidSettingError` if a setting is invalid."""
         if not self.classes:
-            raise InvalidSettingError("classes", "names no request class")
+            raise InvalidSettingError("classes", "contains no request class")
         for class_index, request_class in enumerate(self.classes):
             _check_class(request_class, class_index)
         if not any(request_class.priority_weight > 0 for request_class in self.classes):
@@ -90,20 +93,20 @@
         for name in ("proxy_count", "max_attempts", "zone_count"):
             if not getattr(self, name) >= 1:
                 raise InvalidSettingError(name, f"must be at least 1: {getattr(self, name)!r}")
-        _check_positive(self, _POSITIVE)
-        _check_not_negative(self, _NOT_NEGATIVE)
+        _check_positive(self, _POSITIVE_FIELDS)
+        _check_non_negative(self, _NON_NEGATIVE_FIELDS)
         for quota in self.tenant_quotas:
             if not 0 <= quota < inf:
                 raise InvalidSettingError("tenant_quotas", f"must not be negative or infinite: {quota!r}")
 
 
-_POSITIVE = (
+_POSITIVE_FIELDS = (
     "step_interval_ms",
     "max_poll_interval_ms",
     "slow_start_window_ms",
     "slow_start_overload_factor",
 )
-_NOT_NEGATIVE = (
+_NON_NEGATIVE_FIELDS = (
     "proxy_index",
     "slow_start_ms",
     "max_retry_after_ms",
@@ -114,28 +117,28 @@
 
 def _check_class(request_class: RequestClass, class_index: int) -> None:
     _check_positive(request_class, ("latency_objective_ms", "deadline_ms"), class_index)
-    _check_not_negative(request_class, ("priority_weight", "late_weight", "dedup_window_ms"), class_index)
+    _check_non_negative(request_class, ("priority_weight", "late_weight", "dedup_window_ms"), class_index)
     if not isinstance(request_class.idempotency, Idempotency):
-        problem = f"is unknown: {request_class.idempotency!r}"
+        problem = f"has an unknown value: {request_class.idempotency!r}"
         raise InvalidSettingError("idempotency", problem, class_index)
     if not isinstance(request_class.dedup_scope, DeduplicationScope):
-        problem = f"is unknown: {request_class.dedup_scope!r}"
+        problem = f"has an unknown value: {request_class.dedup_scope!r}"
         raise InvalidSettingError("dedup_scope", problem, class_index)
 
 
 def _check_positive(
-    checked: RequestClass | Settings, names: Iterable[str], class_index: int | None = None
+    owner: RequestClass | Settings, fields: Iterable[str], class_index: int | None = None
 ) -> None:
-    for name in names:
-        value = getattr(checked, name)
+    for field in fields:
+        value = getattr(owner, field)
         if not 0 < value < inf:
-            raise InvalidSettingError(name, f"must be above 0 and finite: {value!r}", class_index)
+            raise InvalidSettingError(field, f"must be above 0 and finite: {value!r}", class_index)
 
 
-def _check_not_negative(
-    checked: RequestClass | Settings, names: Iterable[str], class_index: int | None = None
+def _check_non_negative(
+    owner: RequestClass | Settings, fields: Iterable[str], class_index: int | None = None
 ) -> None:
-    for name in names:
-        value = getattr(checked, name)
+    for field in fields:
+        value = getattr(owner, field)
         if not 0 <= value < inf:
-            raise InvalidSettingError(name, f"must not be negative or infinite: {value!r}", class_index)
+            raise InvalidSettingError(field, f"must not be negative or infinite: {value!r}", class_index)
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -1,4 +1,8 @@
-"""Arbitrary legal event sequences against an oracle that knows rules 1 to 3 and the permissions."""
+"""Runs random legal event sequences and checks each action against the rules and permissions.
+
+The rules include: one final response for each request, retries only as its class allows, and attempts only at
+active backends.
+"""
 
 from __future__ import annotations
 
@@ -80,15 +84,15 @@
         step_interval_ms=2.0,
     ),
 )
-NAMES = [f"s{i}" for i in range(6)]
+BACKEND_IDS = [f"s{i}" for i in range(6)]
 
 
 @dataclass
 class SentAttempt:
-    backend: str
-    at: float
-    limit: float
-    home: BackendInfo  # where it was listed when this was sent: that group has seen the key
+    backend_id: str
+    sent_at: float
+    timeout_ms: float
+    entry: BackendInfo  # the backend's list entry at that time; its zone and cell may know the key
     result: AttemptResult | None = None
     cancelled: bool = False
 
@@ -97,35 +101,37 @@
 class SentRequest:
     class_index: int
     deadline: float
-    over: bool = False
+    is_finished: bool = False
     attempts: list[SentAttempt] = field(default_factory=list)
 
 
 class Oracle:
-    """Plays clients, backends' outcomes and the list; checks each action against the rules."""
+    """Simulates clients, backends and discovery; checks each action against the rules."""
 
     def __init__(self, config: Settings, seed: int) -> None:
         self.config, self.balancer, self.now = config, Balancer(config, seed), 0.0
         self.requests: dict[str, SentRequest] = {}
-        self.listed: dict[str, BackendInfo] = {}
+        self.entries: dict[str, BackendInfo] = {}
         self.timers: list[float] = []
 
     def step(self, events: list[Event]) -> None:
         for action in self.balancer.step(self.now, events):
             self.check(action)
-        for name, request in self.requests.items():
-            out = any(a.result is None for a in request.attempts)
-            assert request.over or out or self.now < request.deadline, f"{name} lost"
+        for request_id, request in self.requests.items():
+            has_open_attempt = any(a.result is None for a in request.attempts)
+            assert request.is_finished or has_open_attempt or self.now < request.deadline, (
+                f"{request_id} has no final response after its deadline"
+            )
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.timers.append(self.now + action.delay_ms)
         elif isinstance(action, Forward):
-            self.check_send(action)
+            self.check_forward(action)
         elif isinstance(action, (Fail, Reject)):
             request = self.requests[action.request_id]
-            assert not request.over, "answered twice"
-            request.over = True
+            assert not request.is_finished, "a second final response"
+            request.is_finished = True
             if isinstance(action, Reject):
                 assert (
                     not self.may_have_executed(request)
@@ -142,86 +148,96 @@
     def may_have_executed(self, request: SentRequest) -> list[SentAttempt]:
         return [a for a in request.attempts if a.result not in NEVER_EXECUTED]
 
-    def check_send(self, action: Forward) -> None:
+    def check_forward(self, action: Forward) -> None:
         request = self.requests[action.request_id]
-        spec = CLASSES[request.class_index]
-        assert not request.over, "sent after its end"
-        entry = self.listed[action.backend_id]
-        assert entry.state is BackendState.ACTIVE, "sent to a backend that drains or is gone"
+        request_class = CLASSES[request.class_index]
+        assert not request.is_finished, "an attempt after the final response"
+        entry = self.entries[action.backend_id]
+        assert entry.state is BackendState.ACTIVE, "an attempt at a backend that is not active"
         assert len(request.attempts) < self.config.max_attempts
         executed = self.may_have_executed(request)
         if not self.config.may_hedge:
-            assert all(a.result is not None for a in request.attempts), "two attempts at once"
-        if executed and spec.idempotency is Idempotency.NON_IDEMPOTENT:
-            raise AssertionError("non-idempotent sent again")
-        if executed and spec.idempotency is Idempotency.KEYED:
-            assert self.now <= executed[0].at + spec.dedup_window_ms, "repeat outside the window"
-            home = executed[0].home
-            assert spec.dedup_scope is not DeduplicationScope.CELL or entry.cell == home.cell
-            assert spec.dedup_scope is not DeduplicationScope.ZONE or entry.zone == home.zone
+            assert all(a.result is not None for a in request.attempts), "concurrent attempts without hedging"
+        if executed and request_class.idempotency is Idempotency.NON_IDEMPOTENT:
+            raise AssertionError("a retry of a non-idempotent request that may have executed")
+        if executed and request_class.idempotency is Idempotency.KEYED:
+            assert self.now <= executed[0].sent_at + request_class.dedup_window_ms, (
+                "a retry after the deduplication window"
+            )
+            executed_entry = executed[0].entry
+            assert (
+                request_class.dedup_scope is not DeduplicationScope.CELL or entry.cell == executed_entry.cell
+            )
+            assert (
+                request_class.dedup_scope is not DeduplicationScope.ZONE or entry.zone == executed_entry.zone
+            )
         assert action.timeout_ms > 0
         request.attempts.append(SentAttempt(action.backend_id, self.now, action.timeout_ms, entry))
 
-    def relist(self, kind: ListUpdateKind, entries: list[BackendInfo]) -> None:
+    def update_list(self, kind: ListUpdateKind, entries: list[BackendInfo]) -> None:
         if kind is ListUpdateKind.FAILED:
             self.step([BackendListUpdate(kind)])
             return
         if kind not in (ListUpdateKind.DELTA, ListUpdateKind.CACHED_CONTINUED):
-            self.listed = {}
+            self.entries = {}
         for entry in entries:
-            self.listed[entry.backend_id] = entry
+            self.entries[entry.backend_id] = entry
         self.step([BackendListUpdate(kind, tuple(entries))])
 
-    def due(self) -> list[Event]:
-        """Timers that have run out and attempts that have reached their limit or their client's time."""
+    def due_events(self) -> list[Event]:
+        """Return the events of expired timers, and of attempts cancelled or past a timeout or deadline."""
         events: list[Event] = []
-        for when in [t for t in self.timers if t <= self.now]:
-            self.timers.remove(when)
+        for fires_at in [t for t in self.timers if t <= self.now]:
+            self.timers.remove(fires_at)
             events.append(TimerFired(0))
-        for name, request in self.requests.items():
-            for number, attempt in enumerate(request.attempts):
-                end = min(attempt.at + attempt.limit, request.deadline)
+        for request_id, request in self.requests.items():
+            for attempt_index, attempt in enumerate(request.attempts):
+                end = min(attempt.sent_at + attempt.timeout_ms, request.deadline)
                 if attempt.result is None and attempt.cancelled:
-                    events.append(self.end(name, number, AttemptResult.CANCELLED))
+                    events.append(self.end_attempt(request_id, attempt_index, AttemptResult.CANCELLED))
                 elif attempt.result is None and self.now >= end:
-                    events.append(self.end(name, number, AttemptResult.TIMEOUT))
+                    events.append(self.end_attempt(request_id, attempt_index, AttemptResult.TIMEOUT))
         return events
 
-    def arrive(self, count: int, class_index: int, wait: float) -> None:
-        name = f"r{count}"
-        deadline = self.now + wait + (0.001 if wait else 0)
-        self.requests[name] = SentRequest(class_index, deadline)
-        self.step([RequestArrived(name, class_index, count % 3, count % 4, deadline)])
+    def send_request(self, number: int, class_index: int, timeout_ms: float) -> None:
+        request_id = f"r{number}"
+        deadline = self.now + timeout_ms + (0.001 if timeout_ms else 0)
+        self.requests[request_id] = SentRequest(class_index, deadline)
+        self.step([RequestArrived(request_id, class_index, number % 3, number % 4, deadline)])
 
-    def let_pass(self, steps: int) -> None:
+    def advance(self, steps: int) -> None:
         for _ in range(steps):
             self.now += 5
-            self.step(self.due())
-
-    def leave(self, name: str, times: int) -> None:
-        request = self.requests[name]
-        if not request.over:
-            request.over = True
-            self.step([ClientDisconnected(name)] * times)
-
-    def end_first_open(self, name: str, result: AttemptResult) -> None:
-        attempts = self.requests[name].attempts
-        waiting = [number for number, attempt in enumerate(attempts) if attempt.result is None]
-        if waiting and (result is not AttemptResult.CANCELLED or attempts[waiting[0]].cancelled):
-            self.step([self.end(name, waiting[0], result)])
-
-    def end(self, name: str, number: int, result: AttemptResult) -> AttemptEnded:
-        request = self.requests[name]
-        attempt = request.attempts[number]
+            self.step(self.due_events())
+
+    def disconnect(self, request_id: str, event_count: int) -> None:
+        request = self.requests[request_id]
+        if not request.is_finished:
+            request.is_finished = True
+            self.step([ClientDisconnected(request_id)] * event_count)
+
+    def end_first_open_attempt(self, request_id: str, result: AttemptResult) -> None:
+        attempts = self.requests[request_id].attempts
+        open_indexes = [
+            attempt_index for attempt_index, attempt in enumerate(attempts) if attempt.result is None
+        ]
+        if open_indexes and (result is not AttemptResult.CANCELLED or attempts[open_indexes[0]].cancelled):
+            self.step([self.end_attempt(request_id, open_indexes[0], result)])
+
+    def end_attempt(self, request_id: str, attempt_index: int, result: AttemptResult) -> AttemptEnded:
+        request = self.requests[request_id]
+        attempt = request.attempts[attempt_index]
         attempt.result = result
         if result is AttemptResult.OK:
-            request.over = True
-        return AttemptEnded(name, number, result, self.now - attempt.at, request.over)
+            request.is_finished = True
+        return AttemptEnded(
+            request_id, attempt_index, result, self.now - attempt.sent_at, request.is_finished
+        )
 
 
 ENTRY = st.builds(
     BackendInfo,
-    backend_id=st.sampled_from(NAMES),
+    backend_id=st.sampled_from(BACKEND_IDS),
     state=st.sampled_from([BackendState.ACTIVE] * 4 + [BackendState.DRAINING, BackendState.REMOVED]),
     zone=st.integers(0, 1),
     kind=st.integers(0, 1),
@@ -229,12 +245,12 @@
     started_at=st.sampled_from([None, None, 1.0, 400.0]),
 )
 MOVE = st.one_of(
-    st.tuples(st.just("arrive"), st.integers(0, 4), st.sampled_from([0.0, 3.0, 150.0, 400.0, 900.0])),
-    st.tuples(st.just("arrive"), st.integers(0, 4), st.just(900.0)),
-    st.tuples(st.just("pass"), st.sampled_from([5.0, 20.0, 60.0, 200.0]), st.just(0)),
-    st.tuples(st.just("end"), st.integers(0, 30), st.sampled_from(list(AttemptResult))),
-    st.tuples(st.just("leave"), st.integers(0, 30), st.booleans()),
-    st.tuples(st.just("list"), st.sampled_from(list(ListUpdateKind)), st.lists(ENTRY, max_size=5)),
+    st.tuples(st.just("send_request"), st.integers(0, 4), st.sampled_from([0.0, 3.0, 150.0, 400.0, 900.0])),
+    st.tuples(st.just("send_request"), st.integers(0, 4), st.just(900.0)),
+    st.tuples(st.just("advance"), st.sampled_from([5.0, 20.0, 60.0, 200.0]), st.just(0)),
+    st.tuples(st.just("end_attempt"), st.integers(0, 30), st.sampled_from(list(AttemptResult))),
+    st.tuples(st.just("disconnect"), st.integers(0, 30), st.booleans()),
+    st.tuples(st.just("update_list"), st.sampled_from(list(ListUpdateKind)), st.lists(ENTRY, max_size=5)),
 )
 
 
@@ -273,26 +289,26 @@
     config: Settings, seed: int, first: list[BackendInfo], moves: list[tuple[str, object, object]]
 ) -> None:
     oracle = Oracle(config, seed)
-    oracle.relist(ListUpdateKind.CACHED, [e for e in first if e.state is not BackendState.REMOVED])
-    for count, (what, a, b) in enumerate(moves):
-        if what == "arrive":
+    oracle.update_list(ListUpdateKind.CACHED, [e for e in first if e.state is not BackendState.REMOVED])
+    for number, (operation, a, b) in enumerate(moves):
+        if operation == "send_request":
             assert isinstance(a, int) and isinstance(b, float)
-            oracle.arrive(count, a, b)
-        elif what == "pass":
+            oracle.send_request(number, a, b)
+        elif operation == "advance":
             assert isinstance(a, float)
-            oracle.let_pass(int(a / 5))
-        elif what == "list":
+            oracle.advance(int(a / 5))
+        elif operation == "update_list":
             assert isinstance(a, ListUpdateKind) and isinstance(b, list)
-            oracle.relist(a, b)
+            oracle.update_list(a, b)
         elif oracle.requests:
             assert isinstance(a, int)
-            name = list(oracle.requests)[a % len(oracle.requests)]
-            if what == "leave":
-                oracle.leave(name, 2 if b else 1)
+            request_id = list(oracle.requests)[a % len(oracle.requests)]
+            if operation == "disconnect":
+                oracle.disconnect(request_id, 2 if b else 1)
             else:
                 assert isinstance(b, AttemptResult)
-                oracle.end_first_open(name, b)
-    oracle.let_pass(500)  # all that is left comes to its end
-    assert all(r.over for r in oracle.requests.values())
+                oracle.end_first_open_attempt(request_id, b)
+    oracle.advance(500)  # ends all open requests
+    assert all(request.is_finished for request in oracle.requests.values())
     assert oracle.balancer.requests == {}
-    assert all(s.in_flight == 0 for s in oracle.balancer.backends.by_id.values())
+    assert all(backend.in_flight == 0 for backend in oracle.balancer.backends.by_id.values())
