--- a/dunecove/proxy/client_connection.py
+++ b/dunecove/proxy/client_connection.py
@@ -20,7 +20,7 @@
 from dunecove.proxy.http_request import HttpRequest, RequestError, RequestReader
 from dunecove.proxy.receive_buffer import ReceiveBuffer, ReceivedChunk
 from dunecove.proxy.request_validator import RequestValidator
-from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer, last_arrival_ms
+from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer, last_data_age_ms
 from dunecove.proxy.telemetry import CounterName
 
 MAX_PIPELINED = 2  # requests parsed ahead, whatever their size
@@ -60,7 +60,7 @@
     engine: Engine
     request_validator: RequestValidator
     slots: ConnectionSlots
-    disconnects: DisconnectWatcher
+    disconnect_watcher: DisconnectWatcher
     is_shutting_down: bool = False  # connections are closed after their responses
 
     def is_ready(self) -> bool:
@@ -115,10 +115,10 @@
 
     def data_received(self, data: bytes) -> None:
         """Handle received bytes."""
-        if self.is_closing and self.owes_response():
+        if self.is_closing and self.has_unanswered_request():
             # Reading on could get it aborted as a flood before its responses are written.
             self.transport.pause_reading()
-            self.server.disconnects.watch(self)
+            self.server.disconnect_watcher.watch(self)
             return
         if self.is_closing:
             self.discarded_bytes += len(data)
@@ -130,13 +130,13 @@
 
     # State
 
-    def owes_response(self) -> bool:
+    def has_unanswered_request(self) -> bool:
         """Return whether a request on it has no response yet."""
         return self.request_id is not None or bool(self.pending)
 
     def may_close(self) -> bool:
         """Return whether it owes no response and no unread request lies in the kernel."""
-        return may_close_connection(self.owes_response(), has_unread_input(self.transport))
+        return may_close_connection(self.has_unanswered_request(), has_unread_input(self.transport))
 
     def may_be_evicted(self) -> bool:
         """Return whether its slot may be given to another connection."""
@@ -212,7 +212,7 @@
         self.close_reason = reason
         telemetry = self.server.engine.telemetry
         telemetry.count(CounterName.CONNECTION_CLOSED, reason.value)
-        if self.owes_response() and reason is not CloseReason.CLIENT:
+        if self.has_unanswered_request() and reason is not CloseReason.CLIENT:
             telemetry.report_violation(Violation.UNANSWERED, self.request_id or "", f"closed: {reason.value}")
 
     def _linger(self) -> None:
@@ -224,7 +224,7 @@
         self._stop_reading()
         self.pending.clear()  # nothing is owed to what follows a request that asks for the close
         self._record_close(CloseReason.ANSWERED)
-        self.server.disconnects.unwatch(self)
+        self.server.disconnect_watcher.unwatch(self)
         self.transport.resume_reading()
         self.transport.write_eof()
         self.server.slots.mark_lingering(self)
@@ -240,7 +240,7 @@
         unread_since = self.paused_since or self._accept_delayed_since
         if not unread_since:
             return now
-        age_ms = last_arrival_ms(self.transport)
+        age_ms = last_data_age_ms(self.transport)
         paused_since = self.paused_since
         self.paused_since = 0.0
         self._accept_delayed_since = 0.0
@@ -263,7 +263,7 @@
             self._update_reading()
 
     def _update_state(self) -> None:
-        if self.owes_response():
+        if self.has_unanswered_request():
             self._bound_current_request()
             self.server.slots.mark_active(self)
         elif self.reader.is_mid_request or not self.has_responded:
@@ -276,9 +276,9 @@
         if len(self.buffer) > PARSE_CHUNK_BYTES:
             self.paused_since = self.paused_since or now_ms()
             self.transport.pause_reading()
-            self.server.disconnects.watch(self)
+            self.server.disconnect_watcher.watch(self)
             return
-        self.server.disconnects.unwatch(self)
+        self.server.disconnect_watcher.unwatch(self)
         if self.paused_since and not has_unread_input(self.transport):
             self.paused_since = 0.0
         self.transport.resume_reading()
@@ -302,7 +302,7 @@
 
     def _parse(self, chunk: ReceivedChunk) -> None:
         completed = self.reader.feed(chunk.data, chunk.arrived_at)
-        if self.reader.expects_continue and not self.owes_response():
+        if self.reader.expects_continue and not self.has_unanswered_request():
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         self.pending.extend(completed)
         if self.reader.has_failed:
--- a/dunecove/proxy/disconnect_watcher.py
+++ b/dunecove/proxy/disconnect_watcher.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from dunecove.proxy.socket_probe import closed_by_peer
+from dunecove.proxy.socket_probe import find_closed_by_peer
 
 if TYPE_CHECKING:
     from dunecove.proxy.client_connection import ClientConnection
@@ -37,7 +37,7 @@
     def poll(self) -> None:
         """Abort the connections whose clients have left, by one system call for all of them."""
         self.poll_timer = None
-        for transport in closed_by_peer(connection.transport for connection in self.paused):
+        for transport in find_closed_by_peer(connection.transport for connection in self.paused):
             transport.abort()
         if self.paused:
             self.poll_timer = self._loop.call_later(DISCONNECT_POLL_S, self.poll)
--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -29,8 +29,8 @@
     def __init__(self, engine: Engine, request_validator: RequestValidator, max_connections: int) -> None:
         self.engine = engine
         self.slots = ConnectionSlots(max_connections)
-        self.disconnects = DisconnectWatcher()
-        self.server = ServerState(engine, request_validator, self.slots, self.disconnects)
+        self.disconnect_watcher = DisconnectWatcher()
+        self.server = ServerState(engine, request_validator, self.slots, self.disconnect_watcher)
         self.sock: socket.socket | None = None
         self.address = ""  # `host:port` where it listens
         self.is_accepting = False
@@ -126,7 +126,7 @@
 
     def _on_connection_lost(self, connection: ClientConnection) -> None:
         self.slots.remove(connection)
-        self.disconnects.unwatch(connection)
+        self.disconnect_watcher.unwatch(connection)
         self._release_slot()
 
     def _release_slot(self) -> None:
--- a/dunecove/proxy/socket_probe.py
+++ b/dunecove/proxy/socket_probe.py
@@ -25,7 +25,7 @@
     return transport.is_closing() or _poll(transport, select.POLLRDHUP)
 
 
-def closed_by_peer(transports: Iterable[asyncio.Transport]) -> list[asyncio.Transport]:
+def find_closed_by_peer(transports: Iterable[asyncio.Transport]) -> list[asyncio.Transport]:
     """Those of the transports whose peer has closed or reset the connection, found with one system call."""
     poll = select.poll()
     by_fileno = {}
@@ -43,7 +43,7 @@
     return bool(poll.poll(0))  # errors and resets are reported whatever the mask
 
 
-def last_arrival_ms(transport: asyncio.Transport) -> float | None:
+def last_data_age_ms(transport: asyncio.Transport) -> float | None:
     """Time in ms since the kernel received the last bytes of this connection; None where it can't tell."""
     try:
         info = transport.get_extra_info("socket").getsockopt(
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted servers on loopback, whose responses the test gives by hand, and a plain client."""
+"""Servers on the loopback interface whose responses the test scripts, an HTTP client, and a whole proxy."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from dunecove.proxy.socket_probe import has_unread_input
 from dunecove.server import start
 
-TEST_TIMEOUT_S = 60.0  # only a hang comes near it
-POLL_S = 0.001
+TEST_TIMEOUT_S = 60.0  # far longer than any test takes, so that only a hang reaches it
+POLL_INTERVAL_S = 0.001
 PURCHASE = {
     "Name": "purchase",
     "AimMs": 20000,
@@ -42,16 +42,16 @@
     uvloop.run(asyncio.wait_for(test, TEST_TIMEOUT_S))
 
 
-async def until(condition: Callable[[], object]) -> None:
-    """Wait until the condition holds; the limit on the test ends it otherwise."""
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Wait until the condition holds; `TEST_TIMEOUT_S` ends the test if it never does."""
     while True:
         if condition():
             return
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection so that the other side gets a reset."""
+def reset_connection(writer: asyncio.StreamWriter) -> None:
+    """Close a connection with a TCP reset."""
     linger = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.transport.abort()
@@ -69,14 +69,14 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """A request that a scripted server has read; the test responds to it."""
+    """A request that a scripted server has received; the test responds to it."""
 
     request_line: str
     headers: dict[str, str]
     body: bytes
     writer: asyncio.StreamWriter
-    connection: int
-    closed: asyncio.Event  # the proxy has closed this connection
+    connection_number: int  # 1 for the first connection that the server accepted
+    closed: asyncio.Event  # set once the connection has ended
 
     def respond(
         self, body: bytes = b"done", status: int = 200, headers: dict[str, str] | None = None
@@ -87,7 +87,7 @@
 
 
 class ScriptedServer:
-    """A server that puts each request it reads into `requests`, and leaves the response to the test."""
+    """A server that puts each received request into `requests` for the test to respond to."""
 
     def __init__(self) -> None:
         self.requests: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
@@ -96,7 +96,7 @@
         self.address = ""
 
     async def open(self, sock: socket.socket | None = None) -> ScriptedServer:
-        """Listen on a free address, or with a socket that is bound and does not listen yet."""
+        """Listen on a free port, or on `sock`, which is bound but not listening yet."""
         if sock is None:
             self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         else:
@@ -107,12 +107,14 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connection_count += 1
         self.writers.append(writer)
-        connection, closed = self.connection_count, asyncio.Event()
+        connection_number, closed = self.connection_count, asyncio.Event()
         try:
             while True:
                 line, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                await self.requests.put(ReceivedRequest(line, headers, body, writer, connection, closed))
+                await self.requests.put(
+                    ReceivedRequest(line, headers, body, writer, connection_number, closed)
+                )
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
             closed.set()
@@ -123,7 +125,7 @@
             writer.close()
 
 
-def request(
+def encode_request(
     path: str = "/answer", method: str = "POST", *, body: bytes = b"", **headers: str | None
 ) -> bytes:
     all_headers: dict[str, str | None] = {
@@ -151,7 +153,7 @@
     def send(
         self, path: str = "/answer", method: str = "POST", *, body: bytes = b"", **headers: str | None
     ) -> None:
-        self.writer.write(request(path, method, body=body, **headers))
+        self.writer.write(encode_request(path, method, body=body, **headers))
 
     async def read_response(self) -> ReceivedResponse:
         line, headers = await read_head(self.reader)
@@ -165,7 +167,7 @@
         return await self.read_response()
 
     async def wait_closed(self) -> bool:
-        """Wait for the end of the connection; return whether no bytes came before it."""
+        """Wait until the connection has ended; return whether no further bytes were received."""
         try:
             return await self.reader.read() == b""
         except ConnectionError:
@@ -176,13 +178,13 @@
 
 
 async def send_unread(client: Client, connection: ClientConnection, x_call_id: str = "c1") -> None:
-    """Send a request that stays in the kernel, as if the event loop had not read it yet."""
+    """Send a request and pause reading, so that the request stays in the proxy's kernel receive buffer."""
     connection.transport.pause_reading()
     client.send(x_call_id=x_call_id)
-    await until(lambda: has_unread_input(connection.transport))
+    await wait_until(lambda: has_unread_input(connection.transport))
 
 
-def target(uid: str, address: str, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
+def make_list_entry(uid: str, address: str, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
     return {
         "uid": uid,
         "endpoint": address,
@@ -195,12 +197,16 @@
     }
 
 
-def listing(rev: int, *targets: dict[str, Any], whole: bool = True) -> dict[str, Any]:
-    return {"rev": rev, "all": whole, "targets": list(targets)}
+def make_endpoint_list(rev: int, *targets: dict[str, Any], is_snapshot: bool = True) -> dict[str, Any]:
+    return {"rev": rev, "all": is_snapshot, "targets": list(targets)}
 
 
-def configuration(discovery: str, *targets: dict[str, Any], **limits: Any) -> dict[str, Any]:
-    more = limits.pop("settings", {})
+def make_configuration(discovery: str, *targets: dict[str, Any], **overrides: Any) -> dict[str, Any]:
+    """Return the content of a configuration file.
+
+    `overrides` are keys of `Limits` in the settings, or `settings`, `memory_mb`, `sockets`, `discovery_mode`.
+    """
+    settings = overrides.pop("settings", {})
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -208,50 +214,49 @@
         "seed": "8c1f30d27a5be964",
         "limits": {
             "cores": 1.0,
-            "memory_mb": limits.pop("memory_mb", 192),
-            "sockets": limits.pop("sockets", 1024),
+            "memory_mb": overrides.pop("memory_mb", 192),
+            "sockets": overrides.pop("sockets", 1024),
         },
-        "known": listing(1, *targets),
+        "known": make_endpoint_list(1, *targets),
         "settings": {
             "Lanes": [PURCHASE, ANSWER, LOOKUP],
             "Dcs": ["a"],
             "Kinds": ["m"],
-            "Discovery": limits.pop("list_mode", "ask"),
+            "Discovery": overrides.pop("discovery_mode", "ask"),
             "TickMs": 5.0,
             "Limits": {"MayCancel": True, "MostTries": 4, "ConnectTimeoutMs": 20000, "ConnIdleMs": 60000}
-            | limits,
+            | overrides,
         }
-        | more,
+        | settings,
     }
 
 
 def write_configuration(folder: Path, config: Any) -> dict[str, str]:
-    """Write the configuration file of a program; return the environment to start it in."""
+    """Write the configuration file of a proxy process; return the environment to start the process with."""
     path = folder / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
     return {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | {"LB_CONFIG": str(path)}
 
 
 class ConnectGate:
-    """Stands in for the event loop of the backend connections: each opens only when the test says so."""
+    """Wraps the event loop of a connection pool; each connection opens only once the test allows it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.create_task, self.call_later = loop.create_task, loop.call_later
         self.connect = loop.create_connection
-        self.attempts: asyncio.Queue[asyncio.Event] = (
-            asyncio.Queue()
-        )  # one for each connection that is opened
+        # One event for each connection that the pool opens; setting the event lets the connection open.
+        self.attempts: asyncio.Queue[asyncio.Event] = asyncio.Queue()
 
     async def create_connection(self, *args: Any) -> Any:
-        comes_up = asyncio.Event()
-        await self.attempts.put(comes_up)
-        await comes_up.wait()
+        may_open = asyncio.Event()
+        await self.attempts.put(may_open)
+        await may_open.wait()
         return await self.connect(*args)
 
     @staticmethod
-    def of(backends: ConnectionPool) -> ConnectGate:
-        gate = ConnectGate(backends.loop)
-        backends.loop = cast(asyncio.AbstractEventLoop, gate)
+    def install(pool: ConnectionPool) -> ConnectGate:
+        gate = ConnectGate(pool.loop)
+        pool.loop = cast(asyncio.AbstractEventLoop, gate)
         return gate
 
 
@@ -259,28 +264,31 @@
     engine: Engine
     listener: Listener
     backends: list[ScriptedServer]
-    registry: ScriptedServer
+    discovery_server: ScriptedServer
 
     async def client(self) -> Client:
         return await Client.open(self.listener.address)
 
 
 @asynccontextmanager
-async def proxy(backends: int = 1, **limits: Any) -> AsyncIterator[Proxy]:
-    """Run the whole proxy in this process, with scripted backends and a scripted registry."""
-    peers = [await ScriptedServer().open() for _ in range(backends)]
-    registry = await ScriptedServer().open()
-    targets = [target(f"s{number}", peer.address) for number, peer in enumerate(peers)]
+async def proxy(backends: int = 1, **overrides: Any) -> AsyncIterator[Proxy]:
+    """Run a whole proxy in this process, with scripted backends and a scripted discovery service.
+
+    `overrides` are those of `make_configuration`.
+    """
+    backend_servers = [await ScriptedServer().open() for _ in range(backends)]
+    discovery = await ScriptedServer().open()
+    entries = [make_list_entry(f"s{number}", server.address) for number, server in enumerate(backend_servers)]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(configuration(registry.address, *targets, **limits)))
+        path.write_text(json.dumps(make_configuration(discovery.address, *entries, **overrides)))
         engine, listener = start(read_config({"LB_CONFIG": str(path)}))
     try:
-        yield Proxy(engine, listener, peers, registry)
+        yield Proxy(engine, listener, backend_servers, discovery)
     finally:
         await listener.finish_shutdown(0.0)
-        for client in list(listener.slots.connections):
-            client.transport.abort()
+        for connection in list(listener.slots.connections):
+            connection.transport.abort()
         engine.close()
-        for peer in [*peers, registry]:
-            peer.close()
+        for server in [*backend_servers, discovery]:
+            server.close()
--- a/tests/proxy/pool_harness.py
+++ b/tests/proxy/pool_harness.py
@@ -60,7 +60,7 @@
         call = await backend.requests.get()
         call.respond()
         assert await self.result() is AttemptResult.OK
-        return call.connection
+        return call.connection_number
 
 
 def endpoint(
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -17,12 +17,12 @@
     Proxy,
     ReceivedRequest,
     ReceivedResponse,
+    encode_request,
     proxy,
-    request,
-    reset,
+    reset_connection,
     run,
     send_unread,
-    until,
+    wait_until,
 )
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -30,7 +30,7 @@
 
 async def next_call(p: Proxy) -> ReceivedRequest:
     """Return the next request that any backend reads."""
-    await until(lambda: any(not peer.requests.empty() for peer in p.backends))
+    await wait_until(lambda: any(not peer.requests.empty() for peer in p.backends))
     return next(peer.requests.get_nowait() for peer in p.backends if not peer.requests.empty())
 
 
@@ -43,9 +43,9 @@
             p.listener.begin_shutdown()
             received.respond(b"r" * 65536)
             (connection,) = p.listener.slots.connections
-            await until(lambda: p.listener.slots.lingering)
+            await wait_until(lambda: p.listener.slots.lingering)
             client.send(x_call_id="c2")
-            await until(lambda: connection.discarded_bytes)
+            await wait_until(lambda: connection.discarded_bytes)
             reply = await client.read_response()
             assert (reply.body, reply.headers["connection"]) == (b"r" * 65536, "close")
             assert await client.wait_closed()
@@ -105,14 +105,14 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.connect((host, int(port)))
     client = Client(*await asyncio.open_connection(sock=sock, limit=1000))
-    await until(lambda: p.listener.slots.connections)
+    await wait_until(lambda: p.listener.slots.connections)
     (connection,) = p.listener.slots.connections
     connection.transport.get_extra_info("socket").setsockopt(
         socket.SOL_SOCKET, socket.SO_SNDBUF, send_buffer_bytes
     )
     client.send()
     (await p.backends[0].requests.get()).respond(b"r" * 65536)
-    await until(lambda: p.listener.slots.lingering if shutting_down else p.listener.slots.idle)
+    await wait_until(lambda: p.listener.slots.lingering if shutting_down else p.listener.slots.idle)
     assert send_buffer_bytes > 4096 or connection.transport.get_write_buffer_size()
     return client
 
@@ -156,19 +156,19 @@
                 other = await p.client()
                 other.send("/health/ready", "GET")
                 # No slot is free while its response may still be read.
-                await until(lambda: not p.listener.is_accepting)
+                await wait_until(lambda: not p.listener.is_accepting)
                 assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is None
                 assert p.listener.slots.used == 1
                 p.engine.requests.max_deadline_ms = -1000.0
                 assert (await other.read_response()).status == 200
             else:
                 client.writer.write_eof()
-            await until(lambda: connection.transport.is_closing())
+            await wait_until(lambda: connection.transport.is_closing())
             assert how == "crowded" or connection in p.listener.slots.connections
             monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", -1.0)
             monkeypatch.setattr(connection_module, "LINGER_READ_TIMEOUT_S", -1.0)
             p.listener.sweep()
-            await until(lambda: connection not in p.listener.slots.connections)
+            await wait_until(lambda: connection not in p.listener.slots.connections)
 
     run(test())
 
@@ -209,7 +209,7 @@
             p.listener.slots.lingering[connection] -= 100_000.0
             assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is connection
             p.listener.sweep()
-            await until(lambda: not p.listener.slots.connections)
+            await wait_until(lambda: not p.listener.slots.connections)
 
     run(test())
 
@@ -223,9 +223,9 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            sent = request()
+            sent = encode_request()
             client.writer.write(sent[:-2])
-            await until(
+            await wait_until(
                 lambda: any(connection.reader.is_mid_request for connection in p.listener.slots.connections)
             )
             p.listener.begin_shutdown()
@@ -251,7 +251,9 @@
             client.send(x_call_id="c1", connection="close")
             received = await p.backends[0].requests.get()
             client.send(x_call_id="c2")
-            await until(lambda: any(connection.is_closing for connection in p.listener.slots.connections))
+            await wait_until(
+                lambda: any(connection.is_closing for connection in p.listener.slots.connections)
+            )
             received.respond()
             assert (await client.read_response()).status == 200
             assert await client.wait_closed()
@@ -273,9 +275,9 @@
             received = await p.backends[0].requests.get()
             (connection,) = p.listener.slots.connections
             client.writer.write(b"\x16\x03 no request\r\n\r\n")
-            await until(lambda: connection.is_closing)
+            await wait_until(lambda: connection.is_closing)
             client.writer.write(b"x" * 100_000)
-            await until(
+            await wait_until(
                 lambda: (
                     has_unread_input(connection.transport) or connection not in p.listener.slots.connections
                 )
@@ -283,7 +285,7 @@
             received.respond(b"owed")
             assert (await client.read_response()).body == b"owed"
             assert (await client.read_response()).status == 400
-            await until(lambda: not p.listener.slots.connections)
+            await wait_until(lambda: not p.listener.slots.connections)
             client.close()
 
     run(test())
@@ -309,7 +311,7 @@
     async def test() -> None:
         async with proxy() as p:
             flood, other = await p.client(), await p.client()
-            flood.writer.write(b"".join(request(x_call_id=f"f{number}") for number in range(300)))
+            flood.writer.write(b"".join(encode_request(x_call_id=f"f{number}") for number in range(300)))
             calls = [await p.backends[0].requests.get()]
             other.send(x_call_id="other")
             calls.append(await p.backends[0].requests.get())
@@ -351,9 +353,9 @@
     assert transport is not None
     transport.pause_reading()
     received.writer.write(sent)
-    await until(lambda: has_unread_input(transport))
-    reset(received.writer) if how == "reset" else received.writer.close()
-    await until(lambda: is_closed_by_peer(transport))
+    await wait_until(lambda: has_unread_input(transport))
+    reset_connection(received.writer) if how == "reset" else received.writer.close()
+    await wait_until(lambda: is_closed_by_peer(transport))
     transport.resume_reading()
     reply = await client.read_response()
     assert all(peer.requests.empty() for peer in p.backends)
@@ -393,12 +395,12 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            await until(lambda: p.listener.slots.connections)
+            await wait_until(lambda: p.listener.slots.connections)
             (connection,) = p.listener.slots.connections
-            sent = request(body=b"by and by")
+            sent = encode_request(body=b"by and by")
             for place in range(len(sent) - 1):
                 client.writer.write(sent[place : place + 1])
-                await until(lambda place=place: connection.reader.size_bytes == place + 1)  # type: ignore[misc]
+                await wait_until(lambda place=place: connection.reader.size_bytes == place + 1)  # type: ignore[misc]
             assert p.backends[0].connection_count == 0
             client.writer.write(sent[-1:])
             received = await p.backends[0].requests.get()
@@ -410,7 +412,7 @@
                 assert backend_connection.is_awaiting_response and client.reader._buffer == b""  # type: ignore[attr-defined]
                 size = backend_connection._received_bytes
                 received.writer.write(bytes([byte]))
-                await until(lambda size=size: backend_connection._received_bytes != size)  # type: ignore[misc]
+                await wait_until(lambda size=size: backend_connection._received_bytes != size)  # type: ignore[misc]
             reply = await client.read_response()
             assert (reply.status, reply.body) == (200, b"slowly.")
 
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -13,7 +13,7 @@
 from dunecove.proxy.backend_connections import MIN_IDLE_MS
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.socket_probe import has_unread_input
-from tests.loopback import ConnectGate, ScriptedServer, run, until
+from tests.loopback import ConnectGate, ScriptedServer, run, wait_until
 from tests.proxy.pool_harness import endpoint, pool_harness
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -61,7 +61,7 @@
             assert transport is not None
             transport.pause_reading()
             backend.writers[0].write(extra)
-            await until(lambda: has_unread_input(transport))
+            await wait_until(lambda: has_unread_input(transport))
             assert await harness.serve_one(backend) == 2
 
     run(test())
@@ -77,7 +77,7 @@
             assert transport is not None
             transport.pause_reading()
             backend.writers[0].close()
-            await until(lambda: has_unread_input(transport))
+            await wait_until(lambda: has_unread_input(transport))
             assert await harness.serve_one(backend) == 2
 
     run(test())
@@ -205,7 +205,7 @@
 
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            gate = ConnectGate.of(harness.pool)
+            gate = ConnectGate.install(harness.pool)
             harness.start(write_timeout_ms=30.0)
             may_open = await gate.attempts.get()
             assert await harness.result() is AttemptResult.CONNECT_FAILED
@@ -226,7 +226,7 @@
 
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            gate = ConnectGate.of(harness.pool)
+            gate = ConnectGate.install(harness.pool)
             attempt = harness.start(write_timeout_ms=20000.0)
             may_open = await gate.attempts.get()
             setattr(attempt, deadline, now_ms() - 1.0)
@@ -283,7 +283,7 @@
             await call.closed.wait()
             harness.start()
             again = await backend.requests.get()
-            assert again.connection == 2
+            assert again.connection_number == 2
             again.respond()
             assert await harness.result() is AttemptResult.OK
 
@@ -314,8 +314,8 @@
             await harness.result()
             first.respond()
             await harness.result()
-            assert await harness.serve_one(backend) == first.connection
-            assert await harness.serve_one(backend) == first.connection
+            assert await harness.serve_one(backend) == first.connection_number
+            assert await harness.serve_one(backend) == first.connection_number
 
     run(test())
 
@@ -338,7 +338,7 @@
         async with pool_harness() as (harness, backend):
             await harness.serve_one(backend)
             backend.writers[0].close()
-            await until(lambda: not harness.pool.connections)
+            await wait_until(lambda: not harness.pool.connections)
             assert await harness.serve_one(backend) == 2
 
     run(test())
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -22,7 +22,15 @@
 from dunecove.proxy.discovery_connection import DiscoveryConnection
 from dunecove.proxy.endpoint_list import EndpointListUpdate
 from dunecove.wire.settings import ProxySettings
-from tests.loopback import ReceivedRequest, ScriptedServer, listing, proxy, run, target, until
+from tests.loopback import (
+    ReceivedRequest,
+    ScriptedServer,
+    make_endpoint_list,
+    make_list_entry,
+    proxy,
+    run,
+    wait_until,
+)
 from tests.support import Driver, actions_of_type, make_backends, make_settings
 
 ADDRESS = "127.0.0.9:80"
@@ -57,12 +65,14 @@
         async with watching() as (recorded, service):
             first = await service.requests.get()
             assert first.request_line == "GET /registry/instances?since=41&timeout_ms=1 HTTP/1.1"
-            reply(first, listing(41, whole=False))
+            reply(first, make_endpoint_list(41, is_snapshot=False))
             assert (await recorded.updates.get()).endpoints == ()
             second = await service.requests.get()
             assert second.request_line == "GET /registry/instances?since=41&timeout_ms=1000 HTTP/1.1"
             recorded.client.watch()  # one watch is on: no second one
-            reply(second, listing(43, target("s", ADDRESS, "leaving", 7), whole=False))
+            reply(
+                second, make_endpoint_list(43, make_list_entry("s", ADDRESS, "leaving", 7), is_snapshot=False)
+            )
             update = await recorded.updates.get()
             assert (update.revision, update.is_snapshot) == (43, False)
             (info,) = (t.info for t in update.endpoints)
@@ -74,7 +84,7 @@
             )
             third = await service.requests.get()
             assert third.request_line.startswith("GET /registry/instances?since=43&")
-            assert third.connection == 1 and recorded.failures.empty()
+            assert third.connection_number == 1 and recorded.failures.empty()
 
     run(test())
 
@@ -85,12 +95,12 @@
     b"{}",
     b'{"rev":42,"all":true}',
     b'{"rev":"x","all":true,"targets":[]}',
-    json.dumps(listing(42, target("s", "host.name:80"))).encode(),
-    json.dumps(listing(42, target("s", "127.0.0.1"))).encode(),
-    json.dumps(listing(42, target("s", "127.0.0.01:80"))).encode(),
-    json.dumps(listing(42, target("s", "127.0.0.1\0:80"))).encode(),
-    json.dumps(listing(42, target("s", ADDRESS, "odd"))).encode(),
-    json.dumps(listing(42, {"uid": "s"})).encode(),
+    json.dumps(make_endpoint_list(42, make_list_entry("s", "host.name:80"))).encode(),
+    json.dumps(make_endpoint_list(42, make_list_entry("s", "127.0.0.1"))).encode(),
+    json.dumps(make_endpoint_list(42, make_list_entry("s", "127.0.0.01:80"))).encode(),
+    json.dumps(make_endpoint_list(42, make_list_entry("s", "127.0.0.1\0:80"))).encode(),
+    json.dumps(make_endpoint_list(42, make_list_entry("s", ADDRESS, "odd"))).encode(),
+    json.dumps(make_endpoint_list(42, {"uid": "s"})).encode(),
 ]
 
 
@@ -104,7 +114,7 @@
             recorded.client.watch()  # when the balancer says so, since the revision at hand
             call = await service.requests.get()
             assert call.request_line.startswith("GET /registry/instances?since=41&")
-            reply(call, listing(44))
+            reply(call, make_endpoint_list(44))
             assert (await recorded.updates.get()).revision == 44
 
     run(test())
@@ -145,7 +155,7 @@
     async def test() -> None:
         async with watching() as (recorded, service):
             recorded.client.on_update = broken
-            reply(await service.requests.get(), listing(42))
+            reply(await service.requests.get(), make_endpoint_list(42))
             assert "ZeroDivisionError" in await recorded.failures.get()
             assert recorded.client.revision == 41  # the list is asked for again
 
@@ -155,14 +165,14 @@
 def test_proxy_keeps_its_list_after_a_malformed_one_and_replaces_it_by_a_snapshot() -> None:
     async def test() -> None:
         async with proxy(backends=2) as p:
-            bad = await p.registry.requests.get()
+            bad = await p.discovery_server.requests.get()
             bad.respond(b'{"rev":2,"all":true,"targets":[{"uid":5}]}')
             client = await p.client()
             assert (await client.exchange("/health/ready", "GET")).status == 200
             assert set(p.engine.connection_pool.endpoints) == {"s0", "s1"}
-            good = await p.registry.requests.get()
-            reply(good, listing(3, target("s1", p.backends[1].address)))
-            await p.registry.requests.get()  # the next poll: the update has been processed
+            good = await p.discovery_server.requests.get()
+            reply(good, make_endpoint_list(3, make_list_entry("s1", p.backends[1].address)))
+            await p.discovery_server.requests.get()  # the next poll: the update has been processed
             assert set(p.engine.connection_pool.endpoints) == {"s1"}
             for number in range(5):
                 client.send(x_call_id=f"c{number}")
@@ -176,14 +186,19 @@
     # With "Discovery": "push" the balancer never polls: nobody read the list, and drained backends went on
     # getting requests.
     async def test() -> None:
-        async with proxy(backends=2, list_mode="push") as p:
-            first = await p.registry.requests.get()
+        async with proxy(backends=2, discovery_mode="push") as p:
+            first = await p.discovery_server.requests.get()
             assert "?since=1&" in first.request_line
             first.respond(status=503)
-            second = await p.registry.requests.get()
+            second = await p.discovery_server.requests.get()
             assert "?since=1&" in second.request_line
-            reply(second, listing(2, target("s0", p.backends[0].address, "leaving"), whole=False))
-            await p.registry.requests.get()
+            reply(
+                second,
+                make_endpoint_list(
+                    2, make_list_entry("s0", p.backends[0].address, "leaving"), is_snapshot=False
+                ),
+            )
+            await p.discovery_server.requests.get()
             assert p.engine.connection_pool.active_count() == 1
 
     run(test())
@@ -303,11 +318,11 @@
             recorded.client.watch()
             second = await service.requests.get()
             await recorded.failures.get()
-            reply(first, listing(42))  # nobody waits for it just now
+            reply(first, make_endpoint_list(42))  # nobody waits for it just now
             assert (await recorded.updates.get()).revision == 42
             await second.closed.wait()
             third = await service.requests.get()  # the watch stands, on the connection that was answered
-            assert third.connection == first.connection and "since=42&" in third.request_line
+            assert third.connection_number == first.connection_number and "since=42&" in third.request_line
             assert recorded.failures.empty() and recorded.updates.empty()
 
     run(test())
@@ -333,9 +348,9 @@
             latest = await service.requests.get()
             calls[2].respond(status=503)  # while the latest is waited for
             await calls[2].closed.wait()
-            await until(lambda: len(recorded.client.opening_calls) <= 2)
+            await wait_until(lambda: len(recorded.client.opening_calls) <= 2)
             assert recorded.failures.empty()
-            reply(latest, listing(42))
+            reply(latest, make_endpoint_list(42))
             assert (await recorded.updates.get()).revision == 42
             await calls[3].closed.wait()
 
@@ -355,7 +370,7 @@
     async def test() -> None:
         async with watching() as (recorded, service):
             call = await service.requests.get()
-            body = json.dumps(listing(42, target("s", ADDRESS)), indent=2).encode()
+            body = json.dumps(make_endpoint_list(42, make_list_entry("s", ADDRESS)), indent=2).encode()
             whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
             for place in range(0, len(whole), 40):
                 call.writer.write(whole[place : place + 40])
@@ -374,10 +389,10 @@
 
     async def test() -> None:
         async with proxy(memory_mb=192) as p:
-            many = [target(f"s-{number:08x}", ADDRESS) for number in range(20_000)]
-            first = await p.registry.requests.get()
-            first.respond(json.dumps(listing(2, *many)).encode())
-            call = await p.registry.requests.get()
+            many = [make_list_entry(f"s-{number:08x}", ADDRESS) for number in range(20_000)]
+            first = await p.discovery_server.requests.get()
+            first.respond(json.dumps(make_endpoint_list(2, *many)).encode())
+            call = await p.discovery_server.requests.get()
             assert "?since=2&" in call.request_line and p.engine.connection_pool.active_count() == 20_000
             assert p.engine.discovery is not None
             max_list_bytes = p.engine.discovery.max_list_bytes
@@ -393,7 +408,7 @@
                     await call.writer.drain()
                 await asyncio.sleep(0)
             assert p.engine.connection_pool.active_count() == 20_000
-            assert "?since=2&" in (await p.registry.requests.get()).request_line
+            assert "?since=2&" in (await p.discovery_server.requests.get()).request_line
 
     run(test())
 
@@ -413,10 +428,10 @@
                     call.connection_lost(ConnectionResetError())
 
             recorded.client.on_update = between
-            reply(await service.requests.get(), listing(42))
+            reply(await service.requests.get(), make_endpoint_list(42))
             second = await service.requests.get()
             assert second.request_line.startswith("GET /registry/instances?since=42&")
-            assert second.connection == 2 and recorded.failures.empty()
+            assert second.connection_number == 2 and recorded.failures.empty()
 
     run(test())
 
@@ -450,10 +465,10 @@
             await comes_up.wait()
             assert recorded.client.move_to(other.address)
             recorded.client.watch()
-            reply(await other.requests.get(), listing(7))
+            reply(await other.requests.get(), make_endpoint_list(7))
             assert (await recorded.updates.get()).revision == 7
-        await until(lambda: service.writers)
-        await until(lambda: service.writers[0].is_closing())  # its reader has found the end
+        await wait_until(lambda: service.writers)
+        await wait_until(lambda: service.writers[0].is_closing())  # its reader has found the end
         assert service.requests.empty() and recorded.failures.empty()
         recorded.client.close()
         service.close()
@@ -469,13 +484,13 @@
             await service.requests.get()
             call = recorded.client.connection
             assert call is not None
-            body = json.dumps(listing(42, target("old", ADDRESS))).encode()
+            body = json.dumps(make_endpoint_list(42, make_list_entry("old", ADDRESS))).encode()
             call.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
             assert recorded.client.move_to(other.address)  # before the watch could look at it
             recorded.client.watch()
             first = await other.requests.get()
             assert first.request_line == "GET /registry/instances HTTP/1.1"
-            reply(first, listing(7))
+            reply(first, make_endpoint_list(7))
             assert (await recorded.updates.get()).revision == 7
             assert recorded.updates.empty() and recorded.failures.empty()
         other.close()
@@ -487,7 +502,7 @@
     async def test() -> None:
         other = await ScriptedServer().open()
         async with watching() as (recorded, service):
-            (await service.requests.get()).respond(json.dumps(listing(42)).encode())
+            (await service.requests.get()).respond(json.dumps(make_endpoint_list(42)).encode())
             await recorded.updates.get()
             old = await service.requests.get()
             assert recorded.client.move_to(other.address) and recorded.client.move_to(service.address)
@@ -495,7 +510,7 @@
             recorded.client.watch()
             await old.closed.wait()
             again = await service.requests.get()
-            assert again.request_line == "GET /registry/instances HTTP/1.1" and again.connection == 2
+            assert again.request_line == "GET /registry/instances HTTP/1.1" and again.connection_number == 2
             assert other.connection_count == 0 and recorded.failures.empty()
         other.close()
 
--- a/tests/proxy/test_endpoint_json.py
+++ b/tests/proxy/test_endpoint_json.py
@@ -10,13 +10,13 @@
 
 from dunecove.config import read_config
 from dunecove.errors import ConfigurationError
-from tests.loopback import configuration, listing
+from tests.loopback import make_configuration, make_endpoint_list
 from tests.proxy.list_entries import entries
 
 
 def test_long_cached_list_keeps_its_order_and_applies_drains(tmp_path: Path) -> None:
-    known = listing(7, *entries(900), *entries(1, 5, "leaving"), *entries(1, 900))
-    config = configuration("127.0.0.1:9") | {"known": known}
+    known = make_endpoint_list(7, *entries(900), *entries(1, 5, "leaving"), *entries(1, 900))
+    config = make_configuration("127.0.0.1:9") | {"known": known}
     for indent in (None, 2):
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config, indent=indent))
@@ -24,7 +24,7 @@
         assert cached.revision == 7 and len(cached.table) == 900 and cached.table.get("s-00000005") is None
         assert cached.backend_ids == [e["uid"] for e in entries(901)]  # the drained one is skipped later
     assert len(read_config({"LB_CONFIG": str(path)}, skips_long_list=True).cached_list.backend_ids) < 200
-    bad = config | {"known": listing(7, *entries(900), {"uid": "odd"}, *entries(900, 900))}
+    bad = config | {"known": make_endpoint_list(7, *entries(900), {"uid": "odd"}, *entries(900, 900))}
     path.write_text(json.dumps(bad))
     with pytest.raises(ConfigurationError, match="endpoint"):
         read_config({"LB_CONFIG": str(path)})
@@ -32,7 +32,9 @@
 
 def test_few_objects_of_a_long_cached_list_exist_at_a_time(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(configuration("127.0.0.1:9") | {"known": listing(7, *entries(5000))}))
+    path.write_text(
+        json.dumps(make_configuration("127.0.0.1:9") | {"known": make_endpoint_list(7, *entries(5000))})
+    )
     read_config({"LB_CONFIG": str(path)})  # whatever is created once
     tracemalloc.start()
     config = read_config({"LB_CONFIG": str(path)})
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -41,7 +41,16 @@
 from dunecove.proxy import request_validator as request_validator_module
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer
-from tests.loopback import Client, ConnectGate, Proxy, proxy, request, reset, run, until
+from tests.loopback import (
+    Client,
+    ConnectGate,
+    Proxy,
+    encode_request,
+    proxy,
+    reset_connection,
+    run,
+    wait_until,
+)
 
 Step = Callable[[list[Any]], list[Action]]
 
@@ -81,7 +90,7 @@
 def test_the_cached_list_comes_first(script: type[Script]) -> None:
     async def test() -> None:
         async with proxy(backends=2):
-            await until(lambda: script.batches)
+            await wait_until(lambda: script.batches)
             (saved,) = script.batches[0]
             assert (saved.kind, [e.backend_id for e in saved.entries]) == (
                 ListUpdateKind.CACHED,
@@ -151,7 +160,7 @@
         async with proxy() as p:
             client = await p.client()
             assert (await client.exchange(x_budget_ms="30")).status == 504
-            await until(lambda: events(ClientDisconnected))
+            await wait_until(lambda: events(ClientDisconnected))
 
     run(test())
 
@@ -159,13 +168,13 @@
 def test_events_of_one_turn_go_to_one_step_and_lists_go_first(script: type[Script]) -> None:
     async def test() -> None:
         async with proxy() as p:
-            await until(lambda: script.batches)
+            await wait_until(lambda: script.batches)
             script.batches.clear()
             p.engine.requests.client_disconnected("nobody")  # no longer held: no event
             p.engine._on_timer(7, p.engine._incarnation)
             p.engine.on_list_failure("test")
             p.engine._on_timer(8, p.engine._incarnation)
-            await until(lambda: script.batches)
+            await wait_until(lambda: script.batches)
             assert script.batches == [
                 [BackendListUpdate(ListUpdateKind.FAILED), TimerFired(7), TimerFired(8)]
             ]
@@ -182,7 +191,7 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await until(lambda: events(AttemptEnded))
+            await wait_until(lambda: events(AttemptEnded))
             assert not any(
                 isinstance(e, AttemptEnded)
                 for b in script.batches
@@ -201,12 +210,12 @@
         async with proxy() as p:
             client = await p.client()
             assert (await client.exchange()).status == 504
-            await until(lambda: events(AttemptEnded))
+            await wait_until(lambda: events(AttemptEnded))
             assert [(e.result, e.request_finished) for e in events(AttemptEnded)] == [
                 (AttemptResult.WITHDRAWN, True)
             ]
             assert p.backends[0].connection_count == 0
-            await until(lambda: not p.engine.requests.open)
+            await wait_until(lambda: not p.engine.requests.open)
 
     run(test())
 
@@ -232,13 +241,13 @@
             open_request = p.engine.requests.open["c1"]
             open_request.attempts[0].end(AttemptResult.REJECTED)
             p.engine.requests.client_disconnected("c1")
-            await until(lambda: len(events(AttemptEnded)) == 2)
+            await wait_until(lambda: len(events(AttemptEnded)) == 2)
             assert [(e.attempt_index, e.result) for e in events(AttemptEnded)] == [
                 (0, AttemptResult.REJECTED),
                 (1, AttemptResult.WITHDRAWN),
             ]
             assert p.backends[0].requests.empty()
-            await until(lambda: not p.engine.requests.open)
+            await wait_until(lambda: not p.engine.requests.open)
 
     run(test())
 
@@ -259,11 +268,11 @@
         async with proxy() as p:
             client = await p.client()
             sent_ahead(client, "c1", "c2", "c3")
-            await until(lambda: p.listener.disconnects.paused)
+            await wait_until(lambda: p.listener.disconnect_watcher.paused)
             client.close()
-            await until(lambda: events(ClientDisconnected))
+            await wait_until(lambda: events(ClientDisconnected))
             assert events(ClientDisconnected) == [ClientDisconnected("c1")]
-            await until(lambda: not p.listener.slots.connections)
+            await wait_until(lambda: not p.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
 
     run(test())
@@ -284,20 +293,23 @@
             clients = [await p.client() for _ in range(300)]
             for number, client in enumerate(clients):
                 sent_ahead(client, f"{number}-1", f"{number}-2", f"{number}-3")
-            await until(lambda: len(p.listener.disconnects.paused) == len(clients))
+            await wait_until(lambda: len(p.listener.disconnect_watcher.paused) == len(clients))
             for client in clients[::3]:
                 client.writer.transport.abort()
-            inside = list(p.listener.disconnects.paused)
-            await until(lambda: sum(is_closed_by_peer(one.transport) for one in inside) == 100)
+            inside = list(p.listener.disconnect_watcher.paused)
+            await wait_until(lambda: sum(is_closed_by_peer(one.transport) for one in inside) == 100)
             with monkeypatch.context() as patch:
                 patch.setattr(select, "poll", counted)
-                p.listener.disconnects.poll()
+                p.listener.disconnect_watcher.poll()
             assert len(polls) == 1
-            await until(lambda: len(p.listener.slots.connections) == 200)
-            await until(lambda: not p.engine._events)  # the balancer hears of them a turn later
+            await wait_until(lambda: len(p.listener.slots.connections) == 200)
+            await wait_until(lambda: not p.engine._events)  # the balancer hears of them a turn later
             assert {e.request_id for e in events(ClientDisconnected)} == {f"{n}-1" for n in range(0, 300, 3)}
-            assert len(p.listener.disconnects.paused) == 200 and p.listener.disconnects.poll_timer is not None
-            p.listener.disconnects.poll_timer.cancel()
+            assert (
+                len(p.listener.disconnect_watcher.paused) == 200
+                and p.listener.disconnect_watcher.poll_timer is not None
+            )
+            p.listener.disconnect_watcher.poll_timer.cancel()
 
     run(test())
 
@@ -315,12 +327,12 @@
             client = await p.client()
             sent_ahead(client, "c1", "c2", "c3")
             call = await p.backends[0].requests.get()
-            await until(lambda: p.listener.disconnects.paused)
+            await wait_until(lambda: p.listener.disconnect_watcher.paused)
             (inside,) = p.listener.slots.connections
             client.close()
-            await until(lambda: is_closed_by_peer(inside.transport))
+            await wait_until(lambda: is_closed_by_peer(inside.transport))
             call.respond()
-            await until(lambda: not p.listener.slots.connections)
+            await wait_until(lambda: not p.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
             assert p.backends[0].requests.empty()
 
@@ -333,14 +345,14 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await until(lambda: events(RequestArrived))
+            await wait_until(lambda: events(RequestArrived))
             (inside,) = p.listener.slots.connections
             size = 0
             while inside.transport.get_write_buffer_size() == 0 or size < 8_000_000:
                 inside.transport.write(b"x" * 1_000_000)
                 size += 1_000_000
             client.writer.write_eof()
-            await until(lambda: events(ClientDisconnected))
+            await wait_until(lambda: events(ClientDisconnected))
             assert p.listener.slots.connections
 
     run(test())
@@ -353,7 +365,7 @@
         async with proxy() as p:
             host, port = p.listener.address.split(":")
             with socket.create_connection((host, int(port))) as client:
-                client.sendall(request())
+                client.sendall(encode_request())
             # No turn of the loop has been since: it finds the connection, its request and its end at once.
             other = await p.client()
             other.send(x_call_id="other")
@@ -361,7 +373,7 @@
             assert call.headers["x-call-id"] == "other" and p.backends[0].requests.empty()
             call.respond()
             assert (await other.read_response()).status == 200
-            await until(lambda: len(p.listener.slots.connections) == 1 and not p.engine.requests.open)
+            await wait_until(lambda: len(p.listener.slots.connections) == 1 and not p.engine.requests.open)
             assert p.backends[0].connection_count == 1
 
     run(test())
@@ -385,7 +397,7 @@
 
     async def test() -> None:
         async with proxy(MayCancel=may_cancel) as p:
-            gate = ConnectGate.of(p.engine.connection_pool)
+            gate = ConnectGate.install(p.engine.connection_pool)
             client, other = await p.client(), await p.client()
             client.send(x_budget_ms="20000" if why == "client leaves" else "50")
             comes_up = await gate.attempts.get()
@@ -393,7 +405,7 @@
                 client.close()
             else:
                 assert (await client.read_response()).status == 504
-            await until(lambda: events(AttemptEnded))
+            await wait_until(lambda: events(AttemptEnded))
             assert events(AttemptEnded)[0].result in (AttemptResult.WITHDRAWN, AttemptResult.CANCELLED)
             comes_up.set()
             other.send(x_call_id="other")
@@ -413,10 +425,10 @@
     if how == "half-close":
         client.writer.write_eof()
     elif how == "reset":
-        reset(client.writer)
+        reset_connection(client.writer)
     else:
         client.writer.transport.abort()
-    await until(lambda: is_closed_by_peer(inside.transport))
+    await wait_until(lambda: is_closed_by_peer(inside.transport))
     assert not events(ClientDisconnected)
 
 
@@ -437,15 +449,15 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await until(lambda: events(RequestArrived))
+            await wait_until(lambda: events(RequestArrived))
             if further:
                 (await p.backends[0].requests.get()).respond(status=500)
-                await until(lambda: events(AttemptEnded))
+                await wait_until(lambda: events(AttemptEnded))
             await leave_unseen(p, client, how)
             p.engine._on_timer(7, p.engine._incarnation)
-            await until(lambda: len(events(AttemptEnded)) == 1 + further)
+            await wait_until(lambda: len(events(AttemptEnded)) == 1 + further)
             assert events(AttemptEnded)[-1][:3] == ("c1", int(further), AttemptResult.WITHDRAWN)
-            await until(
+            await wait_until(
                 lambda: (
                     events(ClientDisconnected)
                     and not p.engine.requests.open
@@ -466,15 +478,15 @@
 
     async def test() -> None:
         async with proxy() as p:
-            gate = ConnectGate.of(p.engine.connection_pool)
+            gate = ConnectGate.install(p.engine.connection_pool)
             client = await p.client()
             client.send()
             comes_up = await gate.attempts.get()
             await leave_unseen(p, client, how)
             comes_up.set()
-            await until(lambda: events(AttemptEnded))
+            await wait_until(lambda: events(AttemptEnded))
             assert [e[:3] for e in events(AttemptEnded)] == [("c1", 0, AttemptResult.WITHDRAWN)]
-            await until(lambda: not p.engine.requests.open and not p.engine.connection_pool.connections)
+            await wait_until(lambda: not p.engine.requests.open and not p.engine.connection_pool.connections)
             assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].requests.empty()
 
     run(test())
@@ -515,7 +527,7 @@
                 call.respond()
                 assert (await client.read_response()).status == 200
                 return
-            await until(lambda: len(events(AttemptEnded)) == 1 + pooled)
+            await wait_until(lambda: len(events(AttemptEnded)) == 1 + pooled)
             assert events(AttemptEnded)[-1][:3] == (
                 "late",
                 0,
@@ -535,7 +547,7 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            sent = [request(x_call_id=f"c{number}", x_budget_ms="200") for number in range(6)]
+            sent = [encode_request(x_call_id=f"c{number}", x_budget_ms="200") for number in range(6)]
             client.writer.write(b"".join(sent))
             for _ in sent:
                 assert (await client.read_response()).status == 504
@@ -552,7 +564,9 @@
     async def test() -> None:
         async with proxy() as p:
             client, begun = await p.client(), now_ms()
-            client.writer.write(request(x_call_id="c1") + request(x_call_id="c2", x_budget_ms="100"))
+            client.writer.write(
+                encode_request(x_call_id="c1") + encode_request(x_call_id="c2", x_budget_ms="100")
+            )
             assert [(await client.read_response()).status for _ in range(2)] == [504, 504]
             assert now_ms() - begun < 10000.0  # of the 20 s that the first one had
             call = await p.backends[0].requests.get()
@@ -573,7 +587,7 @@
             call = await p.backends[0].requests.get()
             second.send(x_call_id="c2", x_budget_ms="9000")
             sent = now_ms()
-            await until(lambda: not p.listener.is_accepting)
+            await wait_until(lambda: not p.listener.is_accepting)
             await asyncio.sleep(0.5)
             call.respond()
             assert (await first.read_response()).status == 200
@@ -592,7 +606,7 @@
     """Or from when it arrived, where the kernel reports that."""
     clock = [0.0]
     monkeypatch.setattr(
-        connection_module, "last_arrival_ms", lambda _: clock[0] if arrival_is_known else None
+        connection_module, "last_data_age_ms", lambda _: clock[0] if arrival_is_known else None
     )
     for module in (connection_module, listener_module, request_validator_module, slots_module):
         monkeypatch.setattr(module, "now_ms", lambda: now_ms() + clock[0])
@@ -605,13 +619,13 @@
             client = await p.client()
             sent_ahead(client, "c1", "c2", "c3")
             call = await p.backends[0].requests.get()
-            await until(lambda: p.listener.disconnects.paused)
+            await wait_until(lambda: p.listener.disconnect_watcher.paused)
             (inside,) = p.listener.slots.connections
             client.send(x_call_id="late", x_budget_ms="9000")
-            await until(lambda: has_unread_input(inside.transport))
+            await wait_until(lambda: has_unread_input(inside.transport))
             clock[0] = 5000.0
             call.respond()
-            await until(lambda: len(events(RequestArrived)) == 2)
+            await wait_until(lambda: len(events(RequestArrived)) == 2)
             p.engine.requests.expire_all()
             for _ in range(6):
                 await client.read_response()
@@ -636,9 +650,9 @@
                 health_check.request_line == "GET /stats HTTP/1.1" and "x-call-id" not in health_check.headers
             )
             health_check.respond()
-            watch = await p.registry.requests.get()
+            watch = await p.discovery_server.requests.get()
             assert watch.request_line.startswith("GET /registry/instances?since=1&")
-            await until(lambda: events(TimerFired) and events(HealthCheckResult))
+            await wait_until(lambda: events(TimerFired) and events(HealthCheckResult))
             assert events(TimerFired) == [TimerFired(42)]
             assert events(HealthCheckResult)[0][:2] == ("s0", AttemptResult.OK)
 
@@ -717,10 +731,10 @@
             for name in ("held", "out", "left"):
                 clients[name].send(x_call_id=name)
             calls = [await p.backends[0].requests.get() for _ in range(2)]
-            gate = ConnectGate.of(p.engine.connection_pool)
+            gate = ConnectGate.install(p.engine.connection_pool)
             clients["coming"].send(x_call_id="coming")
             comes_up = await gate.attempts.get()
-            await until(lambda: "held" in p.engine.requests.open)
+            await wait_until(lambda: "held" in p.engine.requests.open)
             # Both in the batch that breaks: its client's leaving is not heard by any balancer.
             p.engine.requests.client_disconnected("left")
             clients["break"].send(x_call_id="break")
@@ -749,9 +763,9 @@
     script.act = staticmethod(act)
 
     async def test() -> None:
-        async with proxy(list_mode="push") as p:
-            (await p.registry.requests.get()).respond(status=503)
-            assert "?since=1&" in (await p.registry.requests.get()).request_line
+        async with proxy(discovery_mode="push") as p:
+            (await p.discovery_server.requests.get()).respond(status=503)
+            assert "?since=1&" in (await p.discovery_server.requests.get()).request_line
             assert script.incarnations == 2
 
     run(test())
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -17,7 +17,7 @@
 from dunecove.policy.events import GossipReceived
 from dunecove.proxy.gossip import GossipChannel, PeerAddresses
 from dunecove.server import start
-from tests.loopback import configuration, run
+from tests.loopback import make_configuration, run
 
 
 def bound() -> tuple[socket.socket, str]:
@@ -57,7 +57,7 @@
 
 
 def with_peers(folder: Path, **more: Any) -> Config:
-    raw = configuration("127.0.0.1:1", Peers=True)
+    raw = make_configuration("127.0.0.1:1", Peers=True)
     path = folder / "config.json"
     path.write_text(json.dumps(raw | more))
     return read_config({"LB_CONFIG": str(path)})
--- a/tests/proxy/test_http_exchange.py
+++ b/tests/proxy/test_http_exchange.py
@@ -10,7 +10,7 @@
 import pytest
 
 from dunecove.policy.models import AttemptResult
-from tests.loopback import reset, run, until
+from tests.loopback import reset_connection, run, wait_until
 from tests.proxy.pool_harness import PoolHarness, endpoint, pool_harness
 
 
@@ -152,7 +152,7 @@
             call.writer.write(first + b"\r\nto the ")
             call.writer.write(b"end")
             if how == "reset":
-                reset(call.writer)
+                reset_connection(call.writer)
             elif how == "end":
                 call.writer.close()
             result, response = await harness.results.get()
@@ -178,7 +178,7 @@
             call.respond()
             assert await harness.result() is AttemptResult.OK
             call.writer.write(unsolicited)
-            await until(lambda: not harness.pool.connections)
+            await wait_until(lambda: not harness.pool.connections)
             assert await harness.serve_one(backend) == 2
 
     run(test())
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -11,7 +11,7 @@
 from dunecove.proxy import client_connection as connection_module
 from dunecove.proxy import connection_slots as slots_module
 from dunecove.proxy import request_registry as request_registry_module
-from tests.loopback import Client, Proxy, proxy, request, run, send_unread, until
+from tests.loopback import Client, Proxy, encode_request, proxy, run, send_unread, wait_until
 
 
 def test_request_is_forwarded_unchanged_and_its_response_returned() -> None:
@@ -235,7 +235,7 @@
             received = await p.backends[0].requests.get()
             client.close()
             await received.closed.wait()
-            await until(lambda: not p.engine.requests.open)
+            await wait_until(lambda: not p.engine.requests.open)
 
     run(test())
 
@@ -340,7 +340,7 @@
             for client in clients:
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
                 client.send("/health/ready", "GET")
-            await until(lambda: len(p.listener.slots.idle) >= 3)
+            await wait_until(lambda: len(p.listener.slots.idle) >= 3)
             for held in p.listener.slots.connections:
                 while not held.transport.get_write_buffer_size():
                     held.transport.write(b"x" * 60_000)
@@ -365,7 +365,7 @@
             received = await p.backends[0].requests.get()
             waiting = await p.client()
             waiting.send("/health/ready", "GET")
-            await until(lambda: not p.listener.is_accepting)
+            await wait_until(lambda: not p.listener.is_accepting)
             received.respond()
             assert (await busy.read_response()).status == 200
             assert (await waiting.read_response()).status == 200
@@ -399,7 +399,7 @@
             client = await p.client()
             for byte in (b"G", b"E", b"T"):
                 client.writer.write(byte)
-                await until(lambda: p.listener.slots.awaiting_request)
+                await wait_until(lambda: p.listener.slots.awaiting_request)
                 since = next(iter(p.listener.slots.awaiting_request.values()))
                 await asyncio.sleep(0.01)
                 assert next(iter(p.listener.slots.awaiting_request.values())) == since
@@ -417,7 +417,7 @@
             p.listener.slots.limit = 2
             used, silent = await p.client(), await p.client()
             assert (await used.exchange("/health/ready", "GET")).status == 200
-            await until(lambda: len(p.listener.slots.awaiting_request) == 1)
+            await wait_until(lambda: len(p.listener.slots.awaiting_request) == 1)
             third = await p.client()
             assert (await third.exchange("/health/ready", "GET")).status == 200
             assert await silent.wait_closed()
@@ -511,7 +511,7 @@
             client.writer.write(b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 60000000\r\n\r\n")
             assert (await client.read_response()).status == 413
             client.writer.write(b"x" * 60_000_000)
-            await until(lambda: not p.listener.slots.connections)
+            await wait_until(lambda: not p.listener.slots.connections)
 
     run(test())
 
@@ -552,7 +552,7 @@
             p.listener.begin_shutdown()
             await first.exchange("/health/ready", "GET")
             first.close()
-            await until(lambda: not p.listener.slots.used)
+            await wait_until(lambda: not p.listener.slots.used)
             last = await p.client()
             last.send()
             received = await p.backends[0].requests.get()
@@ -571,7 +571,7 @@
     """Send a request on a connection that waits in the accept backlog."""
     host, port = p.listener.address.split(":")
     sock = socket.create_connection((host, int(port)))
-    sock.sendall(request(x_call_id=f"k{number}"))
+    sock.sendall(encode_request(x_call_id=f"k{number}"))
     sock.setblocking(False)
     return sock
 
@@ -607,8 +607,8 @@
             client.send(x_call_id="c1")
             client.send(x_call_id="c2")
             received = await p.backends[0].requests.get()
-            half.writer.write(request(x_call_id="c3")[:-10])
-            await until(
+            half.writer.write(encode_request(x_call_id="c3")[:-10])
+            await wait_until(
                 lambda: any(connection.reader.is_mid_request for connection in p.listener.slots.connections)
             )
             p.listener.begin_shutdown()
@@ -633,10 +633,10 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            await until(lambda: p.listener.slots.awaiting_request)
+            await wait_until(lambda: p.listener.slots.awaiting_request)
             p.listener.begin_shutdown()
             ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
-            await until(lambda: p.listener.sock is None)
+            await wait_until(lambda: p.listener.sock is None)
             if young:
                 client.send()
                 (await p.backends[0].requests.get()).respond()
@@ -694,7 +694,7 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            await until(lambda: p.listener.slots.awaiting_request)
+            await wait_until(lambda: p.listener.slots.awaiting_request)
             (connection,) = p.listener.slots.connections
             await send_unread(client, connection)
             p.listener.slots.awaiting_request[connection] -= 10_000.0
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -17,7 +17,7 @@
 from dunecove.proxy.endpoint_list import Endpoint, EndpointListUpdate, decode_endpoint, encode_endpoint
 from dunecove.proxy.long_list import ENDPOINTS_PER_SLICE
 from dunecove.wire.settings import ProxySettings
-from tests.loopback import Proxy, listing, proxy, run, target, until
+from tests.loopback import Proxy, make_endpoint_list, make_list_entry, proxy, run, wait_until
 from tests.proxy.list_entries import entries
 
 
@@ -60,7 +60,7 @@
 def test_long_list_yields_to_the_loop_between_its_slices() -> None:
     async def test() -> None:
         recorded = RecordedClient()
-        assert await recorded.process(listing(2, *entries(30 * ENDPOINTS_PER_SLICE))) == 2
+        assert await recorded.process(make_endpoint_list(2, *entries(30 * ENDPOINTS_PER_SLICE))) == 2
         assert len(recorded.known_ids()) == 30 * ENDPOINTS_PER_SLICE
         assert (
             recorded.turns > 2 * 20
@@ -77,9 +77,11 @@
 def test_long_snapshot_is_published_as_its_differences() -> None:
     async def test() -> None:
         recorded = RecordedClient()
-        await recorded.process(listing(2, *entries(1000)))
+        await recorded.process(make_endpoint_list(2, *entries(1000)))
         recorded.updates.clear()
-        await recorded.process(listing(3, *entries(20, 30, weight=0.5), *entries(900, 50), *entries(5, 2000)))
+        await recorded.process(
+            make_endpoint_list(3, *entries(20, 30, weight=0.5), *entries(900, 50), *entries(5, 2000))
+        )
         states = {t.backend_id: t.info.state for _, update in recorded.updates for t in update.endpoints}
         removed = [one for one, state in states.items() if state is BackendState.REMOVED]
         assert len(states) == 20 + 5 + 30 + 50 and len(removed) == 30 + 50
@@ -87,7 +89,7 @@
         known = recorded.client.endpoints.get("s-00000020")
         assert known is not None and decode_endpoint("s", known).info.weight == 0.5
         recorded.updates.clear()
-        await recorded.process(listing(4, whole=False))
+        await recorded.process(make_endpoint_list(4, is_snapshot=False))
         # A list without a change is an update, too.
         assert [update for _, update in recorded.updates] == [EndpointListUpdate(4, False, ())]
 
@@ -97,12 +99,12 @@
 def test_only_the_drains_of_a_malformed_long_list_take_effect() -> None:
     async def test() -> None:
         recorded = RecordedClient()
-        await recorded.process(listing(2, *entries(2000)))
+        await recorded.process(make_endpoint_list(2, *entries(2000)))
         before = recorded.known_ids()
         recorded.updates.clear()
         bad = [*entries(1, 7, "leaving"), *entries(1500, 1000), {"uid": "odd"}]
         with pytest.raises(MalformedListError):
-            await recorded.process(listing(3, *bad))
+            await recorded.process(make_endpoint_list(3, *bad))
         assert recorded.known_ids() == before - {"s-00000007"}
         # The revision is that of before, so that the list is asked for again.
         assert [update.revision for _, update in recorded.updates] == [1]
@@ -114,21 +116,23 @@
 
 
 async def until_listed(p: Proxy, n: int) -> None:
-    await until(lambda: p.engine.balancer.backends.listed_count == n and p.engine._next_step is None)
+    await wait_until(lambda: p.engine.balancer.backends.listed_count == n and p.engine._next_step is None)
 
 
 def test_proxy_serves_while_it_reads_a_long_list() -> None:
     async def test() -> None:
         async with proxy() as p:
-            own = target("s0", p.backends[0].address)
+            own = make_list_entry("s0", p.backends[0].address)
             client = await p.client()
-            (await p.registry.requests.get()).respond(json.dumps(listing(2, own, *entries(3000))).encode())
+            (await p.discovery_server.requests.get()).respond(
+                json.dumps(make_endpoint_list(2, own, *entries(3000))).encode()
+            )
             served = 0
             while p.engine.balancer.backends.listed_count != 3001:
                 assert (await client.exchange("/health/ready", "GET")).status == 200
                 served += 1
             assert served > 5
-            (await p.registry.requests.get()).respond(json.dumps(listing(3, own)).encode())
+            (await p.discovery_server.requests.get()).respond(json.dumps(make_endpoint_list(3, own)).encode())
             await until_listed(p, 1)
             assert set(p.engine.connection_pool.endpoints) == {"s0"}
             client.send()
@@ -142,8 +146,8 @@
     async def test() -> None:
         async with proxy(settings={}) as p:
             p.engine.discovery.max_list_bytes = 2**25  # type: ignore[union-attr]
-            call = await p.registry.requests.get()
-            body = json.dumps(listing(2, *entries(2)) | {"pad": "x" * 5 * 2**20}).encode()
+            call = await p.discovery_server.requests.get()
+            body = json.dumps(make_endpoint_list(2, *entries(2)) | {"pad": "x" * 5 * 2**20}).encode()
             call.respond(body)
             await until_listed(p, 2)
 
@@ -228,7 +232,7 @@
             old = p.engine.balancer
             p.engine.balancer.step = broken_step  # type: ignore[method-assign]
             p.engine._raise_event(TimerFired(0))  # while the old one is still being notified
-            await until(lambda: p.engine.balancer is not old)
+            await wait_until(lambda: p.engine.balancer is not old)
             await turns_until_notified(p)
             assert p.engine.balancer.backends.listed_count == 5 * ENDPOINTS_PER_SLICE and names(p) == set(
                 p.engine.connection_pool.endpoints
@@ -247,7 +251,7 @@
             p.engine.connection_pool._close_expired()
             assert set(p.engine.connection_pool.connections_by_backend) == {"s0"}  # its connection is kept
             p.engine.connection_pool.connections_by_backend["s0"].close_idle()
-            await until(lambda: not p.engine.connection_pool.connections)
+            await wait_until(lambda: not p.engine.connection_pool.connections)
             p.engine.connection_pool._close_expired()
             assert not p.engine.connection_pool.connections_by_backend
 
--- a/tests/proxy/test_system_call_faults.py
+++ b/tests/proxy/test_system_call_faults.py
@@ -16,7 +16,15 @@
 
 import pytest
 
-from tests.loopback import Client, ScriptedServer, configuration, listing, run, target, write_configuration
+from tests.loopback import (
+    Client,
+    ScriptedServer,
+    make_configuration,
+    make_endpoint_list,
+    make_list_entry,
+    run,
+    write_configuration,
+)
 
 RELOAD_S = 20.0  # far beyond the 4 s in which a move has to take effect
 
@@ -60,7 +68,9 @@
 
     async def test() -> None:
         backend, later, registry = [await ScriptedServer().open() for _ in range(3)]
-        config = configuration(registry.address, target("s", backend.address), list_mode="push")
+        config = make_configuration(
+            registry.address, make_list_entry("s", backend.address), discovery_mode="push"
+        )
         config["listen"] = free_address()
         reads, writes = os.pipe()
         if log == "full":
@@ -84,7 +94,7 @@
                 os.close(reads)
             (await call).respond(status=503)  # a failed call is logged, and made again
             (await registry.requests.get()).respond(
-                json.dumps(listing(2, target("t", later.address))).encode()
+                json.dumps(make_endpoint_list(2, make_list_entry("t", later.address))).encode()
             )
             await registry.requests.get()
             client = await connected(config["listen"])
@@ -147,7 +157,7 @@
 def test_a_moments_lack_at_the_start_is_no_failed_start(tmp_path: Path, call: str, error: int) -> None:
     async def test() -> None:
         backend = await ScriptedServer().open()
-        config = configuration("127.0.0.1:1", target("s", backend.address), Peers=True)
+        config = make_configuration("127.0.0.1:1", make_list_entry("s", backend.address), Peers=True)
         config |= {"listen": free_address(), "peer_listen": free_address(), "peers": ["127.0.0.1:1"]}
         config["peers_all"] = "127.0.0.1:1"
         arguments = failing_at_first(call, error, 1, 3)
@@ -171,13 +181,15 @@
 def test_a_reload_that_cannot_open_the_file_for_a_moment_takes_effect(tmp_path: Path) -> None:
     async def test() -> None:
         first, second = await ScriptedServer().open(), await ScriptedServer().open()
-        config = configuration(first.address, target("s", "127.0.0.1:1"))
+        config = make_configuration(first.address, make_list_entry("s", "127.0.0.1:1"))
         async with program(
             tmp_path, config, *failing_at_first("open", errno.ENFILE, 2, 3), stderr=asyncio.subprocess.PIPE
         ) as process:
             assert process.stderr is not None
             await first.requests.get()
-            write_configuration(tmp_path, configuration(second.address, target("s", "127.0.0.1:1")))
+            write_configuration(
+                tmp_path, make_configuration(second.address, make_list_entry("s", "127.0.0.1:1"))
+            )
             process.send_signal(signal.SIGHUP)
             asked = asyncio.ensure_future(second.requests.get())
             refused = asyncio.ensure_future(process.stderr.readuntil(b"going on as before\n"))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -21,20 +21,20 @@
     Client,
     ReceivedRequest,
     ScriptedServer,
-    configuration,
-    listing,
-    request,
+    encode_request,
+    make_configuration,
+    make_endpoint_list,
+    make_list_entry,
     run,
-    target,
-    until,
+    wait_until,
     write_configuration,
 )
 
-GOOD = configuration("127.0.0.1:1")
+GOOD = make_configuration("127.0.0.1:1")
 COMMAND = [sys.executable, "-m", "dunecove"]
 
 
-TOLD = configuration("127.0.0.1:1", Peers=True) | {
+TOLD = make_configuration("127.0.0.1:1", Peers=True) | {
     "peer_listen": "127.0.0.1:1",
     "peers": ["127.0.0.1:1"],
     "peers_all": "127.0.0.1:2",
@@ -108,7 +108,7 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
-        config = configuration("127.0.0.1:1", list_mode="push")
+        config = make_configuration("127.0.0.1:1", discovery_mode="push")
         config["listen"] = "{}:{}".format(*taken.getsockname())
         done = subprocess.run(
             COMMAND,
@@ -169,7 +169,9 @@
         backend = await ScriptedServer().open()
         program = await asyncio.create_subprocess_exec(
             *COMMAND,
-            env=write_configuration(tmp_path, configuration("127.0.0.1:1", target("s", backend.address))),
+            env=write_configuration(
+                tmp_path, make_configuration("127.0.0.1:1", make_list_entry("s", backend.address))
+            ),
             stderr=asyncio.subprocess.PIPE,
             preexec_fn=few_descriptors,
         )
@@ -212,21 +214,21 @@
         address = "{}:{}".format(*down.getsockname())
         if silent:
             await registry.open(down)
-        known = [target(f"s{number}", backend.address) for number in range(150)]
-        config = configuration(address, *known, sockets=sockets, list_mode="push", Peers=True)
+        known = [make_list_entry(f"s{number}", backend.address) for number in range(150)]
+        config = make_configuration(address, *known, sockets=sockets, discovery_mode="push", Peers=True)
         config |= {"peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:1"], "peers_all": "127.0.0.1:1"}
         program, address = await program_with_descriptors(limit, write_configuration(tmp_path, config))
         of_clients, to_backends = connection_limits(min(limit, sockets))
         busy, calls = await fill(address, backend, of_clients, to_backends)
         descriptors = Path(f"/proc/{program.pid}/fd")
-        await until(lambda: len(os.listdir(descriptors)) >= of_clients + to_backends)
+        await wait_until(lambda: len(os.listdir(descriptors)) >= of_clients + to_backends)
         assert len(os.listdir(descriptors)) < min(limit, sockets)
         for client in busy[to_backends:]:
             client.close()
         idle = await served_as_ready(address, of_clients)
         if not silent:
             await registry.open(down)
-        body = json.dumps(listing(2, target("t", other.address))).encode()
+        body = json.dumps(make_endpoint_list(2, make_list_entry("t", other.address))).encode()
         while "?since=2&" not in (call := await registry.requests.get()).request_line:
             call.respond(body)
         for call in calls:
@@ -306,10 +308,10 @@
             if silent:
                 down.listen()
             where = "{}:{}".format(*down.getsockname())
-            known = [target(f"s{number}", backend.address) for number in range(backends)]
+            known = [make_list_entry(f"s{number}", backend.address) for number in range(backends)]
             program = await asyncio.create_subprocess_exec(
                 *COMMAND,
-                env=write_configuration(tmp_path, configuration(where, *known, list_mode=mode)),
+                env=write_configuration(tmp_path, make_configuration(where, *known, discovery_mode=mode)),
                 stderr=asyncio.subprocess.PIPE,
             )
             assert program.stderr is not None
@@ -353,7 +355,7 @@
 def test_sigterm_ends_it_cleanly_after_what_was_taken_is_answered(tmp_path: Path) -> None:
     async def test() -> None:
         backend = await ScriptedServer().open()
-        config = configuration("127.0.0.1:1", target("s", backend.address))
+        config = make_configuration("127.0.0.1:1", make_list_entry("s", backend.address))
         program = await asyncio.create_subprocess_exec(
             *COMMAND, env=write_configuration(tmp_path, config), stderr=asyncio.subprocess.PIPE
         )
@@ -388,8 +390,8 @@
     # its own, and against a first call that fails and is tried again only after the usual wait.
     async def test() -> None:
         first, second, old, new = [await ScriptedServer().open() for _ in range(4)]
-        known = target("s", old.address)
-        env = write_configuration(tmp_path, configuration(first.address, known)) | {
+        known = make_list_entry("s", old.address)
+        env = write_configuration(tmp_path, make_configuration(first.address, known)) | {
             "LB_DISCOVERY": first.address
         }
         program = await asyncio.create_subprocess_exec(*COMMAND, env=env, stderr=asyncio.subprocess.PIPE)
@@ -397,7 +399,7 @@
         address = (await program.stderr.readline()).decode().split()[-1]
         watch = await first.requests.get()
         assert "?since=1&" in watch.request_line
-        write_configuration(tmp_path, configuration(second.address, known))
+        write_configuration(tmp_path, make_configuration(second.address, known))
         program.send_signal(signal.SIGHUP)
         call = await second.requests.get()
         assert call.request_line == "GET /registry/instances HTTP/1.1"
@@ -406,7 +408,7 @@
         call.respond(status=503)
         call = await second.requests.get()
         assert call.request_line == "GET /registry/instances HTTP/1.1"
-        call.respond(json.dumps(listing(7, target("t", new.address))).encode())
+        call.respond(json.dumps(make_endpoint_list(7, make_list_entry("t", new.address))).encode())
         assert "?since=7&" in (await second.requests.get()).request_line
         client = await Client.open(address)
         client.send()
@@ -420,7 +422,7 @@
         program.send_signal(signal.SIGTERM)
         while "stopping" not in (await program.stderr.readline()).decode():
             pass
-        write_configuration(tmp_path, configuration(first.address, known))
+        write_configuration(tmp_path, make_configuration(first.address, known))
         program.send_signal(signal.SIGHUP)
         assert (await first.requests.get()).request_line == "GET /registry/instances HTTP/1.1"
         client.close()
@@ -448,13 +450,13 @@
     with socket.socket() as hung:  # the kernel takes connections for it, and it never answers
         hung.bind(("127.0.0.1", 0))
         hung.listen()
-        backend = target("s", "{}:{}".format(*hung.getsockname()))
+        backend = make_list_entry("s", "{}:{}".format(*hung.getsockname()))
         with path.open("w") as file:
             program.send_signal(signal.SIGHUP)
-            file.write(json.dumps(configuration("127.0.0.1:1", backend)))
+            file.write(json.dumps(make_configuration("127.0.0.1:1", backend)))
         host, port = program.stderr.readline().split()[-1].split(":")
         with socket.create_connection((host, int(port))) as client:
-            client.sendall(request())
+            client.sendall(encode_request())
             program.send_signal(signal.SIGTERM)
             shown(program, "stopping")
             path.unlink()  # the file can't be read: one line, and the stop goes on
