--- a/dunecove/proxy/__init__.py
+++ b/dunecove/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy on real sockets: executes what the balancer decides."""
+"""The network side of the proxy: executes the actions of the balancer on sockets."""
--- a/dunecove/proxy/addresses.py
+++ b/dunecove/proxy/addresses.py
@@ -1,4 +1,4 @@
-"""Network addresses as the settings and the endpoint list spell them: `host:port` with an IP literal."""
+"""Network addresses in the settings and the endpoint list: `host:port`, where host is an IP address."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of `host:port`; raise ValueError if it is not of that form."""
+    """Return the host and port of a `host:port` address; raise ValueError if it is invalid."""
     host, colon, port = address.rpartition(":")
     if not host or not colon or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
-        raise ValueError(f"not an address: {address!r}")
+        raise ValueError(f"not a host:port address: {address!r}")
     return host.strip("[]"), int(port)
 
 
 def check_ip(host: str) -> None:
-    """Raise ValueError unless `host` is an IP address: there is no DNS to look a name up in."""
-    try:  # nearly all are IPv4, which the C library checks in a tenth of the time
+    """Raise ValueError unless `host` is an IP address; there is no DNS to resolve names."""
+    try:  # nearly all hosts are IPv4, which inet_pton checks in a tenth of the time
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError):
         ip_address(host)
--- a/dunecove/proxy/client_connection.py
+++ b/dunecove/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: requests are read ahead (pipelining) and answered in order, each once."""
+"""A client connection: reads pipelined requests ahead, and responds to each once and in order."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer, last_data_age_ms
 from dunecove.proxy.telemetry import CounterName
 
-MAX_PIPELINED = 2  # requests parsed ahead, whatever their size
-# Small ones are parsed further ahead, since the deadline of each bounds the request in front of it.
+MAX_PIPELINED = 2  # pending requests up to which parsing continues, whatever their size
+# Small requests are parsed further ahead, since their deadlines limit the time for the current request.
 MAX_PIPELINED_SMALL = 64
 MAX_PIPELINED_SMALL_BYTES = 16 * 1024
-PARSE_CHUNK_BYTES = 4096  # parsed at once, so that a flood of requests is not parsed in one turn
-MAX_CONSECUTIVE_ERRORS = 8  # rejected requests after which a connection is closed
-LINGER_READ_TIMEOUT_S = 5.0  # s in which a lingering client has to read its last response
-MAX_LINGER_BYTES = 1024 * 1024  # received and discarded while lingering
-MAX_UNREAD_RESPONSE_BYTES = 2 * MAX_BODY_BYTES  # of responses that a client leaves unread
-# ms after its deadline at which a pipelined request is answered at the latest: well within the grace in
-# which a response is still accepted.
+PARSE_CHUNK_BYTES = 4096  # parsed at a time, so that a flood of requests is not parsed all at once
+MAX_CONSECUTIVE_ERRORS = 8  # consecutive rejected requests after which a connection is closed
+LINGER_READ_TIMEOUT_S = 5.0  # time for a lingering client to read its last response
+MAX_LINGER_BYTES = 1024 * 1024  # received and discarded while lingering; beyond it the connection is aborted
+MAX_UNREAD_RESPONSE_BYTES = 2 * MAX_BODY_BYTES  # response bytes that a client may leave unread
+# Maximum time (ms) from the deadline of a pipelined request to its response: well within the grace period in
+# which a response still counts.
 PIPELINED_GRACE_MS = RESPONSE_GRACE_MS / 2
 READY_PATH = b"/health/ready"
 
@@ -41,35 +41,35 @@
 
 
 class CloseReason(Enum):
-    """Why a connection is closed; counted as `close.<value>`."""
+    """Why a connection was closed; counted as `close.<value>`."""
 
     CLIENT = "client"  # closed, half-closed or reset by the client
-    ANSWERED = "answered"  # after its last response
-    REQUEST_TIMEOUT = "request_timeout"  # no complete request in time
+    ANSWERED = "answered"  # after the last response
+    REQUEST_TIMEOUT = "request_timeout"  # no complete request within the timeout
     IDLE = "idle"
-    EVICTED = "evicted"  # for a new connection
+    EVICTED = "evicted"  # in favor of a new connection
     SHUTDOWN = "shutdown"
-    NOT_READING = "not_reading"  # the client leaves its responses unread
-    FLOOD = "flood"  # the client sends without end after its last response
+    NOT_READING = "not_reading"  # the client does not read its responses
+    FLOOD = "flood"  # the client sent more than `MAX_LINGER_BYTES` after its last response
 
 
 @dataclass
 class ServerState:
-    """What all client connections share."""
+    """State that all client connections share."""
 
     engine: Engine
     request_validator: RequestValidator
     slots: ConnectionSlots
     disconnect_watcher: DisconnectWatcher
-    is_shutting_down: bool = False  # connections are closed after their responses
+    is_shutting_down: bool = False  # each connection is closed after its response
 
     def is_ready(self) -> bool:
-        """Return whether requests should be sent to this proxy."""
+        """Return whether this proxy is ready for requests."""
         return not self.is_shutting_down and self.engine.connection_pool.active_count() > 0
 
 
 class ClientConnection(asyncio.Protocol):
-    """The protocol of one connection, from its acceptance to its close."""
+    """The asyncio protocol of a client connection."""
 
     def __init__(
         self,
@@ -77,32 +77,35 @@
         on_lost: Callable[[ClientConnection], None],
         accept_delayed_since: float = 0.0,
     ) -> None:
-        """`accept_delayed_since`: since when (ms) connections had to wait for a slot; 0 if they had not."""
+        """Initialize the connection.
+
+        `accept_delayed_since` is the time (ms) since which the backlog has waited for a slot; 0: it has not.
+        """
         self.server = server
         self.transport: asyncio.Transport
         self.reader = RequestReader()
         self.buffer = ReceiveBuffer()
-        self.pending: deque[HttpRequest | RequestError] = deque()  # parsed, and not dispatched yet
-        self.request_id: str | None = None  # of the request that the engine has
-        self.keep_alive = True  # as the last request that was dispatched asks
-        self.is_closing = False  # no further request is read
+        self.pending: deque[HttpRequest | RequestError] = deque()  # parsed but not dispatched yet
+        self.request_id: str | None = None  # of the current request, which the engine processes
+        self.keep_alive = True  # as requested by the last dispatched request
+        self.is_closing = False  # no further requests are read
         self.has_responded = False
         self.consecutive_errors = 0
-        self.discarded_bytes = 0  # while lingering
+        self.discarded_bytes = 0  # received while lingering
         self.close_reason: CloseReason | None = None
-        self.paused_since = 0.0  # since when (ms) nothing was read; 0 while it is read
+        self.paused_since = 0.0  # time (ms) since which reading is paused; 0: it is not
         self._accept_delayed_since = accept_delayed_since
         self._on_lost = on_lost
 
-    # Callbacks of asyncio
+    # asyncio callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Handle the acceptance of the connection."""
+        """Handle the opening of the connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.slots.add(self)
 
     def eof_received(self) -> None:
-        """Handle a half-close, which this proxy takes for the client's leaving."""
+        """Handle a half-close, which is treated as a disconnect of the client."""
         self._abandon_requests()
         self.close(CloseReason.CLIENT)
 
@@ -116,7 +119,7 @@
     def data_received(self, data: bytes) -> None:
         """Handle received bytes."""
         if self.is_closing and self.has_unanswered_request():
-            # Reading on could get it aborted as a flood before its responses are written.
+            # Reading on could get the connection aborted as a flood before its responses are written.
             self.transport.pause_reading()
             self.server.disconnect_watcher.watch(self)
             return
@@ -131,37 +134,37 @@
     # State
 
     def has_unanswered_request(self) -> bool:
-        """Return whether a request on it has no response yet."""
+        """Return whether a request on this connection has no response yet."""
         return self.request_id is not None or bool(self.pending)
 
     def may_close(self) -> bool:
-        """Return whether it owes no response and no unread request lies in the kernel."""
+        """Return whether there is no unanswered request and no unread input in the kernel."""
         return may_close_connection(self.has_unanswered_request(), has_unread_input(self.transport))
 
     def may_be_evicted(self) -> bool:
-        """Return whether its slot may be given to another connection."""
+        """Return whether the slot of this connection may be given to a new one."""
         if self.server.slots.is_lingering(self):
             return not self.is_delivering()
         return self.may_close()
 
     def has_unsent_bytes(self) -> bool:
-        """Return whether a part of a response waits for the client to read."""
+        """Return whether the write buffer holds response bytes that the client has not read yet."""
         return self.transport.get_write_buffer_size() > 0
 
     def is_delivering(self) -> bool:
-        """Return whether a lingering connection needs more time for its last response.
+        """Return whether a lingering connection needs more time to deliver its last response.
 
-        Either a part of it is unsent, or unread bytes of the client lie in the kernel: closed over them,
-        the connection would be reset together with what the kernel has yet to send.
+        It does while response bytes are unsent or the kernel holds unread input: closing the connection with
+        unread input would reset it and drop what the kernel has not sent yet.
         """
         if now_ms() - self.server.slots.lingering_since(self) > LINGER_READ_TIMEOUT_S * 1000:
             return False
         return self.has_unsent_bytes() or has_unread_input(self.transport)
 
     def close_if_disconnected(self) -> bool:
-        """Ask the kernel whether the client has left, close the connection if so, and return whether it did.
+        """Close the connection if the kernel reports that the client has disconnected; return whether it has.
 
-        The event loop reports it later, or never while reading is paused.
+        The event loop reports the disconnect later, or never while reading is paused.
         """
         if not is_closed_by_peer(self.transport):
             return False
@@ -172,18 +175,21 @@
     # Closing
 
     def close(self, reason: CloseReason) -> None:
-        """Close once the written responses are sent; a client that never reads them is aborted later."""
+        """Close the connection once the written responses are sent.
+
+        If the client never reads them, `Listener.sweep` aborts the connection later.
+        """
         self._record_close(reason)
         self.server.slots.mark_lingering(self)
         self.transport.close()
 
     def abort(self, reason: CloseReason) -> None:
-        """Close at once and drop what is unsent."""
+        """Close the connection at once and drop unsent bytes."""
         self._record_close(reason)
         self.transport.abort()
 
     def time_out_request(self) -> None:
-        """Handle that no complete request came in time."""
+        """Reject an incomplete request, or close the connection if no request has begun."""
         if self.reader.is_mid_request:
             if not self.is_closing:
                 self.pending.append(self.reader.time_out())
@@ -193,12 +199,12 @@
             self.close(CloseReason.REQUEST_TIMEOUT)
 
     def _stop_reading(self) -> None:
-        """Read no further requests: where they would begin is unknown, or nothing is owed to them."""
+        """Read no further requests: their boundaries are unknown, or they get no response."""
         self.is_closing = True
         self.buffer.clear()
 
     def _abandon_requests(self) -> None:
-        """Drop all requests, since nobody waits for their responses any more."""
+        """Drop all requests, since the client no longer waits for their responses."""
         self._stop_reading()
         self.pending.clear()
         if self.request_id is not None:
@@ -206,23 +212,28 @@
             self.request_id = None
 
     def _record_close(self, reason: CloseReason) -> None:
-        """Count the first reason for closing; it is a violation if a present client gets no response."""
+        """Count the first reason for closing the connection.
+
+        Closing it with an unanswered request is a violation, unless the client has disconnected.
+        """
         if self.close_reason is not None:
             return
         self.close_reason = reason
         telemetry = self.server.engine.telemetry
         telemetry.count(CounterName.CONNECTION_CLOSED, reason.value)
         if self.has_unanswered_request() and reason is not CloseReason.CLIENT:
-            telemetry.report_violation(Violation.UNANSWERED, self.request_id or "", f"closed: {reason.value}")
+            telemetry.report_violation(
+                Violation.UNANSWERED, self.request_id or "", f"connection was closed: {reason.value}"
+            )
 
     def _linger(self) -> None:
-        """Close after the last response: end the sending, and give the client a moment to close first.
+        """Half-close the connection after the last response, and give the client time to close it first.
 
-        Closed at once with bytes unread, the kernel would reset the connection, and the client could lose
-        the response.
+        If it were closed at once with unread input, the kernel would reset it, and the client could lose the
+        response.
         """
         self._stop_reading()
-        self.pending.clear()  # nothing is owed to what follows a request that asks for the close
+        self.pending.clear()  # requests behind one that closes the connection get no response
         self._record_close(CloseReason.ANSWERED)
         self.server.disconnect_watcher.unwatch(self)
         self.transport.resume_reading()
@@ -232,9 +243,9 @@
     # Reading
 
     def _arrival_time(self) -> float:
-        """Return when the bytes just read arrived, in ms of `now_ms`.
+        """Return when the bytes just read arrived at this host, in ms of `now_ms`.
 
-        They may have lain in the kernel for as long as the connection was not read, or not accepted.
+        They may have waited in the kernel while reading was paused or the connection was not accepted.
         """
         now = now_ms()
         unread_since = self.paused_since or self._accept_delayed_since
@@ -245,11 +256,11 @@
         self.paused_since = 0.0
         self._accept_delayed_since = 0.0
         if age_ms is None:
-            return paused_since or now  # the earliest time, where the pause was this proxy's own
+            return paused_since or now  # the earliest possible time if reading was paused
         return max(unread_since, now - age_ms)
 
     def _process(self) -> None:
-        """Dispatch the requests in order, and parse further ones while few are pending."""
+        """Dispatch the pending requests in order, and parse further ones while few are pending."""
         while not self.is_closing or self.pending:
             while self.request_id is None and self.pending:
                 self._dispatch(self.pending.popleft())
@@ -264,7 +275,7 @@
 
     def _update_state(self) -> None:
         if self.has_unanswered_request():
-            self._bound_current_request()
+            self._shorten_current_deadline()
             self.server.slots.mark_active(self)
         elif self.reader.is_mid_request or not self.has_responded:
             self.server.slots.mark_awaiting_request(self)
@@ -272,7 +283,7 @@
             self.server.slots.mark_idle(self)
 
     def _update_reading(self) -> None:
-        """Pause reading while the buffer is full enough, resume it otherwise."""
+        """Pause reading while more than one chunk is buffered, and resume it otherwise."""
         if len(self.buffer) > PARSE_CHUNK_BYTES:
             self.paused_since = self.paused_since or now_ms()
             self.transport.pause_reading()
@@ -292,8 +303,8 @@
         requests = (pending for pending in self.pending if isinstance(pending, HttpRequest))
         return sum(request.size_bytes() for request in requests) < MAX_PIPELINED_SMALL_BYTES
 
-    def _bound_current_request(self) -> None:
-        """Bound the current request by the deadlines of those behind it: responses are sent in order."""
+    def _shorten_current_deadline(self) -> None:
+        """Limit the current request by the deadlines of those behind it: responses are sent in order."""
         if self.request_id is None:
             return
         deadlines = [pending.deadline() for pending in self.pending if isinstance(pending, HttpRequest)]
@@ -311,7 +322,7 @@
     # Responses
 
     def _dispatch(self, request: HttpRequest | RequestError) -> None:
-        """Answer a request here, or give it to the engine."""
+        """Respond to a request directly, or pass it to the engine."""
         try:
             if isinstance(request, RequestError):
                 self.keep_alive = False
@@ -326,8 +337,8 @@
             self._send_response(ClientResponse(error.status))
 
     def _route(self, request: HttpRequest) -> None:
-        """Serve the readiness check here and all else by the engine; RequestError rejects the request."""
-        if self.close_if_disconnected():  # while the request waited behind others, or in the kernel
+        """Respond to a readiness check, or pass the request to the engine; raise RequestError to reject."""
+        if self.close_if_disconnected():  # while the request waited in the kernel or behind other requests
             return
         if request.target.split(b"?", 1)[0] == READY_PATH:
             if request.method != b"GET":
@@ -342,7 +353,7 @@
         self.request_id = validated.request_id
 
     def on_response(self, response: ClientResponse) -> None:
-        """Send the engine's response to the current request, and go on with the next one."""
+        """Send the engine's response to the current request and dispatch the next one."""
         if self.request_id is not None:
             self.request_id = None
             self._send_response(response)
@@ -351,7 +362,7 @@
     def _send_response(self, response: ClientResponse) -> None:
         if self.transport.is_closing():
             return
-        # At shutdown, pipelined requests are still answered: the last response closes the connection.
+        # During shutdown, pipelined requests are still served; the last response closes the connection.
         keep_alive = self.keep_alive and (not self.server.is_shutting_down or self._has_further_requests())
         self.transport.write(_encode(response, keep_alive))
         self.has_responded = True
@@ -361,7 +372,7 @@
             self.abort(CloseReason.NOT_READING)
 
     def _has_further_requests(self) -> bool:
-        """Return whether the client has sent anything behind the current request."""
+        """Return whether the client has sent anything after the current request."""
         return bool(self.pending or self.buffer) or has_unread_input(self.transport)
 
 
--- a/dunecove/proxy/client_messages.py
+++ b/dunecove/proxy/client_messages.py
@@ -1,4 +1,4 @@
-"""What passes between a client's connection and the engine: a request that was read, and its response."""
+"""Messages between a client connection and the engine: a parsed request and its response."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
     """A final response to a client."""
 
     status: int
-    headers: bytes = b""  # whole lines
+    headers: bytes = b""  # complete header lines
     body: bytes = b""
 
 
 class ParsedRequest(NamedTuple):
-    """A client's request, read to its last byte and checked."""
+    """A client's complete and valid request."""
 
     request_id: str
-    class_index: int  # in `Settings.classes`
-    tenant: int
+    class_index: int  # index in `Settings.classes`
+    tenant: int  # index in `Settings.tenant_quotas`
     affinity_key: int | None
-    budget_ms: float  # for which the client waits from now on
+    budget_ms: float  # time for which the client still waits
     is_retry: bool
-    work_hint_ms: float  # the client's estimate; 0 where it makes none
-    head: bytes  # request line and headers for the backend, without the empty line at the end
+    work_hint_ms: float  # the client's estimate of the work; 0: no estimate
+    head: bytes  # request line and headers for the backend, without the final empty line
     body: bytes
     respond: Callable[[ClientResponse], None]
-    close_if_disconnected: Callable[[], bool]  # whether the client has left; the engine hears of it
+    # Returns whether the client has disconnected, after telling the engine so.
+    close_if_disconnected: Callable[[], bool]
--- a/dunecove/proxy/clock.py
+++ b/dunecove/proxy/clock.py
@@ -1,4 +1,4 @@
-"""The clock of events and deadlines: monotonic milliseconds, anchored once to Unix time for `boot_ms`."""
+"""The clock of events and deadlines: monotonic ms, anchored once to Unix time to compare with `boot_ms`."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def now_ms() -> float:
-    """Return the time in ms; it never goes back."""
+    """Return the current time in ms; it never decreases."""
     return _ANCHOR_MS + time.monotonic() * 1000
--- a/dunecove/proxy/connection_slots.py
+++ b/dunecove/proxy/connection_slots.py
@@ -1,6 +1,6 @@
-"""The slots for client connections: who holds one in which state, who is overdue, who is evicted.
+"""Slots for client connections: their states, timeouts and eviction candidates.
 
-It decides and has no side effects on connections: the listener acts on what it returns.
+This module only decides; the listener closes the connections.
 """
 
 from __future__ import annotations
@@ -12,89 +12,89 @@
 if TYPE_CHECKING:
     from dunecove.proxy.client_connection import ClientConnection
 
-REQUEST_TIMEOUT_S = 2.0  # s from connecting, or from its first byte, until a request has to be complete
-IDLE_TIMEOUT_S = 30.0  # s of keep-alive between two requests
-CROWDED_IDLE_TIMEOUT_S = 2.0  # s of it while over half of the slots are in use
-LINGER_TIMEOUT_S = 1.0  # s that a connection may linger after its last response
-# ms in which a new connection may send its first request, and a lingering one may end, without being
-# closed for another.
+REQUEST_TIMEOUT_S = 2.0  # from connecting, or from a request's first byte, until the request must be complete
+IDLE_TIMEOUT_S = 30.0  # keep-alive time between two requests
+CROWDED_IDLE_TIMEOUT_S = 2.0  # keep-alive time while more than half of the slots are in use
+LINGER_TIMEOUT_S = 1.0  # time for which a connection may linger after its last response
+# Time during which a new connection may send its first request, and a lingering one may close, without being
+# evicted.
 EVICTION_GRACE_MS = 250.0
-UNREAD_RESPONSE_GRACE_MS = 500.0  # ms after a request's deadline in which its response may still be read
+UNREAD_RESPONSE_GRACE_MS = 500.0  # after a request's deadline; until then its response may still be read
 
 
 class AcceptDecision(NamedTuple):
-    """Whether a new connection gets a slot, and who has to be evicted for it."""
+    """Whether a new connection is admitted, and the connection to evict for it, if any."""
 
     is_admitted: bool
     evicted: ClientConnection | None = None
 
 
 class ConnectionSlots:
-    """Accounts for the file descriptors of client connections, one slot for each.
+    """Accounts for the file descriptors of client connections; each connection takes one slot.
 
-    A connection that owes no response is in one of three states, with the time at which it entered that
-    state in ms of `now_ms`, the longest there first.
+    A connection without an unanswered request is in one of three states. Each state is a dictionary of the
+    times (in ms of `now_ms`) at which its connections entered it, oldest first.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self.used = 0  # by open connections, by those being accepted and by those being closed
+        self.used = 0  # slots of connections that are open, being accepted or being closed
         self.connections: set[ClientConnection] = set()
-        self.awaiting_request: dict[ClientConnection, float] = {}  # new, or its request is incomplete
+        self.awaiting_request: dict[ClientConnection, float] = {}  # new, or with an incomplete request
         self.idle: dict[ClientConnection, float] = {}  # kept alive between two requests
-        self.lingering: dict[ClientConnection, float] = {}  # its last response is written
+        self.lingering: dict[ClientConnection, float] = {}  # the last response has been written
 
     def reserve(self) -> None:
         """Take a slot for a connection that is being accepted."""
         self.used += 1
 
     def release(self) -> None:
-        """Give back the slot of a connection that is closed, or that could not be opened."""
+        """Release the slot of a connection that has closed or could not be opened."""
         self.used -= 1
 
     def add(self, connection: ClientConnection) -> None:
-        """Register a new connection, which owes its first request."""
+        """Register a new connection, which is awaiting its first request."""
         self.connections.add(connection)
         self.mark_awaiting_request(connection)
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
         self._leave_state(connection)
         self.connections.discard(connection)
 
     def mark_active(self, connection: ClientConnection) -> None:
-        """Record that a connection owes a response."""
+        """Record that a connection has an unanswered request."""
         self._leave_state(connection)
 
     def mark_awaiting_request(self, connection: ClientConnection) -> None:
-        """Record that a connection owes a request; its timeout runs on if it did before.
+        """Record that a connection is awaiting a complete request.
 
-        Single bytes now and then must not extend it.
+        If it already was, its timeout is not restarted: a client that sends single bytes must not extend it.
         """
         if connection not in self.awaiting_request:
             self._leave_state(connection)
             self.awaiting_request[connection] = now_ms()
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """Record that a connection is kept alive, and owes and awaits nothing."""
+        """Record that a connection is kept alive between two requests."""
         self._leave_state(connection)
         self.idle[connection] = now_ms()
 
     def mark_lingering(self, connection: ClientConnection) -> None:
-        """Record that a connection has its last response and may close."""
+        """Record that the last response of a connection has been written, so that it may close."""
         self._leave_state(connection)
         self.lingering[connection] = now_ms()
 
     def mark_aborted(self, connection: ClientConnection) -> None:
-        """Record that a connection ends without further ado, and is no candidate for eviction again."""
+        """Record that a connection is being aborted, so that it is not an eviction candidate again."""
         self._leave_state(connection)
 
     def is_lingering(self, connection: ClientConnection) -> bool:
-        """Return whether a connection only ends."""
+        """Return whether a connection has had its last response and is waiting to close."""
         return connection in self.lingering
 
     def lingering_since(self, connection: ClientConnection) -> float:
-        """Return when a lingering connection had its last response, in ms of `now_ms`."""
+        """Return when a connection began to linger, in ms of `now_ms`."""
         return self.lingering[connection]
 
     def _leave_state(self, connection: ClientConnection) -> None:
@@ -102,20 +102,20 @@
         self.idle.pop(connection, None)
         self.lingering.pop(connection, None)
 
-    def decide_accept(self, longest_deadline_ms: float) -> AcceptDecision:
-        """Decide whether a new connection may be accepted now, and at whose cost."""
+    def decide_accept(self, max_deadline_ms: float) -> AcceptDecision:
+        """Decide whether a new connection may be accepted now, and which connection to evict for it."""
         if self.used < self.limit:
             return AcceptDecision(True)
-        evicted = self.eviction_candidate(longest_deadline_ms)
+        evicted = self.eviction_candidate(max_deadline_ms)
         return AcceptDecision(evicted is not None, evicted)
 
-    def eviction_candidate(self, longest_deadline_ms: float) -> ClientConnection | None:
-        """Return the connection whose slot is given to a new one, or None if all are in use.
+    def eviction_candidate(self, max_deadline_ms: float) -> ClientConnection | None:
+        """Return the connection to evict for a new one, or None if none may be evicted.
 
-        First one that has its last response, then one idle for long, then one whose first request does
-        not come, and last one that was of use just now. Of each of these only the first is asked whether
-        it may be evicted, since asking costs a system call. `longest_deadline_ms` is that of the slowest
-        class: until then a client may still read its response.
+        Lingering connections come first, then those idle for long, those whose request is overdue, and last
+        those that were used recently. `may_be_evicted` costs a system call, so it is called only for the
+        oldest suitable connection of each state. `max_deadline_ms` is the longest deadline of all request
+        classes: until then a client may still read its response.
         """
         now = now_ms()
         for state, grace_ms in (
@@ -127,39 +127,39 @@
             for connection, entered_at in state.items():
                 if entered_at > now - grace_ms:
                     break
-                is_unread = state is not self.lingering and connection.has_unsent_bytes()
-                if is_unread and entered_at > now - longest_deadline_ms - UNREAD_RESPONSE_GRACE_MS:
-                    continue  # closed, it would keep its descriptor until the response is read
+                has_unread_response = state is not self.lingering and connection.has_unsent_bytes()
+                if has_unread_response and entered_at > now - max_deadline_ms - UNREAD_RESPONSE_GRACE_MS:
+                    continue  # if closed, it would keep its descriptor until the response is read
                 if connection.may_be_evicted():
                     return connection
                 break
         return None
 
     def overdue_for_request(self) -> list[ClientConnection]:
-        """Return connections that have not sent a complete request in time."""
+        """Return the connections that have not sent a complete request in time."""
         return _overdue(self.awaiting_request, REQUEST_TIMEOUT_S * 1000)
 
     def overdue_lingering(self) -> list[ClientConnection]:
-        """Return connections that were not closed in time by their clients."""
+        """Return the lingering connections that their clients have not closed in time."""
         return _overdue(self.lingering, LINGER_TIMEOUT_S * 1000)
 
     def overdue_idle(self) -> list[ClientConnection]:
-        """Return connections that have been idle for too long."""
+        """Return the connections that have been idle for longer than the idle timeout."""
         is_crowded = self.used > self.limit / 2
         return _overdue(self.idle, (CROWDED_IDLE_TIMEOUT_S if is_crowded else IDLE_TIMEOUT_S) * 1000)
 
     def between_requests(self) -> list[ClientConnection]:
-        """Return idle connections, and new ones whose first request would have begun by now."""
+        """Return idle connections, and new ones that have sent nothing within `EVICTION_GRACE_MS`."""
         overdue = _overdue(self.awaiting_request, EVICTION_GRACE_MS)
         silent = [connection for connection in overdue if not connection.reader.is_mid_request]
         return [*self.idle, *silent]
 
 
-def _overdue(entered_at: dict[ClientConnection, float], limit_ms: float) -> list[ClientConnection]:
-    oldest = now_ms() - limit_ms
+def _overdue(entered_at: dict[ClientConnection, float], timeout_ms: float) -> list[ClientConnection]:
+    entered_before = now_ms() - timeout_ms
     overdue = []
     for connection, entered in entered_at.items():
-        if entered > oldest:
+        if entered > entered_before:
             break
         overdue.append(connection)
     return overdue
--- a/dunecove/proxy/disconnect_watcher.py
+++ b/dunecove/proxy/disconnect_watcher.py
@@ -1,4 +1,4 @@
-"""Detecting that a client has left while its connection is not read."""
+"""Detects that clients have disconnected while reading from their connections is paused."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class DisconnectWatcher:
-    """Polls the connections whose reading is paused, since the event loop reports no end of them.
+    """Polls the connections that are paused for reading, since the event loop does not report their end.
 
-    Who has left must not keep a slot, nor the capacity of a backend.
+    A client that has disconnected must not keep using a slot and the capacity of a backend.
     """
 
     def __init__(self) -> None:
@@ -25,17 +25,17 @@
         self._loop = asyncio.get_running_loop()
 
     def watch(self, connection: ClientConnection) -> None:
-        """Poll a connection from now on."""
+        """Start polling a connection."""
         self.paused.add(connection)
         if self.poll_timer is None:
             self.poll_timer = self._loop.call_later(DISCONNECT_POLL_S, self.poll)
 
     def unwatch(self, connection: ClientConnection) -> None:
-        """Stop polling a connection, if it was polled."""
+        """Stop polling a connection, if it is polled."""
         self.paused.discard(connection)
 
     def poll(self) -> None:
-        """Abort the connections whose clients have left, by one system call for all of them."""
+        """Abort the connections whose clients have disconnected, with one system call for all connections."""
         self.poll_timer = None
         for transport in find_closed_by_peer(connection.transport for connection in self.paused):
             transport.abort()
--- a/dunecove/proxy/http_limits.py
+++ b/dunecove/proxy/http_limits.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 limits and types that both sides of the proxy share."""
+"""HTTP/1.1 limits and types for both the client and the backend side of the proxy."""
 
 from __future__ import annotations
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
-CHUNK_FRAMING_FACTOR = 4  # times its size that a body in chunks may take as sent
-MAX_LENGTH_DIGITS = 18  # of a content-length that is worth converting
+CHUNK_FRAMING_FACTOR = 4  # maximum size of a chunked body on the wire, as a multiple of the maximum body size
+MAX_LENGTH_DIGITS = 18  # of a content-length; a longer one is rejected without conversion
 
-Headers = list[tuple[bytes, bytes]]  # names in lower case
+Headers = list[tuple[bytes, bytes]]  # names and values; names in lower case
--- a/dunecove/proxy/http_request.py
+++ b/dunecove/proxy/http_request.py
@@ -1,4 +1,4 @@
-"""Reading HTTP/1.1 requests from a byte stream: complete requests, or the error that ends the stream."""
+"""Parses a byte stream into complete HTTP/1.1 requests, or the error that ends the stream."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     Headers,
 )
 
-# Of one request as sent, the framing of its chunks included.
+# Size of one request on the wire, including the framing of its chunks.
 MAX_REQUEST_BYTES = MAX_HEAD_BYTES + CHUNK_FRAMING_FACTOR * MAX_BODY_BYTES
 BUDGET_MS_PATTERN = re.compile(rb"0{0,8}[1-9][0-9]{0,8}")
 
 
 class RequestError(Exception):
-    """A request that the proxy itself answers with an HTTP error status."""
+    """A request that the proxy itself rejects with an HTTP error status."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -30,28 +30,28 @@
 
 
 class HttpRequest(NamedTuple):
-    """A complete request as it was read, not validated beyond its framing."""
+    """A complete request, of which only the framing is validated."""
 
     method: bytes
     target: bytes
     headers: Headers  # without trailers
     body: bytes
     keep_alive: bool
-    arrived_at: float  # when its last bytes arrived, in ms of `now_ms`
+    arrived_at: float  # arrival of its last bytes, in ms of `now_ms`
 
     def size_bytes(self) -> int:
-        """Return the size of target, headers and body without their framing."""
+        """Return the size of target, headers and body, without HTTP framing."""
         header_bytes = sum(len(name) + len(value) for name, value in self.headers)
         return len(self.target) + len(self.body) + header_bytes
 
     def deadline(self) -> float:
-        """Return when its client stops waiting, in ms of `now_ms`; infinite without a valid budget."""
+        """Return when the client stops waiting, in ms of `now_ms`; infinity without a valid budget."""
         budget = next((value for name, value in self.headers if name == b"x-budget-ms"), b"")
         return self.arrived_at + float(budget) if BUDGET_MS_PATTERN.fullmatch(budget) else inf
 
 
 def check_framing(headers: Headers) -> None:
-    """Raise RequestError unless the headers delimit the body unambiguously (request smuggling)."""
+    """Raise RequestError if the length of the body is ambiguous, which would allow request smuggling."""
     lengths = [value for name, value in headers if name == b"content-length"]
     codings = [value for name, value in headers if name == b"transfer-encoding"]
     if len(lengths) + len(codings) > 1:
@@ -66,18 +66,18 @@
 
 
 class RequestReader:
-    """Collects the requests of one connection from its bytes, by the callbacks of httptools.
+    """Parses the requests of one connection; httptools calls the `on_` methods.
 
-    After an error the boundaries of what follows are unknown: nothing is read any more.
+    After an error, the boundaries of further requests are unknown, so nothing more may be fed to it.
     """
 
     def __init__(self) -> None:
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._completed: list[HttpRequest | RequestError] = []
         self.has_failed = False
-        self.is_mid_request = False  # a request has begun and is not complete
-        self.expects_continue = False  # the last bytes ended a head whose client waits for `100 Continue`
-        self.arrived_at = 0.0  # of the bytes that are being parsed, in ms of `now_ms`
+        self.is_mid_request = False  # a request has begun and is incomplete
+        self.expects_continue = False  # the last fed bytes completed a head with `expect: 100-continue`
+        self.arrived_at = 0.0  # arrival of the bytes being parsed, in ms of `now_ms`
         self._start_request()
 
     def _start_request(self) -> None:
@@ -85,10 +85,10 @@
         self._headers: Headers = []
         self._body = bytearray()
         self._is_head_complete = False
-        self.size_bytes = 0  # of the current request as sent
+        self.size_bytes = 0  # size of the current request on the wire
 
     def feed(self, data: bytes, arrived_at: float) -> list[HttpRequest | RequestError]:
-        """Parse bytes of one arrival; return the requests that they complete, and the error last."""
+        """Parse bytes that arrived together; return the requests that they complete, and any error last."""
         assert self._parser is not None
         self.expects_continue = False
         self.arrived_at = arrived_at
@@ -96,7 +96,7 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            # Invalid bytes right behind a request put that request's own length in doubt.
+            # Invalid bytes directly after a request mean that its declared length may be wrong.
             if self._completed and isinstance(self._completed[-1], HttpRequest):
                 self._completed.pop()
             self._fail(400)
@@ -105,38 +105,38 @@
         elif self.size_bytes > MAX_REQUEST_BYTES:
             self._fail(413)
         completed = self._completed
-        self._completed = []  # an idle connection must not hold the last body
+        self._completed = []  # an idle connection must not keep the last body in memory
         return completed
 
     def time_out(self) -> RequestError:
-        """Give up the request that has begun and never became complete; return the error for it."""
+        """Abandon the incomplete request; return the error for it."""
         self.has_failed = True
         self.is_mid_request = False
         return RequestError(408)
 
     def _fail(self, status: int) -> None:
-        """End the stream with an error, unless one has ended it before."""
+        """End the stream with an error, unless an earlier error has ended it."""
         if not self.has_failed:
             self.has_failed = True
             self.is_mid_request = False
             self._completed.append(RequestError(status))
 
     def close(self) -> None:
-        """Release the parser, which refers to this reader in turn: memory must not wait for the GC."""
+        """Release the parser, whose reference cycle with this reader would need the garbage collector."""
         self._parser = None
 
-    # Callbacks of httptools
+    # httptools callbacks
 
     def on_message_begin(self) -> None:
         """Handle the first byte of a request."""
         self.is_mid_request = True
 
     def on_url(self, url: bytes) -> None:
-        """Handle a part of the request target."""
+        """Handle a fragment of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Handle a header; trailers are dropped, since none of them was checked."""
+        """Handle a header, or drop a trailer: trailers are not validated."""
         if not self._is_head_complete:
             self._headers.append((name.strip().lower(), value))
 
@@ -154,7 +154,7 @@
             self.expects_continue = True
 
     def on_body(self, body: bytes) -> None:
-        """Handle a part of the body."""
+        """Handle a fragment of the body."""
         if self.has_failed:
             return
         if len(self._body) + len(body) > MAX_BODY_BYTES:
--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepting clients within the descriptor budget, sweeping, graceful shutdown."""
+"""The listening socket: accepts clients up to a limit, closes overdue connections, shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from dunecove.proxy.log_writer import log
 from dunecove.proxy.request_validator import RequestValidator
 
-ACCEPT_BACKLOG = 512  # connections that the kernel queues
-MAX_ACCEPTS_PER_TURN = 16  # a flood of new connections must not delay requests on open ones
-ACCEPT_RETRY_S = 0.05  # s until the next attempt to accept when no slot or descriptor was free
-BACKLOG_DRAIN_INTERVAL_S = 0.005  # s between two accepts while the backlog is drained at shutdown
+ACCEPT_BACKLOG = 512  # connections that the kernel queues until they are accepted
+MAX_ACCEPTS_PER_ITERATION = 16  # of the event loop; many new connections must not delay open ones
+ACCEPT_RETRY_S = 0.05  # delay before accepting again when no slot or file descriptor was free
+BACKLOG_DRAIN_INTERVAL_S = 0.005  # delay between two rounds of accepting at shutdown
 SWEEP_INTERVAL_S = 0.25
-FINAL_RESPONSE_TIMEOUT_S = 0.1  # s in which the last responses reach their clients before the program ends
+FINAL_RESPONSE_TIMEOUT_S = 0.1  # time for the last error responses to reach their clients
 
 
 class Listener:
-    """Accepts client connections and closes those that are overdue, evicted or in the way of a shutdown."""
+    """Accepts client connections, and closes them on a timeout, eviction or shutdown."""
 
     def __init__(self, engine: Engine, request_validator: RequestValidator, max_connections: int) -> None:
         self.engine = engine
@@ -32,16 +32,16 @@
         self.disconnect_watcher = DisconnectWatcher()
         self.server = ServerState(engine, request_validator, self.slots, self.disconnect_watcher)
         self.sock: socket.socket | None = None
-        self.address = ""  # `host:port` where it listens
+        self.address = ""  # `host:port` that the socket is bound to
         self.is_accepting = False
-        self.accept_delayed_since = 0.0  # since when (ms) the backlog waits for a slot; 0 if it does not
+        self.accept_delayed_since = 0.0  # time (ms) since which the backlog waits for a slot; 0: it does not
         self._loop = asyncio.get_running_loop()
         self._opening: set[asyncio.Task[object]] = set()
         self._all_closed = asyncio.Event()
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     def listen(self, address: str) -> None:
-        """Bind to `host:port` and accept clients from now on; OSError if the address is not available."""
+        """Bind to `host:port` and start accepting clients; raise OSError if the address is not available."""
         host, port = split_address(address)
         self.sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -65,15 +65,15 @@
             self._loop.remove_reader(self.sock.fileno())
 
     def _pause_accepting(self) -> None:
-        """Wait for a slot: a connection that closes resumes at once, one that becomes idle at the retry."""
+        """Stop accepting until a connection closes, or until the retry, when an idle one may be evicted."""
         self.accept_delayed_since = self.accept_delayed_since or now_ms()
         self._stop_accepting()
         self._loop.call_later(ACCEPT_RETRY_S, self._resume_accepting)
 
     def _accept(self) -> bool:
-        """Accept connections from the backlog; return whether it is empty."""
+        """Accept connections from the backlog; return whether the backlog is empty."""
         assert self.sock is not None
-        for _ in range(MAX_ACCEPTS_PER_TURN):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             decision = self.slots.decide_accept(self.engine.requests.max_deadline_ms)
             if not decision.is_admitted:
                 self._pause_accepting()
@@ -86,17 +86,17 @@
             except (InterruptedError, ConnectionAbortedError):
                 continue
             except OSError as error:
-                log(f"accept: {error}")
+                log(f"accepting a client connection failed: {error}; retrying in {ACCEPT_RETRY_S} s")
                 self._pause_accepting()
-                # Out of descriptors below the limit as well, whoever uses them.
+                # File descriptors can run out below the connection limit too; an eviction frees one.
                 self._evict(
                     decision.evicted or self.slots.eviction_candidate(self.engine.requests.max_deadline_ms)
                 )
                 return False
-            self._evict(decision.evicted)  # only once a connection has come for its slot
+            self._evict(decision.evicted)  # only once a new connection has been accepted
             self._open(sock)
             if decision.evicted is not None:
-                return False  # its descriptor is free only after this turn of the loop
+                return False  # its descriptor is released in the next event loop iteration
         return False
 
     def _evict(self, connection: ClientConnection | None) -> None:
@@ -121,7 +121,7 @@
     def _on_opened(self, task: asyncio.Task[object]) -> None:
         self._opening.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log(f"accept: {task.exception()}")
+            log(f"opening an accepted client connection failed: {task.exception()}; its slot is released")
             self._release_slot()
 
     def _on_connection_lost(self, connection: ClientConnection) -> None:
@@ -132,14 +132,14 @@
     def _release_slot(self) -> None:
         self.slots.release()
         self._resume_accepting()
-        # While the socket is open another connection may come at any time.
+        # While the socket is open, another connection may arrive at any time.
         if self.sock is None and not self.slots.used:
             self._all_closed.set()
 
     # Timeouts
 
     def sweep(self) -> None:
-        """Close connections that exceed a timeout, so that none holds its slot forever; repeats itself."""
+        """Close connections that exceed a timeout, so that none holds its slot forever; repeat regularly."""
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         for connection in self.slots.overdue_for_request():
             connection.time_out_request()
@@ -153,7 +153,7 @@
             self.close_between_requests()
 
     def close_between_requests(self) -> None:
-        """Close the connections on which no request has begun; one that was just asked answers first."""
+        """Close the connections without a started request; those with unread input are served first."""
         for connection in self.slots.between_requests():
             if connection.may_close():
                 connection.close(CloseReason.SHUTDOWN)
@@ -161,13 +161,13 @@
     # Graceful shutdown
 
     def begin_shutdown(self) -> None:
-        """Become unready. Connections are still accepted and served, and closed after their responses."""
+        """Report not ready; still accept and serve connections, but close each after its response."""
         self.server.is_shutting_down = True
 
     async def finish_shutdown(self, timeout_s: float) -> None:
-        """Accept no more, close between requests, and wait until all connections are closed.
+        """Stop accepting, close connections between requests, and wait until all connections are closed.
 
-        Requests without a response after `timeout_s` get an error response then.
+        Requests that have no response after `timeout_s` get an error response.
         """
         deadline = self._loop.time() + timeout_s
         await self._drain_backlog(deadline)
@@ -179,12 +179,12 @@
         if not await self._wait_all_closed(deadline - self._loop.time()):
             self.engine.requests.expire_all()
             if not await self._wait_all_closed(FINAL_RESPONSE_TIMEOUT_S):
-                log(f"stop: {self.slots.used} client connections were still open")
+                log(f"shutdown timed out; dropping {self.slots.used} client connections that are still open")
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
 
     async def _drain_backlog(self, deadline: float) -> None:
-        """Accept what the kernel has queued: closing the socket would reset it."""
+        """Accept the connections in the backlog, since closing the socket would reset them."""
         while self.sock is not None and not self._accept() and self._loop.time() < deadline:
             has_slots = self.slots.used < self.slots.limit
             await asyncio.sleep(BACKLOG_DRAIN_INTERVAL_S if has_slots else ACCEPT_RETRY_S)
--- a/dunecove/proxy/receive_buffer.py
+++ b/dunecove/proxy/receive_buffer.py
@@ -1,4 +1,4 @@
-"""Bytes of one client that were received and not parsed yet, with the time of their arrival."""
+"""A buffer for a client's bytes that are received but not parsed yet, with their arrival times."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
     """Bytes that arrived together."""
 
     data: bytes
-    arrived_at: float  # ms of `now_ms`
+    arrived_at: float  # in ms of `now_ms`
 
 
 class ReceiveBuffer:
     """A first-in first-out buffer of received chunks; its length is the number of bytes in it.
 
-    A request's time budget runs from its arrival, so each chunk keeps its own time however long it waits.
+    The budget of a request runs from its arrival, so each chunk keeps its arrival time while it is buffered.
     """
 
     def __init__(self) -> None:
@@ -27,12 +27,12 @@
         return self._size_bytes
 
     def append(self, data: bytes, arrived_at: float) -> None:
-        """Add bytes that arrived at that time, in ms of `now_ms`."""
+        """Add bytes that arrived at `arrived_at`, in ms of `now_ms`."""
         self._chunks.append(ReceivedChunk(data, arrived_at))
         self._size_bytes += len(data)
 
     def pop(self, max_bytes: int) -> ReceivedChunk:
-        """Remove and return up to `max_bytes` bytes of one arrival; IndexError if the buffer is empty."""
+        """Remove and return up to `max_bytes` of the oldest chunk; raise IndexError if there is none."""
         data, arrived_at = self._chunks.popleft()
         if len(data) > max_bytes:
             self._chunks.appendleft(ReceivedChunk(data[max_bytes:], arrived_at))
@@ -41,6 +41,6 @@
         return ReceivedChunk(data, arrived_at)
 
     def clear(self) -> None:
-        """Drop everything that has not been parsed."""
+        """Discard all buffered bytes."""
         self._chunks.clear()
         self._size_bytes = 0
--- a/dunecove/proxy/request_validator.py
+++ b/dunecove/proxy/request_validator.py
@@ -1,4 +1,4 @@
-"""Validation of a client's request: from the HTTP message to the request that the engine takes."""
+"""Validates a client's HTTP request and converts it to the `ParsedRequest` that the engine accepts."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from dunecove.proxy.http_request import BUDGET_MS_PATTERN, HttpRequest, RequestError
 from dunecove.wire.settings import ProxySettings
 
-# Only these are forwarded: any other header could make a backend close the connection and so cause an
-# attempt to fail that the backend is not to blame for.
+# Only these headers are forwarded. Any other header could make a backend close the connection, and an attempt
+# that fails because of the client would count as a failure of the backend.
 FORWARDED_HEADERS = frozenset(
     (
         b"host",
@@ -28,7 +28,8 @@
         b"content-type",
     )
 )
-# Repeated, the backend could read the other value; HTTP/1.1 demands exactly one host.
+# Headers that must not be repeated: the backend could use another of the values than the proxy. HTTP/1.1
+# requires exactly one host header.
 SINGLETON_HEADERS = FORWARDED_HEADERS | {b"x-budget-ms", b"content-length", b"transfer-encoding"}
 TARGET_PATTERN = re.compile(rb"/[!-~]{0,2047}")
 HEADER_VALUE_PATTERN = re.compile(rb"[\t -~\x80-\xff]{0,1024}")
@@ -38,7 +39,7 @@
 
 
 class RequestValidator:
-    """Validates requests against the request classes and tenants of the deployment."""
+    """Validates requests against the request classes and tenants in the settings."""
 
     def __init__(self, settings: Settings, proxy_settings: ProxySettings) -> None:
         self.settings = settings
@@ -50,20 +51,20 @@
         on_response: Callable[[ClientResponse], None],
         close_if_disconnected: Callable[[], bool],
     ) -> ParsedRequest:
-        """Return the request for the engine; RequestError with the status that rejects it."""
+        """Return the request for the engine; raise RequestError with an HTTP status if it is invalid."""
         headers = dict(request.headers)
         _check_headers(request, headers)
-        class_index = self._request_class(request, headers)
+        class_index = self._find_class_index(request, headers)
         request_id = headers.get(b"x-call-id", b"")
         budget = headers.get(b"x-budget-ms", b"")
         if not REQUEST_ID_PATTERN.fullmatch(request_id) or not BUDGET_MS_PATTERN.fullmatch(budget):
             raise RequestError(400)
         head = _forwarded_head(request)
-        waited_ms = now_ms() - request.arrived_at  # behind other requests of its connection
+        waited_ms = now_ms() - request.arrived_at  # in the kernel, or behind other requests of its connection
         return ParsedRequest(
             request_id.decode(),
             class_index,
-            self._tenant(headers.get(b"x-caller")),
+            self._find_tenant_index(headers.get(b"x-caller")),
             parse_affinity_key(headers.get(b"x-route-hash")),
             float(budget) - waited_ms,
             headers.get(b"x-again") == b"1",
@@ -74,8 +75,8 @@
             close_if_disconnected,
         )
 
-    def _request_class(self, request: HttpRequest, headers: dict[bytes, bytes]) -> int:
-        """Return the index of the class that the path names, once method and body are right for it."""
+    def _find_class_index(self, request: HttpRequest, headers: dict[bytes, bytes]) -> int:
+        """Return the index of the class named in the path, after checking the method, body and headers."""
         path = request.target.split(b"?", 1)[0]
         class_index = self.proxy_settings.class_indexes.get(
             decode_name(unquote_to_bytes(path.split(b"/")[1]))
@@ -91,13 +92,13 @@
             raise RequestError(400)
         return class_index
 
-    def _tenant(self, name: bytes | None) -> int:
+    def _find_tenant_index(self, name: bytes | None) -> int:
         if not self.proxy_settings.tenant_indexes:
             return 0
-        tenant = self.proxy_settings.tenant_indexes.get(decode_name(name or b""))
-        if tenant is None:
+        tenant_index = self.proxy_settings.tenant_indexes.get(decode_name(name or b""))
+        if tenant_index is None:
             raise RequestError(400)
-        return tenant
+        return tenant_index
 
 
 def _check_headers(request: HttpRequest, headers: dict[bytes, bytes]) -> None:
@@ -108,7 +109,7 @@
 
 
 def _forwarded_head(request: HttpRequest) -> bytes:
-    """Return the request line and headers for a backend, without the empty line at the end."""
+    """Return the request line and headers for a backend, without the final empty line."""
     lines = [b"%b %b HTTP/1.1\r\n" % (request.method, request.target)]
     for name, value in request.headers:
         if name in FORWARDED_HEADERS:
@@ -121,17 +122,17 @@
 
 
 def decode_name(raw: bytes) -> str:
-    """Return a name as the settings spell it; invalid UTF-8 never equals one of theirs."""
+    """Decode the name of a request class or tenant; invalid UTF-8 never equals a name in the settings."""
     return raw.decode("utf-8", "replace")
 
 
 def parse_work_hint_ms(value: bytes) -> float:
-    """Convert a work hint from microseconds to milliseconds; 0 if it is not a number."""
+    """Convert a work hint from microseconds to milliseconds; return 0 if it is not a number."""
     return int(value) / 1000 if WORK_HINT_PATTERN.fullmatch(value) else 0.0
 
 
 def parse_affinity_key(value: bytes | None) -> int | None:
-    """Convert a hexadecimal affinity key; RequestError if it is malformed."""
+    """Convert a hexadecimal affinity key to an integer; raise RequestError if it is malformed."""
     if value is None:
         return None
     if not AFFINITY_KEY_PATTERN.fullmatch(value):
