--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -1,4 +1,4 @@
-"""Races of received bytes with a shutdown or close, floods, truncated responses, slow connections."""
+"""Races between received bytes and a close, floods, truncated responses, slow connections."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 OK = b"HTTP/1.1 200 OK\r\n"
 
 
-async def next_call(p: Proxy) -> ReceivedRequest:
-    """Return the next request that any backend reads."""
-    await wait_until(lambda: any(not peer.requests.empty() for peer in p.backends))
-    return next(peer.requests.get_nowait() for peer in p.backends if not peer.requests.empty())
+async def next_request(p: Proxy) -> ReceivedRequest:
+    """Return the next request that any backend receives."""
+    await wait_until(lambda: any(not backend.requests.empty() for backend in p.backends))
+    return next(backend.requests.get_nowait() for backend in p.backends if not backend.requests.empty())
 
 
-def test_request_after_the_last_response_is_not_forwarded_and_resets_nothing() -> None:
+def test_request_after_the_last_response_is_not_forwarded_and_does_not_reset_the_connection() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -79,7 +79,7 @@
 
 
 def test_connections_use_tcp_nodelay() -> None:
-    """Failure: a reset on a close with unread bytes drops small writes that the kernel still delays."""
+    """Failure: closing with unread bytes reset the connection and dropped small writes that Nagle delayed."""
 
     async def test() -> None:
         async with proxy() as p:
@@ -87,17 +87,17 @@
             client.send()
             (await p.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
-            (connection,), (kept,) = p.listener.slots.connections, p.engine.connection_pool.connections
-            assert kept.transport is not None
-            for transport in (connection.transport, kept.transport):
+            (connection,), (pooled,) = p.listener.slots.connections, p.engine.connection_pool.connections
+            assert pooled.transport is not None
+            for transport in (connection.transport, pooled.transport):
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     run(test())
 
 
-async def slow_reader(p: Proxy, send_buffer_bytes: int = 4096, shutting_down: bool = True) -> Client:
-    """Connect a client of which most of the last response is unsent, unless the kernel buffers it all."""
+async def connect_slow_reader(p: Proxy, send_buffer_bytes: int = 4096, shutting_down: bool = True) -> Client:
+    """Return a client with an unread last response; most of it is unsent unless the kernel buffers it all."""
     if shutting_down:
         p.listener.begin_shutdown()
     host, port = p.listener.address.split(":")
@@ -118,13 +118,13 @@
 
 
 @pytest.mark.parametrize("occasion", ["sweep", "eviction"])
-def test_slow_reader_gets_its_last_response_complete(occasion: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_reader_gets_its_complete_last_response(occasion: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", -1.0)
     monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", -1000.0)
 
     async def test() -> None:
         async with proxy() as p:
-            client = await slow_reader(p)
+            client = await connect_slow_reader(p)
             if occasion == "sweep":
                 p.listener.sweep()
             else:
@@ -141,11 +141,11 @@
 def test_client_that_never_reads_holds_no_slot_after_the_close(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Failure: the transport closes only after its unsent bytes are read, so the slot stayed in use."""
+    """Failure: the transport closes only once its unsent bytes are read, so the slot stayed in use."""
 
     async def test() -> None:
         async with proxy() as p:
-            client = await slow_reader(p, shutting_down=False)
+            client = await connect_slow_reader(p, shutting_down=False)
             (connection,) = p.listener.slots.idle
             if how == "idle":
                 monkeypatch.setattr(slots_module, "IDLE_TIMEOUT_S", -1.0)
@@ -155,7 +155,7 @@
                 p.listener.slots.limit = 1
                 other = await p.client()
                 other.send("/health/ready", "GET")
-                # No slot is free while its response may still be read.
+                # The slot is not freed while the client may still read its response.
                 await wait_until(lambda: not p.listener.is_accepting)
                 assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is None
                 assert p.listener.slots.used == 1
@@ -177,14 +177,14 @@
 def test_bytes_received_at_the_close_do_not_reset_the_last_response(
     occasion: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Failure: closed with unread bytes, it is reset together with what the kernel has yet to send."""
+    """Failure: closing with unread input reset the connection and dropped what the kernel had not sent."""
     monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", -1000.0)
 
     async def test() -> None:
         async with proxy() as p:
-            client = await slow_reader(p, send_buffer_bytes=4_000_000)
+            client = await connect_slow_reader(p, send_buffer_bytes=4_000_000)
             (connection,) = p.listener.slots.lingering
-            assert not connection.transport.get_write_buffer_size()  # the kernel has it
+            assert not connection.transport.get_write_buffer_size()  # the kernel has the whole response
             await send_unread(client, connection, x_call_id="c2")
             if occasion == "sweep":
                 monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", -1.0)
@@ -204,7 +204,7 @@
 ) -> None:
     async def test() -> None:
         async with proxy() as p:
-            await slow_reader(p)
+            await connect_slow_reader(p)
             (connection,) = p.listener.slots.lingering
             p.listener.slots.lingering[connection] -= 100_000.0
             assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is connection
@@ -217,7 +217,7 @@
 def test_request_completed_at_the_end_of_the_shutdown_is_rejected_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Failure: forwarded at that time, it gets no response any more."""
+    """Failure: the request was forwarded although the process ended before its response."""
     monkeypatch.setattr(listener_module, "FINAL_RESPONSE_TIMEOUT_S", 5.0)
 
     async def test() -> None:
@@ -229,13 +229,13 @@
                 lambda: any(connection.reader.is_mid_request for connection in p.listener.slots.connections)
             )
             p.listener.begin_shutdown()
-            give_up = p.engine.requests.expire_all
+            expire_all = p.engine.requests.expire_all
 
-            def rest_comes_then() -> None:
-                give_up()
+            def expire_all_and_complete_request() -> None:
+                expire_all()
                 client.writer.write(sent[-2:])
 
-            monkeypatch.setattr(p.engine.requests, "expire_all", rest_comes_then)
+            monkeypatch.setattr(p.engine.requests, "expire_all", expire_all_and_complete_request)
             await p.listener.finish_shutdown(0.0)
             reply = await client.read_response()
             assert (reply.status, reply.headers["connection"]) == (503, "close")
@@ -244,7 +244,7 @@
     run(test())
 
 
-def test_request_behind_connection_close_is_owed_no_response() -> None:
+def test_request_after_one_with_connection_close_gets_no_response() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -265,7 +265,7 @@
 # Floods
 
 
-def test_endless_noise_behind_a_request_does_not_cost_its_response(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invalid_bytes_after_a_request_do_not_prevent_its_response(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_module, "MAX_LINGER_BYTES", 1000)
 
     async def test() -> None:
@@ -312,12 +312,12 @@
         async with proxy() as p:
             flood, other = await p.client(), await p.client()
             flood.writer.write(b"".join(encode_request(x_call_id=f"f{number}") for number in range(300)))
-            calls = [await p.backends[0].requests.get()]
+            first_requests = [await p.backends[0].requests.get()]
             other.send(x_call_id="other")
-            calls.append(await p.backends[0].requests.get())
-            assert [received.headers["x-call-id"] for received in calls] == ["f0", "other"]
-            assert list(p.engine.requests.open) == ["f0", "other"]  # one of each connection at a time
-            for received in calls:
+            first_requests.append(await p.backends[0].requests.get())
+            assert [received.headers["x-call-id"] for received in first_requests] == ["f0", "other"]
+            assert list(p.engine.requests.open) == ["f0", "other"]  # one request of each connection at a time
+            for received in first_requests:
                 received.respond(received.headers["x-call-id"].encode())
             assert (await other.read_response()).body == b"other"
             assert (await flood.read_response()).body == b"f0"
@@ -333,21 +333,21 @@
 # Truncated responses
 
 
-CUT = [
+TRUNCATED = [
     OK + b"content-length: 9\r\n\r\nhalf",
     OK + b"transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n",
     OK + b"transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n0\r\n",
     OK + b"content-le",
     b"HTTP/1.1 2",
 ]
-NO_LENGTH = [OK + b"connection: close\r\n\r\nto the end", b"HTTP/1.0 200 OK\r\n\r\nto the end"]
+WITHOUT_LENGTH = [OK + b"connection: close\r\n\r\nto the end", b"HTTP/1.0 200 OK\r\n\r\nto the end"]
 
 
-async def broken_off(p: Proxy, sent: bytes, how: str) -> ReceivedResponse:
-    """Return what a client gets for a response that ended, or was reset, before the loop read it."""
+async def exchange_interrupted(p: Proxy, sent: bytes, how: str) -> ReceivedResponse:
+    """Return the client's response if the backend closes or resets its connection before the proxy reads."""
     client = await p.client()
     client.send()
-    received = await next_call(p)
+    received = await next_request(p)
     (connection,) = p.engine.connection_pool.connections
     transport = connection.transport
     assert transport is not None
@@ -358,29 +358,30 @@
     await wait_until(lambda: is_closed_by_peer(transport))
     transport.resume_reading()
     reply = await client.read_response()
-    assert all(peer.requests.empty() for peer in p.backends)
+    assert all(backend.requests.empty() for backend in p.backends)
     return reply
 
 
 @pytest.mark.parametrize(
-    ("sent", "how"), [*((sent, "end") for sent in CUT), *((sent, "reset") for sent in CUT + NO_LENGTH)]
+    ("sent", "how"),
+    [*((sent, "end") for sent in TRUNCATED), *((sent, "reset") for sent in TRUNCATED + WITHOUT_LENGTH)],
 )
 def test_truncated_or_reset_response_fails_the_attempt(sent: bytes, how: str) -> None:
-    """A reset never ends a response; a request that may have executed is not retried."""
+    """A reset does not complete a response, and a request that may have executed is not retried."""
 
     async def test() -> None:
         async with proxy(backends=2) as p:
-            reply = await broken_off(p, sent, how)
+            reply = await exchange_interrupted(p, sent, how)
             assert (reply.status, reply.body) == (504, b"")
 
     run(test())
 
 
-@pytest.mark.parametrize("sent", NO_LENGTH)
-def test_response_delimited_by_the_close_is_passed_on(sent: bytes) -> None:
+@pytest.mark.parametrize("sent", WITHOUT_LENGTH)
+def test_response_delimited_by_the_close_is_forwarded(sent: bytes) -> None:
     async def test() -> None:
         async with proxy(backends=2) as p:
-            reply = await broken_off(p, sent, "end")
+            reply = await exchange_interrupted(p, sent, "end")
             assert (reply.status, reply.body) == (200, b"to the end")
 
     run(test())
@@ -390,7 +391,7 @@
 
 
 def test_request_and_response_may_arrive_byte_by_byte(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(slots_module, "REQUEST_TIMEOUT_S", 1000.0)  # however slow this machine is
+    monkeypatch.setattr(slots_module, "REQUEST_TIMEOUT_S", 1000.0)  # out of reach on a slow machine
 
     async def test() -> None:
         async with proxy() as p:
@@ -398,17 +399,19 @@
             await wait_until(lambda: p.listener.slots.connections)
             (connection,) = p.listener.slots.connections
             sent = encode_request(body=b"by and by")
-            for place in range(len(sent) - 1):
-                client.writer.write(sent[place : place + 1])
-                await wait_until(lambda place=place: connection.reader.size_bytes == place + 1)  # type: ignore[misc]
+            for index in range(len(sent) - 1):
+                client.writer.write(sent[index : index + 1])
+                await wait_until(lambda index=index: connection.reader.size_bytes == index + 1)  # type: ignore[misc]
             assert p.backends[0].connection_count == 0
             client.writer.write(sent[-1:])
             received = await p.backends[0].requests.get()
             assert received.body == b"by and by"
-            answer = b"HTTP/1.1 103 Hints\r\nlink: </a>\r\n\r\n"
-            answer += OK + b"transfer-encoding: chunked\r\n\r\n4\r\nslow\r\n3;x=y\r\nly.\r\n0\r\nt: u\r\n\r\n"
+            response = b"HTTP/1.1 103 Hints\r\nlink: </a>\r\n\r\n"
+            response += (
+                OK + b"transfer-encoding: chunked\r\n\r\n4\r\nslow\r\n3;x=y\r\nly.\r\n0\r\nt: u\r\n\r\n"
+            )
             (backend_connection,) = p.engine.connection_pool.connections
-            for byte in answer:
+            for byte in response:
                 assert backend_connection.is_awaiting_response and client.reader._buffer == b""  # type: ignore[attr-defined]
                 size = backend_connection._received_bytes
                 received.writer.write(bytes([byte]))
@@ -422,20 +425,20 @@
 # Retries of keyed requests
 
 
-@pytest.mark.parametrize(("window_ms", "repeated"), [(1e6, True), (1.0, False)])
+@pytest.mark.parametrize(("window_ms", "is_retried"), [(1e6, True), (1.0, False)])
 def test_keyed_request_is_retried_only_within_its_deduplication_window(
-    window_ms: float, repeated: bool
+    window_ms: float, is_retried: bool
 ) -> None:
     async def test() -> None:
         async with proxy(backends=2, settings={"Lanes": [PURCHASE | {"KeyTtlMs": window_ms}]}) as p:
             client = await p.client()
             client.send("/purchase", idempotency_key="k1")
-            (await next_call(p)).respond(status=500)
-            if repeated:
-                (await next_call(p)).respond(b"again")
+            (await next_request(p)).respond(status=500)
+            if is_retried:
+                (await next_request(p)).respond(b"again")
                 assert (await client.read_response()).body == b"again"
             else:
                 assert (await client.read_response()).status == 504
-                assert all(peer.requests.empty() for peer in p.backends)
+                assert all(backend.requests.empty() for backend in p.backends)
 
     run(test())
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -1,4 +1,4 @@
-"""Client connections: which requests are accepted or rejected, slots, timeouts, graceful shutdown."""
+"""Client connections: accepted and rejected requests, slots, timeouts, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
             assert (received.headers["x-call-id"], received.headers["idempotency-key"]) == ("c1", "k1")
             assert 0 < int(received.headers["x-budget-ms"]) <= 20000
             assert received.headers["x-caller"] == "acme"
-            # A header that no backend needs could only make it reject the request.
+            # A header that no backend needs could only make the backend reject the request.
             assert "x-other" not in received.headers and "x-hop" not in received.headers
             received.respond(b"\x01answer", headers={"content-type": "app/x", "x-load-report": "?"})
             reply = await client.read_response()
@@ -80,7 +80,7 @@
         (400, "/answer", "POST", {"X-Budget-Ms": "7"}),
     ],
 )
-def test_invalid_request_gets_an_error_and_the_connection_stays_usable(
+def test_invalid_request_gets_an_error_and_keeps_the_connection_open(
     status: int, path: str, method: str, headers: dict[str, str | None]
 ) -> None:
     async def test() -> None:
@@ -98,7 +98,7 @@
     [
         (400, b"nonsense\r\n\r\n"),
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n"),
-        # Two lengths: request smuggling.
+        # Two declared lengths, as in request smuggling.
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\ncontent-length: 1\r\n\r\n"),
         (
             400,
@@ -111,14 +111,14 @@
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ncontent-length: 1\r\n\r\nx"),
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: gzip, chunked\r\n\r\n"),
         (400, b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: -1\r\n\r\n"),
-        # Bytes after the head count as well, trailers and chunk extensions included.
+        # The size limit also covers bytes after the head, including trailers and chunk extensions.
         (
             413,
             b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n0\r\n"
             + b"x-trailer: y\r\n" * 40000,
         ),
         (413, b"POST /answer HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n1;" + b"e" * 400000),
-        # A length that is too small, as the invalid bytes right behind it show.
+        # The declared length is too small, as the invalid bytes after it show.
         (
             400,
             b"POST /answer HTTP/1.1\r\nhost: a\r\nx-call-id: c\r\nx-budget-ms: 20000\r\n"
@@ -135,7 +135,7 @@
         ),
     ],
 )
-def test_unreadable_request_gets_an_error_and_closes_the_connection(status: int, sent: bytes) -> None:
+def test_malformed_request_gets_an_error_and_closes_the_connection(status: int, sent: bytes) -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -165,7 +165,7 @@
     run(test())
 
 
-def test_id_of_an_open_request_is_rejected() -> None:
+def test_request_with_the_id_of_an_open_request_is_rejected() -> None:
     async def test() -> None:
         async with proxy() as p:
             first, second = await p.client(), await p.client()
@@ -218,7 +218,7 @@
             client.send(x_call_id="c0")
             client.send(x_call_id="c1", x_budget_ms="200")
             received = await p.backends[0].requests.get()
-            await asyncio.sleep(0.25)  # longer than the budget of the second
+            await asyncio.sleep(0.25)  # longer than the budget of the second request
             received.respond()
             assert (await client.read_response()).status == 200
             assert (await client.read_response()).status == 504
@@ -227,7 +227,7 @@
     run(test())
 
 
-def test_client_disconnect_releases_the_backend() -> None:
+def test_client_disconnect_cancels_the_attempt_at_the_backend() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -240,7 +240,7 @@
     run(test())
 
 
-def test_truncated_response_is_never_passed_on() -> None:
+def test_truncated_response_is_not_forwarded_to_the_client() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -254,7 +254,7 @@
     run(test())
 
 
-def test_response_beyond_64_kib_is_not_passed_on() -> None:
+def test_response_over_64_kib_is_not_forwarded_to_the_client() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -270,7 +270,7 @@
 ) -> None:
     monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", 30.0)
 
-    def ask(address: str) -> bytes:
+    def send_request(address: str) -> bytes:
         host, port = address.split(":")
         with socket.create_connection((host, int(port))) as sock:
             sock.sendall(b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 8000000\r\n\r\n")
@@ -279,7 +279,7 @@
 
     async def test() -> None:
         async with proxy() as p:
-            assert (await asyncio.to_thread(ask, p.listener.address)).startswith(b"HTTP/1.1 413 ")
+            assert (await asyncio.to_thread(send_request, p.listener.address)).startswith(b"HTTP/1.1 413 ")
 
     run(test())
 
@@ -304,7 +304,7 @@
 def test_idle_connection_is_evicted_when_descriptors_run_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(slots_module, "IDLE_TIMEOUT_S", 10_000.0)  # so that only the eviction closes it
+    monkeypatch.setattr(slots_module, "IDLE_TIMEOUT_S", 10_000.0)  # only an eviction closes the connection
 
     async def test() -> None:
         async with proxy() as p:
@@ -313,7 +313,7 @@
             assert p.listener.sock is not None
             sock: socket.socket = p.listener.sock
 
-            class Lacking:
+            class SocketWithoutDescriptors:
                 def accept(self) -> tuple[socket.socket, object]:
                     if p.listener.slots.used:
                         raise OSError(errno.EMFILE, "Too many open files")
@@ -322,7 +322,7 @@
                 def __getattr__(self, name: str) -> object:
                     return getattr(sock, name)
 
-            monkeypatch.setattr(p.listener, "sock", Lacking())
+            monkeypatch.setattr(p.listener, "sock", SocketWithoutDescriptors())
             new = await p.client()
             new.send("/health/ready", "GET")
             assert await idle.wait_closed()
@@ -332,7 +332,7 @@
 
 
 def test_clients_with_unread_responses_never_hold_more_slots_than_the_limit() -> None:
-    # Failure: an evicted connection with unsent bytes keeps its descriptor, so descriptors ran out.
+    # Failure: an evicted connection with unsent bytes kept its descriptor, so descriptors ran out.
     async def test() -> None:
         async with proxy() as p:
             p.listener.slots.limit = 3
@@ -341,16 +341,17 @@
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
                 client.send("/health/ready", "GET")
             await wait_until(lambda: len(p.listener.slots.idle) >= 3)
-            for held in p.listener.slots.connections:
-                while not held.transport.get_write_buffer_size():
-                    held.transport.write(b"x" * 60_000)
-            last = await p.client()
-            last.send("/health/ready", "GET")
+            for connection in p.listener.slots.connections:
+                while not connection.transport.get_write_buffer_size():
+                    connection.transport.write(b"x" * 60_000)
+            new = await p.client()
+            new.send("/health/ready", "GET")
             while p.listener.is_accepting:
                 assert p.listener.slots.used == 3
                 await asyncio.sleep(0.001)
-            p.engine.requests.max_deadline_ms = -1000.0  # so that their responses count as lost
-            assert (await last.read_response()).status == 200
+            # From now on, unread responses no longer prevent an eviction.
+            p.engine.requests.max_deadline_ms = -1000.0
+            assert (await new.read_response()).status == 200
             assert p.listener.slots.used <= 3
 
     run(test())
@@ -374,16 +375,16 @@
 
 
 def test_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Also on a connection that was kept alive, and silently where no request has begun.
+    # Also on a kept-alive connection. A connection without any request is closed without a response.
     monkeypatch.setattr(slots_module, "REQUEST_TIMEOUT_S", 0.02)
 
     async def test() -> None:
         async with proxy() as p:
-            silent, half, kept = await p.client(), await p.client(), await p.client()
-            half.writer.write(b"POST /answer HTTP/1.1\r\nhost")
+            silent, incomplete, kept = await p.client(), await p.client(), await p.client()
+            incomplete.writer.write(b"POST /answer HTTP/1.1\r\nhost")
             assert (await kept.exchange("/health/ready", "GET")).status == 200
             kept.writer.write(b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 10\r\n\r\nhalf")
-            for client in (half, kept):
+            for client in (incomplete, kept):
                 reply = await client.read_response()
                 assert (reply.status, reply.headers["connection"]) == (408, "close")
                 assert await client.wait_closed()
@@ -400,9 +401,9 @@
             for byte in (b"G", b"E", b"T"):
                 client.writer.write(byte)
                 await wait_until(lambda: p.listener.slots.awaiting_request)
-                since = next(iter(p.listener.slots.awaiting_request.values()))
+                entered_at = next(iter(p.listener.slots.awaiting_request.values()))
                 await asyncio.sleep(0.01)
-                assert next(iter(p.listener.slots.awaiting_request.values())) == since
+                assert next(iter(p.listener.slots.awaiting_request.values())) == entered_at
 
     run(test())
 
@@ -440,8 +441,8 @@
     run(test())
 
 
-def test_id_of_a_recent_request_is_rejected() -> None:
-    # A repeated id is another client's: its request would be deduplicated.
+def test_request_with_the_id_of_a_recent_request_is_rejected() -> None:
+    # The id may have been reused by another client, whose request a backend would then deduplicate.
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -454,7 +455,7 @@
     run(test())
 
 
-def test_number_of_remembered_ids_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_recent_ids_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_registry_module, "MAX_RECENT_IDS", 3)
 
     async def test() -> None:
@@ -501,7 +502,7 @@
 
 
 def test_bytes_discarded_while_lingering_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Failure: 60 MB sent at full speed delay the other clients.
+    # Failure: 60 MB sent at full speed delayed the other clients.
     monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", 1000.0)
     monkeypatch.setattr(connection_module, "MAX_LINGER_BYTES", 100_000)
 
@@ -524,19 +525,19 @@
             assert (await idle.exchange("/health/ready", "GET")).status == 200
             received = await p.backends[0].requests.get()
             p.listener.begin_shutdown()
-            late = await Client.open(p.listener.address)
-            reply = await late.exchange("/health/ready", "GET")
+            new = await Client.open(p.listener.address)
+            reply = await new.exchange("/health/ready", "GET")
             assert (reply.status, reply.headers["connection"]) == (503, "close")
-            late.close()
-            ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
+            new.close()
+            shutdown = asyncio.create_task(p.listener.finish_shutdown(30.0))
             assert await idle.wait_closed()
-            assert not ended.done()
+            assert not shutdown.done()
             received.respond(b"last")
             reply = await busy.read_response()
             assert (reply.status, reply.body, reply.headers["connection"]) == (200, b"last", "close")
             assert await busy.wait_closed()
             busy.close()
-            await ended
+            await shutdown
             with pytest.raises(ConnectionRefusedError):
                 await p.client()
 
@@ -544,7 +545,7 @@
 
 
 def test_shutdown_waits_for_a_connection_accepted_after_all_others_closed() -> None:
-    """Failure: the shutdown ended in a moment without connections while new ones were still accepted."""
+    """Failure: the shutdown ended as soon as no connection was open, while new ones were still accepted."""
 
     async def test() -> None:
         async with proxy() as p:
@@ -556,19 +557,19 @@
             last = await p.client()
             last.send()
             received = await p.backends[0].requests.get()
-            ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
+            shutdown = asyncio.create_task(p.listener.finish_shutdown(30.0))
             await asyncio.sleep(0)
-            assert not ended.done()
+            assert not shutdown.done()
             received.respond(b"last")
             assert (await last.read_response()).body == b"last"
             last.close()
-            await ended
+            await shutdown
 
     run(test())
 
 
-def in_the_kernel(p: Proxy, number: int) -> socket.socket:
-    """Send a request on a connection that waits in the accept backlog."""
+def connect_to_backlog(p: Proxy, number: int) -> socket.socket:
+    """Open a connection that waits in the accept backlog, and send a request on it."""
     host, port = p.listener.address.split(":")
     sock = socket.create_connection((host, int(port)))
     sock.sendall(encode_request(x_call_id=f"k{number}"))
@@ -576,23 +577,23 @@
     return sock
 
 
-@pytest.mark.parametrize("most", [1000, 3])
-def test_accept_backlog_is_served_before_the_socket_closes(most: int) -> None:
-    """Failure: closing the socket resets the connections in the backlog; also with few free slots."""
+@pytest.mark.parametrize("slot_limit", [1000, 3])
+def test_accept_backlog_is_served_before_the_socket_closes(slot_limit: int) -> None:
+    """Failure: closing the listening socket reset the connections in the backlog."""
 
     async def test() -> None:
         async with proxy() as p:
-            p.listener.slots.limit = most
+            p.listener.slots.limit = slot_limit
             loop = asyncio.get_running_loop()
             p.listener.begin_shutdown()
-            waiting = [in_the_kernel(p, number) for number in range(40)]
-            ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
-            for _ in waiting:
+            socks = [connect_to_backlog(p, number) for number in range(40)]
+            shutdown = asyncio.create_task(p.listener.finish_shutdown(30.0))
+            for _ in socks:
                 (await p.backends[0].requests.get()).respond(b"served")
-            for sock in waiting:
+            for sock in socks:
                 assert (await loop.sock_recv(sock, 1000)).startswith(b"HTTP/1.1 200 ")
                 sock.close()
-            await ended
+            await shutdown
             with pytest.raises(ConnectionRefusedError):
                 await p.client()
 
@@ -600,50 +601,50 @@
 
 
 def test_open_requests_get_an_error_when_the_shutdown_times_out() -> None:
-    # With an unresponsive backend and a later deadline; also a pipelined request behind it.
+    # The backend does not respond and the deadlines are later than the timeout; one request is pipelined.
     async def test() -> None:
         async with proxy() as p:
-            client, half = await p.client(), await p.client()
+            client, incomplete = await p.client(), await p.client()
             client.send(x_call_id="c1")
             client.send(x_call_id="c2")
             received = await p.backends[0].requests.get()
-            half.writer.write(encode_request(x_call_id="c3")[:-10])
+            incomplete.writer.write(encode_request(x_call_id="c3")[:-10])
             await wait_until(
                 lambda: any(connection.reader.is_mid_request for connection in p.listener.slots.connections)
             )
             p.listener.begin_shutdown()
-            ended = asyncio.create_task(p.listener.finish_shutdown(0.0))
+            shutdown = asyncio.create_task(p.listener.finish_shutdown(0.0))
             first, second = await client.read_response(), await client.read_response()
             assert [first.status, second.status] == [504, 504]
             assert "connection" not in first.headers and second.headers["connection"] == "close"
             client.close()
-            half.close()
-            await ended
+            incomplete.close()
+            await shutdown
             await received.closed.wait()
 
     run(test())
 
 
-@pytest.mark.parametrize("young", [True, False])
+@pytest.mark.parametrize("is_new", [True, False])
 def test_new_connection_has_a_grace_period_for_its_request_during_shutdown(
-    young: bool, monkeypatch: pytest.MonkeyPatch
+    is_new: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", 100_000.0 if young else -1.0)
+    monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", 100_000.0 if is_new else -1.0)
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             await wait_until(lambda: p.listener.slots.awaiting_request)
             p.listener.begin_shutdown()
-            ended = asyncio.create_task(p.listener.finish_shutdown(30.0))
+            shutdown = asyncio.create_task(p.listener.finish_shutdown(30.0))
             await wait_until(lambda: p.listener.sock is None)
-            if young:
+            if is_new:
                 client.send()
                 (await p.backends[0].requests.get()).respond()
                 assert (await client.read_response()).status == 200
             assert await client.wait_closed()
             client.close()
-            await ended
+            await shutdown
 
     run(test())
 
@@ -669,7 +670,7 @@
 
 
 @pytest.mark.parametrize("path", ["/se%C3%B1al/7", "/se%c3%b1al?x=%20"])
-def test_names_of_classes_and_tenants_may_be_any_text(path: str) -> None:
+def test_names_of_classes_and_tenants_may_contain_non_ascii_characters(path: str) -> None:
     lanes = [{"Name": "se\u00f1al", "AimMs": 20000, "HardLimitMs": 30000, "Effect": "read_like"}]
     tenants = [{"Name": name, "QuotaPerS": 100.0} for name in ("tugs", "R\u00eda & Co")]
 
@@ -689,8 +690,8 @@
     run(test())
 
 
-@pytest.mark.parametrize("closes", ["late", "stop"])
-def test_connection_with_an_unread_request_is_not_closed_as_silent(closes: str) -> None:
+@pytest.mark.parametrize("occasion", ["timeout", "shutdown"])
+def test_new_connection_with_an_unread_request_is_not_closed(occasion: str) -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -698,7 +699,7 @@
             (connection,) = p.listener.slots.connections
             await send_unread(client, connection)
             p.listener.slots.awaiting_request[connection] -= 10_000.0
-            if closes == "late":
+            if occasion == "timeout":
                 connection.time_out_request()
             else:
                 p.listener.close_between_requests()
@@ -710,7 +711,7 @@
     run(test())
 
 
-def test_connection_with_an_unread_request_is_not_evicted() -> None:
+def test_idle_connection_with_an_unread_request_is_not_evicted() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -728,7 +729,7 @@
     run(test())
 
 
-def test_forgotten_id_of_an_open_request_is_rejected(
+def test_request_with_the_id_of_an_open_request_is_rejected_even_if_the_id_is_not_recent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(request_registry_module, "MAX_RECENT_IDS", 1)
