--- a/dunecove/proxy/client_connection.py
+++ b/dunecove/proxy/client_connection.py
@@ -154,8 +154,8 @@
     def is_delivering(self) -> bool:
         """Return whether a lingering connection needs more time to deliver its last response.
 
-        It does while response bytes are unsent or the kernel holds unread input: closing the connection with
-        unread input would reset it and drop what the kernel has not sent yet.
+        It does for up to `LINGER_READ_TIMEOUT_S` while response bytes are unsent or the kernel holds unread
+        input: closing it with unread input would reset it and drop what the kernel has not sent yet.
         """
         if now_ms() - self.server.slots.lingering_since(self) > LINGER_READ_TIMEOUT_S * 1000:
             return False
--- a/dunecove/proxy/client_messages.py
+++ b/dunecove/proxy/client_messages.py
@@ -27,5 +27,5 @@
     head: bytes  # request line and headers for the backend, without the final empty line
     body: bytes
     respond: Callable[[ClientResponse], None]
-    # Returns whether the client has disconnected, after telling the engine so.
+    # Closes the connection if the client has disconnected, tells the engine, and returns whether it has.
     close_if_disconnected: Callable[[], bool]
--- a/dunecove/proxy/connection_slots.py
+++ b/dunecove/proxy/connection_slots.py
@@ -19,7 +19,7 @@
 # Time during which a new connection may send its first request, and a lingering one may close, without being
 # evicted.
 EVICTION_GRACE_MS = 250.0
-UNREAD_RESPONSE_GRACE_MS = 500.0  # after a request's deadline; until then its response may still be read
+UNREAD_RESPONSE_GRACE_MS = 500.0  # time after a request's deadline in which its response may be read
 
 
 class AcceptDecision(NamedTuple):
@@ -112,10 +112,10 @@
     def eviction_candidate(self, max_deadline_ms: float) -> ClientConnection | None:
         """Return the connection to evict for a new one, or None if none may be evicted.
 
-        Lingering connections come first, then those idle for long, those whose request is overdue, and last
-        those that were used recently. `may_be_evicted` costs a system call, so it is called only for the
-        oldest suitable connection of each state. `max_deadline_ms` is the longest deadline of all request
-        classes: until then a client may still read its response.
+        Lingering connections come first, then those idle for longer than `CROWDED_IDLE_TIMEOUT_S`, those
+        awaiting a request, and last all other idle ones. `may_be_evicted` costs a system call, so only the
+        oldest suitable connection of each kind is asked. `max_deadline_ms` is the longest deadline of all
+        request classes: until then a client may still read its response.
         """
         now = now_ms()
         for state, grace_ms in (
--- a/dunecove/proxy/http_request.py
+++ b/dunecove/proxy/http_request.py
@@ -37,7 +37,7 @@
     headers: Headers  # without trailers
     body: bytes
     keep_alive: bool
-    arrived_at: float  # arrival of its last bytes, in ms of `now_ms`
+    arrived_at: float  # arrival time of its last bytes, in ms of `now_ms`
 
     def size_bytes(self) -> int:
         """Return the size of target, headers and body, without HTTP framing."""
@@ -77,7 +77,7 @@
         self.has_failed = False
         self.is_mid_request = False  # a request has begun and is incomplete
         self.expects_continue = False  # the last fed bytes completed a head with `expect: 100-continue`
-        self.arrived_at = 0.0  # arrival of the bytes being parsed, in ms of `now_ms`
+        self.arrived_at = 0.0  # arrival time of the bytes being parsed, in ms of `now_ms`
         self._start_request()
 
     def _start_request(self) -> None:
--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -16,7 +16,7 @@
 from dunecove.proxy.request_validator import RequestValidator
 
 ACCEPT_BACKLOG = 512  # connections that the kernel queues until they are accepted
-MAX_ACCEPTS_PER_ITERATION = 16  # of the event loop; many new connections must not delay open ones
+MAX_ACCEPTS_PER_ITERATION = 16  # of the event loop; a flood of new connections must not delay open ones
 ACCEPT_RETRY_S = 0.05  # delay before accepting again when no slot or file descriptor was free
 BACKLOG_DRAIN_INTERVAL_S = 0.005  # delay between two rounds of accepting at shutdown
 SWEEP_INTERVAL_S = 0.25
@@ -36,7 +36,7 @@
         self.is_accepting = False
         self.accept_delayed_since = 0.0  # time (ms) since which the backlog waits for a slot; 0: it does not
         self._loop = asyncio.get_running_loop()
-        self._opening: set[asyncio.Task[object]] = set()
+        self._opening_tasks: set[asyncio.Task[object]] = set()
         self._all_closed = asyncio.Event()
         self._sweep_timer: asyncio.TimerHandle | None = None
 
@@ -112,14 +112,14 @@
         self.slots.reserve()
         coroutine = self._loop.connect_accepted_socket(self._create_connection, sock)
         task = cast("asyncio.Task[object]", self._loop.create_task(coroutine))
-        self._opening.add(task)
+        self._opening_tasks.add(task)
         task.add_done_callback(self._on_opened)
 
     def _create_connection(self) -> ClientConnection:
         return ClientConnection(self.server, self._on_connection_lost, self.accept_delayed_since)
 
     def _on_opened(self, task: asyncio.Task[object]) -> None:
-        self._opening.discard(task)
+        self._opening_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log(f"opening an accepted client connection failed: {task.exception()}; its slot is released")
             self._release_slot()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -65,7 +65,7 @@
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
     first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[:-2]
-    return first, {k.lower(): v for k, v in (line.split(": ", 1) for line in lines)}
+    return first, {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
 
 
 class ReceivedRequest(NamedTuple):
