--- a/dunecove/proxy/backend_connection.py
+++ b/dunecove/proxy/backend_connection.py
@@ -26,7 +26,7 @@
     def release(self, connection: BackendConnection) -> None:
         """Take back a connection whose exchange is over."""
 
-    def forget(self, connection: BackendConnection) -> None:
+    def discard(self, connection: BackendConnection) -> None:
         """Count a connection no more."""
 
 
@@ -104,5 +104,5 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Count no more, then fail the attempt in progress, if any."""
-        self.owner.forget(self)
+        self.owner.discard(self)
         super().connection_lost(exc)
--- a/dunecove/proxy/backend_connections.py
+++ b/dunecove/proxy/backend_connections.py
@@ -7,7 +7,7 @@
 from dunecove.proxy.socket_probe import has_unread_input
 
 # A second response, noise or EOF may follow a response. Only after this time idle is a connection lent:
-# `lend` then sees them in the kernel.
+# `acquire` then sees them in the kernel.
 MIN_IDLE_MS = 10.0
 
 
@@ -44,7 +44,7 @@
         if connection in self.idle:
             self.idle.remove(connection)
 
-    def lend(self) -> BackendConnection | None:
+    def acquire(self) -> BackendConnection | None:
         """Take the most recently used connection that is safe to use again, or return None.
 
         Those with unsolicited input, or whose end has come, are closed.
@@ -61,7 +61,7 @@
             connection.close()
         return None
 
-    def put_back(self, connection: BackendConnection) -> None:
+    def release(self, connection: BackendConnection) -> None:
         """Keep a connection for further attempts, or close it if it can't carry any."""
         if not connection.is_reusable or connection.generation != self.generation:
             connection.close()
--- a/dunecove/proxy/connection_pool.py
+++ b/dunecove/proxy/connection_pool.py
@@ -133,7 +133,7 @@
         if backend_connections is None:
             backend_connections = BackendConnections()
             self.connections_by_backend[attempt.backend_id] = backend_connections
-        idle = backend_connections.lend()
+        idle = backend_connections.acquire()
         if idle is not None:
             idle.send_attempt(attempt)
         elif self._make_room():
@@ -250,9 +250,9 @@
 
     def release(self, connection: BackendConnection) -> None:
         """Take back a connection whose exchange is over."""
-        connection.backend_connections.put_back(connection)
+        connection.backend_connections.release(connection)
 
-    def forget(self, connection: BackendConnection) -> None:
+    def discard(self, connection: BackendConnection) -> None:
         """Count a connection no more."""
         self.connections.discard(connection)
 
--- a/dunecove/proxy/discovery_client.py
+++ b/dunecove/proxy/discovery_client.py
@@ -115,7 +115,7 @@
         if not self.is_watching:
             self._watch_task = asyncio.get_running_loop().create_task(self._run())
 
-    def move_to(self, address: str) -> bool:
+    def set_address(self, address: str) -> bool:
         """Ask the service at `address` from the next watch on; False if that is the present one."""
         if address == self.address:
             return False
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -107,7 +107,7 @@
 
     def move_discovery(self, address: str) -> None:
         """Poll another discovery service from now on; the list stands until that has answered."""
-        if self.discovery is not None and self.discovery.move_to(address):
+        if self.discovery is not None and self.discovery.set_address(address):
             self.telemetry.count(CounterName.DISCOVERY_MOVED)
             log(f"list: now from {address}")
             self._raise_event(DiscoveryMoved())
--- a/dunecove/proxy/incremental_json.py
+++ b/dunecove/proxy/incremental_json.py
@@ -29,7 +29,7 @@
             yield chunk
 
 
-def drain(chunks: list[bytes | bytearray]) -> Iterator[bytes | bytearray]:
+def consume(chunks: list[bytes | bytearray]) -> Iterator[bytes | bytearray]:
     """Yield the chunks in order and free each as soon as it has been used; the list is empty afterwards."""
     chunks.reverse()
     while chunks:
--- a/dunecove/proxy/long_list.py
+++ b/dunecove/proxy/long_list.py
@@ -17,7 +17,7 @@
     decode_endpoint,
     encode_endpoint,
 )
-from dunecove.proxy.incremental_json import ArraySlices, drain
+from dunecove.proxy.incremental_json import ArraySlices, consume
 from dunecove.proxy.sharded_table import ShardedTable
 from dunecove.wire.fields import as_array, as_object
 from dunecove.wire.settings import ProxySettings
@@ -53,7 +53,7 @@
         """Read the list and return its revision; raises MalformedListError. `parts` is emptied."""
         await self._copy_endpoints()
         with malformed_list_errors():
-            slices = ArraySlices(drain(parts))
+            slices = ArraySlices(consume(parts))
             for entries in slices:
                 self._process_slice(entries)
                 await asyncio.sleep(0)
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -448,7 +448,7 @@
             assert "TimeoutError" in await recorded.failures.get()
         else:
             await comes_up.wait()
-            assert recorded.client.move_to(other.address)
+            assert recorded.client.set_address(other.address)
             recorded.client.watch()
             reply(await other.requests.get(), listing(7))
             assert (await recorded.updates.get()).revision == 7
@@ -471,7 +471,7 @@
             assert call is not None
             body = json.dumps(listing(42, target("old", ADDRESS))).encode()
             call.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
-            assert recorded.client.move_to(other.address)  # before the watch could look at it
+            assert recorded.client.set_address(other.address)  # before the watch could look at it
             recorded.client.watch()
             first = await other.requests.get()
             assert first.request_line == "GET /registry/instances HTTP/1.1"
@@ -490,8 +490,8 @@
             (await service.requests.get()).respond(json.dumps(listing(42)).encode())
             await recorded.updates.get()
             old = await service.requests.get()
-            assert recorded.client.move_to(other.address) and recorded.client.move_to(service.address)
-            assert not recorded.client.move_to(service.address)
+            assert recorded.client.set_address(other.address) and recorded.client.set_address(service.address)
+            assert not recorded.client.set_address(service.address)
             recorded.client.watch()
             await old.closed.wait()
             again = await service.requests.get()
--- a/tests/proxy/test_incremental_json.py
+++ b/tests/proxy/test_incremental_json.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from dunecove.proxy import incremental_json
-from dunecove.proxy.incremental_json import ArraySlices, drain
+from dunecove.proxy.incremental_json import ArraySlices, consume
 
 TEXT = st.text(alphabet='ab{}[],:"\\ \n', max_size=8)
 
@@ -36,7 +36,7 @@
 
 
 def read(text: bytes, size: int, *path: str) -> tuple[list[Any], Any]:
-    slices = ArraySlices(drain([text[at : at + size] for at in range(0, len(text), size)]), *path)
+    slices = ArraySlices(consume([text[at : at + size] for at in range(0, len(text), size)]), *path)
     entries = [entry for decoded in slices for entry in decoded]
     return entries, slices.remainder
 
