--- a/dunecove/proxy/attempt.py
+++ b/dunecove/proxy/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request, or a health check, on one backend."""
+"""One attempt of a request, or a health check, at one backend."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Attempt:
-    """One attempt on one backend. It ends once, by a call of `on_end`. All times are ms of `now_ms`."""
+    """One attempt at one backend; `on_end` is called exactly once, at its end. Times are ms of `now_ms`."""
 
     def __init__(
         self,
@@ -33,10 +33,10 @@
         write_timeout_ms: float = inf,
         record_denial: Callable[[], Denial | None] = _never_denied,
     ) -> None:
-        """Begin an attempt that ends after `timeout_ms` and must be written within `write_timeout_ms`.
+        """Create an attempt that ends within `timeout_ms` and is written within `write_timeout_ms`.
 
         `head` is the request line and the headers, without the empty line at the end. `record_denial`
-        returns why the rules forbid to write the request now, and records it; None if they allow it.
+        returns and records why the rules forbid writing the request now; None if they allow it.
         """
         self.backend_id = backend_id
         self.head = head
@@ -44,10 +44,10 @@
         self.on_end = on_end
         self.record_denial = record_denial
         self.started_at = now_ms()
-        self.sent_at = self.started_at  # when its first byte was written, or earlier
+        self.sent_at = self.started_at  # not later than the time at which its first byte is written
         self.deadline = self.started_at + timeout_ms
         self.write_deadline = self.started_at + write_timeout_ms
-        self.zone = 0  # of its backend as it began, as is the cell
+        self.zone = 0  # zone and cell of the backend at the start of the attempt
         self.cell = 0
         self.may_have_executed = True
         self.has_ended = False
@@ -56,24 +56,24 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the attempt has not ended."""
         return not self.has_ended
 
     @property
     def next_deadline(self) -> float:
-        """The earlier one of the times by which it must be written and by which it ends."""
+        """The earlier of the write deadline and the deadline."""
         return min(self.deadline, self.write_deadline)
 
     def has_expired(self) -> bool:
-        """Whether it is too late to write it."""
+        """Return whether it is too late to write the request."""
         return now_ms() >= self.next_deadline
 
     def is_request_incomplete(self) -> bool:
-        """Whether the last byte of the request has surely not been written."""
+        """Return whether a part of the request has certainly not been written."""
         return self.connection is None or self.connection.is_request_incomplete()
 
     def end(self, result: AttemptResult, response: Response | None = None) -> None:
-        """End it and report the result; does nothing if it has ended before."""
+        """End the attempt and report its result; do nothing if it has already ended."""
         if self.has_ended:
             return
         self.has_ended = True
--- a/dunecove/proxy/backend_connection.py
+++ b/dunecove/proxy/backend_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a backend, which carries one attempt at a time."""
+"""A connection to a backend that carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 if TYPE_CHECKING:
     from dunecove.proxy.backend_connections import BackendConnections
 
-REJECTED_STATUSES = (503, 504)  # with this header, a response tells that the request was not executed
+# A response with one of these statuses and this header guarantees that the request was not executed.
+REJECTED_STATUSES = (503, 504)
 REJECTED_HEADER = b"x-rejected"
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the pool that opened it."""
+    """The methods of the pool that its connections call."""
 
     def end_if_denied(self, attempt: Attempt) -> None:
-        """End an attempt that must not be written any more."""
+        """End an attempt if it must not be written any more."""
 
     def release(self, connection: BackendConnection) -> None:
-        """Take back a connection whose exchange is over."""
+        """Accept a connection whose exchange has ended for reuse."""
 
     def discard(self, connection: BackendConnection) -> None:
-        """Count a connection no more."""
+        """Remove a closed connection."""
 
 
 def _result_of(response: Response) -> AttemptResult:
@@ -56,7 +57,7 @@
         self.idle_since = 0.0  # ms of `now_ms`
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the attempt that has waited for this connection, unless it is denied by now."""
+        """Send the attempt for which this connection was opened, unless it must not be written any more."""
         self.backend_connections.connecting.discard(self)
         if self.attempt is not None:
             self.owner.end_if_denied(self.attempt)
@@ -67,7 +68,7 @@
             self.close()
 
     def send_attempt(self, attempt: Attempt) -> None:
-        """Send the attempt's request with the time that is left for it."""
+        """Send the attempt's request with its remaining time in `x-budget-ms`."""
         self.attempt = attempt
         attempt.connection = self
         attempt.sent_at = now_ms()
@@ -75,13 +76,13 @@
         self.send_request(b"%bx-budget-ms: %d\r\n\r\n%b" % (attempt.head, budget_ms, attempt.body))
 
     def close(self) -> None:
-        """Close the connection, or stop to open it."""
+        """Close the connection, or stop opening it."""
         super().close()
         if self.transport is None and self.connect_task is not None:
             self.connect_task.cancel()
 
     def is_request_incomplete(self) -> bool:
-        """Whether the last byte of the request has surely not been written."""
+        """Return whether a part of the request has certainly not been written."""
         return self.transport is None or self.has_unsent_bytes
 
     def on_response(self, response: Response) -> None:
@@ -96,13 +97,13 @@
         attempt.end(result, response if result is AttemptResult.OK else None)
 
     def on_failed(self) -> None:
-        """End the attempt: the connection broke, or its response is malformed."""
+        """End the attempt: the connection was lost, or the response is malformed."""
         self.backend_connections.remove_idle(self)
         if self.attempt is not None:
             is_incomplete = self.is_request_incomplete()
             self.attempt.end(AttemptResult.CONNECT_FAILED if is_incomplete else AttemptResult.RESET)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count no more, then fail the attempt in progress, if any."""
+        """Leave the pool, then fail the attempt in progress, if any."""
         self.owner.discard(self)
         super().connection_lost(exc)
--- a/dunecove/proxy/backend_connections.py
+++ b/dunecove/proxy/backend_connections.py
@@ -6,25 +6,25 @@
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.socket_probe import has_unread_input
 
-# A second response, noise or EOF may follow a response. Only after this time idle is a connection lent:
-# `acquire` then sees them in the kernel.
+# A connection is reused only after this idle time: a second response, other unsolicited bytes or EOF right
+# after a response have usually arrived by then, and `acquire` detects them in the kernel.
 MIN_IDLE_MS = 10.0
 
 
 class BackendConnections:
-    """Idle connections to one backend, and those being opened.
+    """The connections to one backend that are idle or being opened.
 
-    The connections of an earlier generation are not used again: the process behind them has gone, or drains.
+    Connections of an earlier generation are not reused: the process that they lead to has ended or drains.
     """
 
     def __init__(self) -> None:
         self.generation = 0
         self.last_response_at = 0.0  # ms of `now_ms`
-        self.idle: list[BackendConnection] = []  # the most recently used last
+        self.idle: list[BackendConnection] = []  # most recently used last
         self.connecting: set[BackendConnection] = set()
 
     def start_generation(self) -> None:
-        """Close what is idle; connections in use close as they become idle."""
+        """Close all idle connections; connections in use are closed when their exchange ends."""
         self.generation += 1
         self.close_idle()
 
@@ -35,19 +35,19 @@
         self.idle.clear()
 
     def close_idle_since(self, idle_since: float) -> None:
-        """Close the connections that have been idle since before this time."""
+        """Close the connections that became idle before the time `idle_since`, in ms of `now_ms`."""
         while self.idle and self.idle[0].idle_since < idle_since:
             self.idle.pop(0).close()
 
     def remove_idle(self, connection: BackendConnection) -> None:
-        """Drop a connection from the idle ones if it is one of them."""
+        """Remove a connection from the idle ones, if it is idle."""
         if connection in self.idle:
             self.idle.remove(connection)
 
     def acquire(self) -> BackendConnection | None:
-        """Take the most recently used connection that is safe to use again, or return None.
+        """Remove and return the most recently used idle connection that is safe to reuse, or None.
 
-        Those with unsolicited input, or whose end has come, are closed.
+        Connections that have unsolicited input, or were closed by the backend, are closed.
         """
         idle_long_enough = now_ms() - MIN_IDLE_MS
         for index in range(len(self.idle) - 1, -1, -1):
@@ -62,7 +62,7 @@
         return None
 
     def release(self, connection: BackendConnection) -> None:
-        """Keep a connection for further attempts, or close it if it can't carry any."""
+        """Keep a connection for further attempts, or close it if it can't be reused."""
         if not connection.is_reusable or connection.generation != self.generation:
             connection.close()
             return
--- a/dunecove/proxy/connection_pool.py
+++ b/dunecove/proxy/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of all connections to backends: which attempt gets one, how many there may be, when they close."""
+"""The pool of all connections to backends: it assigns, limits and closes them."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 )
 from dunecove.proxy.sharded_table import ShardedTable
 
-# The fraction of the backend's own idle timeout after which the proxy closes first: a request written as the
-# backend closes would end as a reset.
+# An idle connection is closed after this fraction of the backend's idle timeout: a request written while the
+# backend closes the connection would end with a reset.
 KEEPALIVE_FRACTION = 0.6
-EXPIRY_CHECKS_PER_KEEPALIVE = 20  # how often expired connections are looked for within that time
+EXPIRY_CHECKS_PER_KEEPALIVE = 20  # checks for expired connections per `ConnectionPool.keepalive_ms`
 
-# How an attempt ends that must not be written, if not as withdrawn. Of a deadline this holds only before
-# connecting: then this proxy was slow; after it, the backend.
-RESULT_OF_DENIAL = {
+# The result of an attempt that must not be written, by the reason; WITHDRAWN for any other reason. An expired
+# deadline has this result only before connecting, when this proxy caused the delay; later the backend did.
+RESULT_BY_DENIAL = {
     Denial.BACKEND_REMOVED: AttemptResult.CONNECT_FAILED,
     Denial.DEADLINE_EXCEEDED: AttemptResult.NO_LOCAL_RESOURCE,
 }
-# Errors of a system call that tell what this proxy lacks for a moment, which is not the backend's fault.
+# System call errors caused by a temporary shortage of resources at this proxy, not by the backend.
 LOCAL_RESOURCE_ERRNOS = frozenset(
     (
         errno.EADDRNOTAVAIL,
@@ -52,19 +52,19 @@
     def __init__(
         self, connect_timeout_ms: float, backend_idle_timeout_ms: float, max_connections: int
     ) -> None:
-        """Close idle connections well before `backend_idle_timeout_ms`, at which the backend would."""
+        """Create a pool; backends close connections that are idle for `backend_idle_timeout_ms`."""
         self.connect_timeout_s = connect_timeout_ms / 1000
         self.keepalive_ms = backend_idle_timeout_ms * KEEPALIVE_FRACTION
-        self.max_connections = max_connections  # those being opened included
+        self.max_connections = max_connections  # includes connections being opened
         self.connections: set[BackendConnection] = set()
-        self.endpoints = ShardedTable()  # all active ones
-        # Only of backends that have connections, or had some a moment ago.
+        self.endpoints = ShardedTable()  # all active endpoints
+        # Only backends that have connections, or had some at the last expiry check.
         self.connections_by_backend: dict[str, BackendConnections] = {}
         self.loop = asyncio.get_running_loop()
         self.expiry_timer = self._schedule_expiry_check()
 
     def update(self, endpoints: tuple[Endpoint, ...], is_snapshot: bool) -> None:
-        """Apply an update of the list: nothing is written to a backend any more that drains or is removed."""
+        """Apply a list update; no request is written to a drained or removed backend from now on."""
         if is_snapshot:
             self._remove_all_but({endpoint.backend_id for endpoint in endpoints})
         for endpoint in endpoints:
@@ -97,7 +97,8 @@
             self._stop_sending(self.connections_by_backend.pop(backend_id))
 
     def _stop_sending(self, backend_connections: BackendConnections) -> None:
-        # A drain counts from the first byte sent: what waits for its connection must not be written either.
+        # A drain forbids writing the first byte of a request: attempts whose connection is still being opened
+        # must not be written either.
         backend_connections.start_generation()
         for connection in list(backend_connections.connecting):
             attempt = connection.attempt
@@ -106,11 +107,11 @@
                 attempt.end(AttemptResult.CONNECT_FAILED)
 
     def active_count(self) -> int:
-        """The number of active backends."""
+        """Return the number of active backends."""
         return len(self.endpoints)
 
     def backend_infos(self, backend_ids: list[str]) -> tuple[BackendInfo, ...]:
-        """What is known of those backends that are still active."""
+        """Return the list entries of those backends that are still active."""
         entries = ((backend_id, self.endpoints.get(backend_id)) for backend_id in backend_ids)
         return tuple(
             decode_endpoint(backend_id, encoded).info
@@ -119,14 +120,14 @@
         )
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt on an idle connection or a new one, or end it if it must not or can't be sent."""
+        """Send an attempt on an idle or a new connection, or end it if it must not or can't be sent."""
         encoded = self.endpoints.get(attempt.backend_id)
         if encoded is not None:
             attempt.zone, attempt.cell = decode_location(encoded)
         denial = self._find_denial(attempt)
         if denial is not None or encoded is None:
             denial = denial or Denial.BACKEND_REMOVED
-            attempt.end(RESULT_OF_DENIAL.get(denial, AttemptResult.WITHDRAWN))
+            attempt.end(RESULT_BY_DENIAL.get(denial, AttemptResult.WITHDRAWN))
             return
         self._schedule_timeout(attempt, attempt.next_deadline)
         backend_connections = self.connections_by_backend.get(attempt.backend_id)
@@ -142,7 +143,7 @@
             attempt.end(AttemptResult.NO_LOCAL_RESOURCE)
 
     def _make_room(self) -> bool:
-        """Whether a connection may be opened; at the limit the one idle for longest is closed for it."""
+        """Return whether a connection may be opened; at the limit, close the one idle for longest."""
         if len(self.connections) < self.max_connections:
             return True
         oldest = min(
@@ -172,9 +173,9 @@
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await self.loop.create_connection(lambda: connection, *connection.address)
-        except OSError as error:  # refused, unreachable, out of descriptors, or too slow
-            # The time may run out just as the connection comes up: then the request has been written, and the
-            # connection reports how it ended.
+        except OSError as error:  # refused, unreachable, out of descriptors, or timed out
+            # If the timeout expires just after the connection was made, the request has been written, and the
+            # connection reports its result.
             if connection.attempt is not None and connection.transport is None:
                 is_local = error.errno in LOCAL_RESOURCE_ERRNOS
                 connection.attempt.end(
@@ -190,14 +191,14 @@
         self._abort(attempt, AttemptResult.CANCELLED)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """End an attempt whose request has surely not been written whole; leave any other as it is."""
+        """End an attempt if its request has certainly not been written completely."""
         if attempt.connection is not None and attempt.connection.is_request_incomplete():
             self._abort(attempt, AttemptResult.WITHDRAWN)
 
     def _find_denial(self, attempt: Attempt) -> Denial | None:
-        """Return why an attempt must not be written, or None; asked before the first byte of each.
+        """Return why an attempt must not be written, or None; called before its first byte is written.
 
-        A denial by the rules of its request is recorded there.
+        A denial by the rules of the request is recorded by `Attempt.record_denial`.
         """
         if self.endpoints.get(attempt.backend_id) is None:
             return Denial.BACKEND_REMOVED
@@ -206,15 +207,15 @@
         return attempt.record_denial()
 
     def end_if_denied(self, attempt: Attempt) -> None:
-        """End an attempt that has waited for its connection and must not be written any more.
+        """End an attempt that must not be written any more, now that its connection is open.
 
-        The loop may not have come yet to the attempt's timer, or to the end of its client's connection.
+        The event loop may not have processed the attempt's timer or the client's disconnection yet.
         """
         denial = self._find_denial(attempt)
         if denial is Denial.DEADLINE_EXCEEDED:
             self._on_deadline(attempt)
         elif denial is not None:
-            self._abort(attempt, RESULT_OF_DENIAL.get(denial, AttemptResult.WITHDRAWN))
+            self._abort(attempt, RESULT_BY_DENIAL.get(denial, AttemptResult.WITHDRAWN))
 
     def _schedule_timeout(self, attempt: Attempt, deadline: float) -> None:
         delay_s = max(deadline - now_ms(), 0.0) / 1000
@@ -223,7 +224,7 @@
     def _on_deadline(self, attempt: Attempt) -> None:
         is_incomplete = attempt.is_request_incomplete()
         if attempt.write_deadline < attempt.deadline and not is_incomplete:
-            attempt.write_deadline = inf  # written in time, so it has until its deadline for the response
+            attempt.write_deadline = inf  # written in time: only the deadline of the response remains
             self._schedule_timeout(attempt, attempt.deadline)
             return
         self._abort(attempt, AttemptResult.CONNECT_FAILED if is_incomplete else AttemptResult.TIMEOUT)
@@ -231,8 +232,8 @@
         if backend_connections is None or is_incomplete:
             return
         if backend_connections.last_response_at < attempt.started_at:
-            # No response to any attempt in all that time: a machine that is cut off leaves its connections
-            # open, and each request written to one of them would be lost.
+            # The backend has sent no response since the attempt started. If its machine is cut off from the
+            # network, its connections stay open, and each request written to one of them would be lost.
             backend_connections.close_idle()
 
     def _abort(self, attempt: Attempt, result: AttemptResult) -> None:
@@ -245,15 +246,15 @@
         connection.attempt = None
         connection.close()
         if connection.transport is None:
-            # Its connect task may be cancelled before it has begun, and then cleans nothing up.
+            # A connect task that is cancelled before it starts does not run its `finally` clause.
             self.connections.discard(connection)
 
     def release(self, connection: BackendConnection) -> None:
-        """Take back a connection whose exchange is over."""
+        """Return a connection whose exchange has ended to its backend's idle connections."""
         connection.backend_connections.release(connection)
 
     def discard(self, connection: BackendConnection) -> None:
-        """Count a connection no more."""
+        """Remove a closed connection from the pool."""
         self.connections.discard(connection)
 
     def _schedule_expiry_check(self) -> asyncio.TimerHandle:
@@ -262,7 +263,7 @@
         )
 
     def _close_expired(self) -> None:
-        """Close connections that have been idle for too long; forget backends without connections."""
+        """Close connections that have been idle too long; drop backends without connections."""
         self.expiry_timer = self._schedule_expiry_check()
         idle_since = now_ms() - self.keepalive_ms
         for backend_connections in self.connections_by_backend.values():
@@ -273,7 +274,7 @@
         }
 
     def close(self) -> None:
-        """Close all connections, without a callback."""
+        """Close all connections without ending their attempts."""
         self.expiry_timer.cancel()
         for connection in list(self.connections):
             connection.close()
--- a/dunecove/proxy/http_exchange.py
+++ b/dunecove/proxy/http_exchange.py
@@ -16,13 +16,14 @@
 )
 from dunecove.proxy.socket_probe import shutdown_write
 
-BODY_PART_BYTES = MAX_BODY_BYTES  # a longer body is collected in several parts, so that none is ever copied
-MAX_INTERIM_RESPONSES = 8  # 1xx ahead of the final one: a server that sends more only delays its client
-STATUSES_WITHOUT_BODY = frozenset((204, 205, 304))  # they need not declare a length
+# A longer body is collected in parts of about this size: a growing buffer would be copied as it is enlarged.
+BODY_PART_BYTES = MAX_BODY_BYTES
+MAX_INTERIM_RESPONSES = 8  # 1xx before the final one; a server that sends more only delays its client
+STATUSES_WITHOUT_BODY = frozenset((204, 205, 304))  # they need no declared length
 
 
 class Response(NamedTuple):
-    """A complete response. A long body stays in parts that are not joined."""
+    """A complete response; a long body is kept as several parts."""
 
     status: int
     headers: Headers
@@ -30,29 +31,30 @@
 
     @property
     def body(self) -> bytes:
-        """The whole body as one copy."""
+        """The body, copied into one object."""
         return b"".join(self.body_parts)
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value of a header, by its name in lower case."""
+        """Return the first value of the header `name`, which is in lower case, or None."""
         return next((value for key, value in self.headers if key == name), None)
 
 
 class HttpExchange(asyncio.Protocol):
     """A connection to a server that carries one exchange at a time.
 
-    A subclass overrides `on_response` and `on_failed`, one of which ends each exchange, once. The methods
-    that httptools calls as it parses (`on_message_begin` to `on_message_complete`) collect the response.
+    A subclass overrides `on_response` and `on_failed`; one of them is called once at the end of each
+    exchange, unless `close` abandons it. The methods from `on_message_begin` to `on_message_complete` are
+    called by the httptools parser and collect the response.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.transport: asyncio.Transport | None = None
         self.max_body_bytes = max_body_bytes
-        # As sent, the framing of chunks included.
+        # Bytes on the wire, including chunk framing.
         self.max_response_bytes = MAX_HEAD_BYTES + CHUNK_FRAMING_FACTOR * max_body_bytes
-        self.is_awaiting_response = False  # a request has been sent and its response is incomplete
-        self.is_reusable = True  # another exchange may follow
-        self.has_unsent_bytes = False  # a part of the request has surely not left
+        self.is_awaiting_response = False  # a request was sent and its response is incomplete
+        self.is_reusable = True  # whether another exchange may follow
+        self.has_unsent_bytes = False  # a part of the request has certainly not been sent
         self._parser: httptools.HttpResponseParser | None = None
         self._reset_response()
 
@@ -67,26 +69,26 @@
         self._is_malformed = False
         self._is_complete = False
         self._keep_alive = False
-        self._ends_at_close = False  # the response declares no length: the end of the stream ends it
+        self._ends_at_close = False  # no length is declared: the response lasts until the end of the stream
 
     def on_response(self, response: Response) -> None:
         """Handle the response to the request that was sent."""
         raise NotImplementedError
 
     def on_failed(self) -> None:
-        """Handle the end of the connection; an exchange in progress gets no response."""
+        """Handle a lost connection or a malformed response; an exchange in progress gets no response."""
         raise NotImplementedError
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, or drop it if the connection was closed while it was being opened."""
+        """Store the transport; abort it if the connection was closed while it was being opened."""
         self.transport = cast(asyncio.Transport, transport)
-        # Without a write buffer what the kernel does not take at once can be told apart (`pause_writing`).
+        # With a limit of 0, `pause_writing` is called whenever the kernel does not accept all bytes at once.
         self.transport.set_write_buffer_limits(high=0)
         if not self.is_reusable:
             self.transport.abort()
 
     def send_request(self, request: bytes) -> None:
-        """Send a complete request and begin to wait for its response."""
+        """Send a complete request and start waiting for its response."""
         assert self.transport is not None
         self._parser = httptools.HttpResponseParser(self)
         self._reset_response()
@@ -97,18 +99,18 @@
             self.has_unsent_bytes = True  # the write itself failed
 
     def pause_writing(self) -> None:
-        """Note that the kernel has not taken all of the request."""
+        """Record that the kernel has not accepted all of the request."""
         self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """Note that the kernel has taken the rest of the request."""
+        """Record that the kernel has accepted the rest of the request."""
         self.has_unsent_bytes = False
 
     def close(self) -> None:
         """Close the connection and abandon its exchange without a callback.
 
-        The request may be retried elsewhere in this turn of the loop and must not be in flight twice: the
-        server sees the end of the stream before that, while the loop closes a socket only after the turn.
+        The write side is shut down at once because the request may be retried elsewhere in this iteration of
+        the event loop and must not be in flight twice; the loop itself closes the socket only afterwards.
         """
         self.is_awaiting_response = False
         self.is_reusable = False
@@ -122,9 +124,9 @@
             self.on_failed()
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of the response; unsolicited bytes end the connection."""
+        """Parse a part of the response; close the connection on unsolicited bytes."""
         if not self.is_awaiting_response:
-            self._fail()  # a response to no request must never be taken for that to the next one
+            self._fail()  # unsolicited bytes must never be read as the response to the next request
             return
         self._received_bytes += len(data)
         assert self._parser is not None
@@ -143,14 +145,14 @@
         return self._received_bytes > limit_bytes
 
     def eof_received(self) -> None:
-        """Finish a response that lasts until the end of the stream. A reset does not lead here."""
+        """Finish a response that lasts until the end of the stream; not called after a reset."""
         if self.is_awaiting_response and self._ends_at_close and not self._is_malformed:
             self._is_complete = True
             self._finish()
 
     def _finish(self) -> None:
         self.is_awaiting_response = False
-        # After an early response the rest of the request must not run into the next one.
+        # After an early response, the unsent rest of the request would run into the next request.
         self.is_reusable = self._keep_alive and not self.has_unsent_bytes
         if not self.is_reusable and self.transport is not None:
             self.transport.abort()
@@ -161,16 +163,16 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the exchange in progress, if any."""
         self._fail()
-        self._parser = None  # it refers to this object in turn: a cycle would wait for the garbage collector
+        self._parser = None  # breaks a reference cycle, which only the garbage collector would free
 
     def on_message_begin(self) -> None:
-        """Begin a message; called by httptools."""
+        """Detect a second response; called by httptools at the start of a message."""
         if self._is_complete:
-            self._keep_alive = False  # a second response to one request
+            self._keep_alive = False  # a second response to the same request
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Collect a header; called by httptools."""
-        if not self._headers_complete:  # else it is a trailer, or of a second response
+        if not self._headers_complete:  # otherwise a trailer, or a header of a second response
             self._headers.append((name.strip().lower(), value))
 
     def on_headers_complete(self) -> None:
@@ -182,14 +184,14 @@
         self._headers_complete = True
         if self._status < 200:
             self._interim_responses += 1
-            # 101 would turn the stream into another protocol, which no request asks for.
+            # 101 switches to another protocol, which no request asks for.
             if self._interim_responses > MAX_INTERIM_RESPONSES or self._status == 101:
                 self._is_malformed = True
             return
         self._check_framing()
 
     def _check_framing(self) -> None:
-        """Check that the response declares its length in one way, or lasts until the end of the stream."""
+        """Check that the response declares its length at most once, in a supported way."""
         lengths = [value for name, value in self._headers if name == b"content-length"]
         codings = [value for name, value in self._headers if name == b"transfer-encoding"]
         if len(lengths) + len(codings) > 1:
@@ -197,7 +199,7 @@
         elif codings:
             self._is_malformed = codings[0].strip().lower() != b"chunked"
         elif lengths:
-            # A body that will be too long is refused now, not once so much has arrived or the time is up.
+            # A declared length that is too long fails at once, without waiting for the body or the timeout.
             self._is_malformed = not self._is_acceptable_length(lengths[0].strip())
         else:
             self._ends_at_close = self._status not in STATUSES_WITHOUT_BODY
@@ -218,7 +220,7 @@
         self._is_malformed = self._body_bytes > self.max_body_bytes
 
     def on_message_complete(self) -> None:
-        """Finish the response, or go on to the final one after an interim one; called by httptools."""
+        """Finish the response, or prepare for the next one after an interim response; called by httptools."""
         if self._is_complete or self._is_malformed:
             return
         if self._status < 200:
