--- a/tests/proxy/list_entries.py
+++ b/tests/proxy/list_entries.py
@@ -7,7 +7,7 @@
 from tests.loopback import target
 
 
-def entries(n: int, first: int = 0, state: str = "active", weight: float = 1.0) -> list[dict[str, Any]]:
+def make_entries(n: int, first: int = 0, state: str = "active", weight: float = 1.0) -> list[dict[str, Any]]:
     return [
         target(f"s-{i:08x}", f"127.1.{i // 250}.{i % 250}:9", state) | {"capacity_hint": weight}
         for i in range(first, first + n)
--- a/tests/proxy/pool_harness.py
+++ b/tests/proxy/pool_harness.py
@@ -1,4 +1,4 @@
-"""A connection pool with one scripted backend, and the results of the attempts that a test starts there."""
+"""A connection pool with one scripted backend, and the results of the attempts that a test starts."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class PoolHarness:
-    """A pool with the backend `s`, and the results of the attempts that were started."""
+    """A pool with the backend `s`; the results of its attempts are put into `results`."""
 
     def __init__(
         self, backend: ScriptedServer, connect_timeout_ms: float, idle_timeout_ms: float, max_connections: int
     ) -> None:
         self.pool = ConnectionPool(connect_timeout_ms, idle_timeout_ms, max_connections)
         self.results: asyncio.Queue[tuple[AttemptResult, Response | None]] = asyncio.Queue()
-        self.update(endpoint("s", backend.address))
+        self.update(make_endpoint("s", backend.address))
 
     def update(self, *endpoints: Endpoint) -> None:
         self.pool.update(endpoints, True)
@@ -54,8 +54,8 @@
         return (await self.results.get())[0]
 
     async def serve_one(self, backend: ScriptedServer, backend_id: str = "s") -> int:
-        """Serve one attempt; return the number of the connection that carried it."""
-        await asyncio.sleep(2 * MIN_IDLE_MS / 1000)  # idle connections may be lent again
+        """Serve one attempt; return the number of the connection, counted from 1 at the backend."""
+        await asyncio.sleep(2 * MIN_IDLE_MS / 1000)  # idle connections may be reused
         self.start(backend_id)
         call = await backend.requests.get()
         call.respond()
@@ -63,7 +63,7 @@
         return call.connection
 
 
-def endpoint(
+def make_endpoint(
     backend_id: str, address: str, state: BackendState = BackendState.ACTIVE, started: float | None = None
 ) -> Endpoint:
     host, port = address.split(":")
@@ -81,4 +81,4 @@
     finally:
         harness.pool.close()
         backend.close()
-        assert harness.results.empty()  # each attempt ended once
+        assert harness.results.empty()  # no attempt has a second result
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool: which connections are lent again, deadlines, drains and limits."""
+"""The connection pool: reuse of connections, deadlines, drains and limits."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.socket_probe import has_unread_input
 from tests.loopback import ConnectGate, ScriptedServer, run, until
-from tests.proxy.pool_harness import endpoint, pool_harness
+from tests.proxy.pool_harness import make_endpoint, pool_harness
 
 OK = b"HTTP/1.1 200 OK\r\n"
 
@@ -34,14 +34,14 @@
 def test_connect_timeout_fails_as_not_executed(connect_timeout_ms: float, timeout_ms: float) -> None:
     async def test() -> None:
         async with pool_harness(connect_timeout_ms=connect_timeout_ms) as (harness, _):
-            with socket.socket() as silent, socket.socket() as one, socket.socket() as two:
-                # The backlog is full, so that the next connection is neither accepted nor refused.
-                silent.bind(("127.0.0.1", 0))
-                silent.listen(0)
+            with socket.socket() as listener, socket.socket() as one, socket.socket() as two:
+                # With a full backlog, the kernel neither accepts nor refuses the next connection.
+                listener.bind(("127.0.0.1", 0))
+                listener.listen(0)
                 for other in (one, two):
                     other.setblocking(False)
-                    other.connect_ex(silent.getsockname())
-                harness.update(endpoint("s", "{}:{}".format(*silent.getsockname())))
+                    other.connect_ex(listener.getsockname())
+                harness.update(make_endpoint("s", "{}:{}".format(*listener.getsockname())))
                 harness.start(timeout_ms=timeout_ms)
                 assert await harness.result() is AttemptResult.CONNECT_FAILED
             assert not harness.pool.connections
@@ -50,9 +50,9 @@
 
 
 @pytest.mark.parametrize("extra", [OK + b"content-length: 4\r\n\r\ncopy", b"\x00noise", b"HTTP/1.1 2"])
-def test_bytes_right_after_a_response_never_reach_the_next_request(extra: bytes) -> None:
-    # The response and what follows may arrive in two reads; lent between them, the connection would answer
-    # the next request with the copy. Reading is paused here: only the kernel has what follows.
+def test_unsolicited_bytes_after_a_response_prevent_reuse_of_the_connection(extra: bytes) -> None:
+    # If the extra bytes arrive in a later read than the response, a connection reused in between would return
+    # them as the response to the next request. Reading is paused, so that only the kernel has them.
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             await harness.serve_one(backend)
@@ -67,8 +67,9 @@
     run(test())
 
 
-def test_connection_closed_by_the_backend_is_not_lent() -> None:
-    # The loop has not seen the close yet: a request written now would end as a reset, and may have executed.
+def test_connection_closed_by_the_backend_is_not_reused() -> None:
+    # The event loop has not processed the close yet: a request written now would end with a reset, and count
+    # as possibly executed.
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             await harness.serve_one(backend)
@@ -83,7 +84,7 @@
     run(test())
 
 
-def test_connection_is_idle_for_a_moment_before_it_is_lent_again() -> None:
+def test_connection_is_not_reused_before_the_minimum_idle_time() -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
@@ -92,14 +93,14 @@
             await harness.result()
             harness.pool.connections_by_backend["s"].idle[0].idle_since = (
                 now_ms() + 1000
-            )  # just now, however slow this machine is
+            )  # not idle for the minimum time, however slow the machine is
             assert await harness.serve_one(backend) == 2
 
     run(test())
 
 
 def test_timeout_without_any_response_closes_the_idle_connections() -> None:
-    # A machine that is cut off leaves its connections open: each request written to one would be lost.
+    # If the backend's machine is cut off, its connections stay open, and requests written to them are lost.
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
@@ -117,7 +118,9 @@
     run(test())
 
 
-def test_lack_of_descriptors_is_a_local_failure(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connect_without_free_descriptors_ends_with_no_local_resource(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     class LoopWithoutDescriptors:
         def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
             self.create_task, self.call_later = loop.create_task, loop.call_later
@@ -159,7 +162,7 @@
 
 
 def sees_end_of_stream(backend: socket.socket) -> bool:
-    """Whether the kernel reports the end to the backend; no turn of the loop passes, as this blocks."""
+    """Return whether the backend's kernel reports the end of the stream; blocks the event loop."""
     backend.settimeout(1.0)
     try:
         return backend.recv(10) == b""
@@ -169,9 +172,9 @@
         return False
 
 
-@pytest.mark.parametrize("how", ["cancelled", "timed out", "malformed"])
-def test_abandoned_attempt_has_ended_at_its_backend_before_a_retry(how: str) -> None:
-    # The balancer may retry the request in the very turn in which it is notified of the end.
+@pytest.mark.parametrize("ending", ["cancelled", "timed out", "malformed"])
+def test_backend_sees_the_end_of_an_abandoned_attempt_before_a_retry(ending: str) -> None:
+    # The balancer may retry the request in the same loop iteration in which the attempt ends.
     async def test() -> None:
         async with pool_harness() as (harness, _):
             loop = asyncio.get_running_loop()
@@ -179,29 +182,29 @@
                 listener.bind(("127.0.0.1", 0))
                 listener.listen(1)
                 listener.setblocking(False)
-                harness.update(endpoint("s", "{}:{}".format(*listener.getsockname())))
+                harness.update(make_endpoint("s", "{}:{}".format(*listener.getsockname())))
                 attempt = harness.start()
                 accepted, _ = await loop.sock_accept(listener)
                 with accepted:
                     await loop.sock_recv(accepted, 10_000)
                     connection = attempt.connection
                     assert connection is not None
-                    if how == "cancelled":
+                    if ending == "cancelled":
                         harness.pool.cancel(attempt)
-                    elif how == "timed out":
+                    elif ending == "timed out":
                         harness.pool._on_deadline(attempt)
                     else:
                         connection.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: -1\r\n\r\n")
                     assert harness.results.qsize() == 1
                     assert sees_end_of_stream(accepted)
             expected = {"cancelled": AttemptResult.CANCELLED, "timed out": AttemptResult.TIMEOUT}
-            assert await harness.result() is expected.get(how, AttemptResult.RESET)
+            assert await harness.result() is expected.get(ending, AttemptResult.RESET)
 
     run(test())
 
 
 def test_attempt_is_not_written_after_its_write_deadline() -> None:
-    """As a keyed retry whose connection opens after its deduplication window."""
+    """An example is a keyed retry whose connection opens after the deduplication window."""
 
     async def test() -> None:
         async with pool_harness() as (harness, backend):
@@ -222,7 +225,7 @@
 
 @pytest.mark.parametrize("deadline", ["write_deadline", "deadline"])
 def test_expired_attempt_is_not_written_when_its_connection_opens(deadline: str) -> None:
-    """The loop is busy, and has not come to the attempt's timer."""
+    """The event loop is busy and has not processed the attempt's timer."""
 
     async def test() -> None:
         async with pool_harness() as (harness, backend):
@@ -241,12 +244,12 @@
     run(test())
 
 
-def test_attempt_written_in_time_may_wait_until_its_deadline() -> None:
+def test_attempt_written_before_its_write_deadline_waits_until_its_deadline() -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             attempt = harness.start(write_timeout_ms=20_000.0)
             call = await backend.requests.get()
-            harness.pool._on_deadline(attempt)  # as its timer does
+            harness.pool._on_deadline(attempt)  # as called by the timer
             assert not attempt.has_ended
             call.respond()
             assert await harness.result() is AttemptResult.OK
@@ -256,21 +259,21 @@
 
 @pytest.mark.parametrize("pooled", [True, False])
 @pytest.mark.parametrize("state", [BackendState.DRAINING, BackendState.REMOVED])
-def test_drain_before_the_first_byte_stops_the_attempt(state: BackendState, pooled: bool) -> None:
+def test_drain_before_the_first_byte_fails_the_attempt_unwritten(state: BackendState, pooled: bool) -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             if pooled:
                 await harness.serve_one(backend)
                 await asyncio.sleep(2 * MIN_IDLE_MS / 1000)
-            harness.update(endpoint("s", backend.address, state))
-            harness.start()  # chosen before the update came
+            harness.update(make_endpoint("s", backend.address, state))
+            harness.start()  # the backend was chosen before the update
             assert await harness.result() is AttemptResult.CONNECT_FAILED
             assert backend.requests.empty() and backend.connection_count == pooled
 
     run(test())
 
 
-def test_timeout_in_the_turn_of_the_response_is_the_only_result() -> None:
+def test_response_in_the_loop_iteration_of_the_timeout_is_ignored() -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             attempt = harness.start()
@@ -282,20 +285,20 @@
             assert await harness.result() is AttemptResult.TIMEOUT
             await call.closed.wait()
             harness.start()
-            again = await backend.requests.get()
-            assert again.connection == 2
-            again.respond()
+            next_call = await backend.requests.get()
+            assert next_call.connection == 2
+            next_call.respond()
             assert await harness.result() is AttemptResult.OK
 
     run(test())
 
 
-def test_reset_as_a_request_is_written_to_an_idle_connection_may_have_executed() -> None:
+def test_reset_after_a_write_to_an_idle_connection_may_have_executed() -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             await harness.serve_one(backend)
             await asyncio.sleep(2 * MIN_IDLE_MS / 1000)
-            attempt = harness.start()  # written at once; the backend's close was on its way
+            attempt = harness.start()  # written before the backend's close is processed
             connection = attempt.connection
             assert connection is not None and connection.is_awaiting_response
             connection.connection_lost(ConnectionResetError())
@@ -304,7 +307,7 @@
     run(test())
 
 
-def test_most_recently_used_connection_is_lent_first() -> None:
+def test_most_recently_used_connection_is_reused_first() -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
@@ -320,7 +323,7 @@
     run(test())
 
 
-def test_idle_connections_expire_well_before_the_backend_closes_them() -> None:
+def test_idle_connections_close_before_the_idle_timeout_of_the_backend() -> None:
     async def test() -> None:
         async with pool_harness(idle_timeout_ms=1000.0) as (harness, backend):
             harness.start()
@@ -333,7 +336,7 @@
     run(test())
 
 
-def test_connection_closed_while_idle_is_forgotten_at_once() -> None:
+def test_connection_closed_while_idle_is_removed_at_once() -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             await harness.serve_one(backend)
@@ -345,27 +348,27 @@
 
 
 @pytest.mark.parametrize("change", ["drains", "leaves", "is gone", "restarts", "moves"])
-def test_idle_connections_close_with_the_process_behind_them(change: str) -> None:
+def test_idle_connections_close_when_their_backend_drains_ends_or_moves(change: str) -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             other = await ScriptedServer().open()
             updates = {
-                "drains": [endpoint("s", backend.address, BackendState.DRAINING)],
-                "leaves": [endpoint("s", backend.address, BackendState.REMOVED)],
+                "drains": [make_endpoint("s", backend.address, BackendState.DRAINING)],
+                "leaves": [make_endpoint("s", backend.address, BackendState.REMOVED)],
                 "is gone": [],
-                "restarts": [endpoint("s", backend.address, started=5.0)],
-                "moves": [endpoint("s", other.address)],
+                "restarts": [make_endpoint("s", backend.address, started=5.0)],
+                "moves": [make_endpoint("s", other.address)],
             }
             harness.start()
             harness.start()
-            busy, idle = await backend.requests.get(), await backend.requests.get()
+            in_use, idle = await backend.requests.get(), await backend.requests.get()
             idle.respond()
             assert await harness.result() is AttemptResult.OK
             harness.update(*updates[change])
             await idle.closed.wait()
-            busy.respond()  # requests in flight may finish, but their connection is not idle
+            in_use.respond()  # a request in flight may finish, but its connection is not reused
             assert await harness.result() is AttemptResult.OK
-            await busy.closed.wait()
+            await in_use.closed.wait()
             if change == "restarts":
                 assert await harness.serve_one(backend) == 3
             elif change == "moves":
@@ -379,21 +382,21 @@
 
 
 @pytest.mark.parametrize("state", [BackendState.DRAINING, BackendState.REMOVED])
-def test_drain_ends_attempts_that_wait_for_their_connection(state: BackendState) -> None:
+def test_drain_ends_attempts_whose_connection_is_being_opened(state: BackendState) -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            harness.update(endpoint("s", backend.address, state))
+            harness.update(make_endpoint("s", backend.address, state))
             assert await harness.result() is AttemptResult.CONNECT_FAILED
-            assert not harness.pool.connections  # nothing of it counts towards the limit
+            assert not harness.pool.connections  # it no longer counts towards the limit
             assert backend.requests.empty()
 
     run(test())
 
 
-def test_connection_that_opens_at_its_timeout_reports_the_result_itself() -> None:
-    class LateLoop:
-        """A loop whose connections open and time out in the same turn."""
+def test_attempt_whose_connection_opens_at_the_connect_timeout_gets_its_response() -> None:
+    class LoopWithConnectTimeout:
+        """An event loop whose connections open and time out in the same iteration."""
 
         def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
             self.create_task, self.call_later = loop.create_task, loop.call_later
@@ -405,7 +408,7 @@
 
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            harness.pool.loop = cast(asyncio.AbstractEventLoop, LateLoop(harness.pool.loop))
+            harness.pool.loop = cast(asyncio.AbstractEventLoop, LoopWithConnectTimeout(harness.pool.loop))
             harness.start()
             call = await backend.requests.get()
             call.respond()
@@ -418,16 +421,16 @@
     async def test() -> None:
         async with pool_harness(max_connections=2) as (harness, backend):
             other = await ScriptedServer().open()
-            harness.update(endpoint("s", backend.address), endpoint("t", other.address))
+            harness.update(make_endpoint("s", backend.address), make_endpoint("t", other.address))
             await harness.serve_one(backend)
             harness.start("t")
-            busy = await other.requests.get()
+            in_use = await other.requests.get()
             harness.start("t")
             second = await other.requests.get()
             assert not harness.pool.connections_by_backend["s"].idle
             harness.start("s")
-            assert await harness.result() is AttemptResult.NO_LOCAL_RESOURCE  # nothing is idle now
-            for call in (busy, second):
+            assert await harness.result() is AttemptResult.NO_LOCAL_RESOURCE  # no connection is idle
+            for call in (in_use, second):
                 call.respond()
                 assert await harness.result() is AttemptResult.OK
             other.close()
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list, with a scripted discovery service."""
+"""The discovery client and its watch, with a scripted discovery service."""
 
 from __future__ import annotations
 
@@ -28,23 +28,25 @@
 ADDRESS = "127.0.0.9:80"
 
 
-class RecordedClient:
+class ClientHarness:
     def __init__(self, address: str) -> None:
-        wire = ProxySettings({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
+        proxy_settings = ProxySettings({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
         self.updates: asyncio.Queue[EndpointListUpdate] = asyncio.Queue()
         self.failures: asyncio.Queue[str] = asyncio.Queue()
-        self.client = DiscoveryClient(address, wire, 41, self.updates.put_nowait, self.failures.put_nowait)
+        self.client = DiscoveryClient(
+            address, proxy_settings, 41, self.updates.put_nowait, self.failures.put_nowait
+        )
 
 
 @asynccontextmanager
-async def watching() -> AsyncIterator[tuple[RecordedClient, ScriptedServer]]:
+async def watching_client() -> AsyncIterator[tuple[ClientHarness, ScriptedServer]]:
     service = await ScriptedServer().open()
-    recorded = RecordedClient(service.address)
-    recorded.client.watch()
+    harness = ClientHarness(service.address)
+    harness.client.watch()
     try:
-        yield recorded, service
+        yield harness, service
     finally:
-        recorded.client.close()
+        harness.client.close()
         service.close()
 
 
@@ -54,16 +56,16 @@
 
 def test_polls_follow_back_to_back_on_one_connection() -> None:
     async def test() -> None:
-        async with watching() as (recorded, service):
+        async with watching_client() as (harness, service):
             first = await service.requests.get()
             assert first.request_line == "GET /registry/instances?since=41&timeout_ms=1 HTTP/1.1"
             reply(first, listing(41, whole=False))
-            assert (await recorded.updates.get()).endpoints == ()
+            assert (await harness.updates.get()).endpoints == ()
             second = await service.requests.get()
             assert second.request_line == "GET /registry/instances?since=41&timeout_ms=1000 HTTP/1.1"
-            recorded.client.watch()  # one watch is on: no second one
+            harness.client.watch()  # opens no second watch
             reply(second, listing(43, target("s", ADDRESS, "leaving", 7), whole=False))
-            update = await recorded.updates.get()
+            update = await harness.updates.get()
             assert (update.revision, update.is_snapshot) == (43, False)
             (info,) = (t.info for t in update.endpoints)
             assert (info.backend_id, info.state, info.started_at, info.cell) == (
@@ -74,12 +76,12 @@
             )
             third = await service.requests.get()
             assert third.request_line.startswith("GET /registry/instances?since=43&")
-            assert third.connection == 1 and recorded.failures.empty()
+            assert third.connection == 1 and harness.failures.empty()
 
     run(test())
 
 
-BAD = [
+MALFORMED_LISTS = [
     b"{",
     b"[]",
     b"{}",
@@ -94,75 +96,75 @@
 ]
 
 
-@pytest.mark.parametrize("body", BAD)
+@pytest.mark.parametrize("body", MALFORMED_LISTS)
 def test_malformed_list_is_a_failed_call(body: bytes) -> None:
     async def test() -> None:
-        async with watching() as (recorded, service):
+        async with watching_client() as (harness, service):
             (await service.requests.get()).respond(body)
-            await recorded.failures.get()
-            assert recorded.updates.empty()
-            recorded.client.watch()  # when the balancer says so, since the revision at hand
+            await harness.failures.get()
+            assert harness.updates.empty()
+            harness.client.watch()  # as on the balancer's `PollDiscovery`; asks since the last revision
             call = await service.requests.get()
             assert call.request_line.startswith("GET /registry/instances?since=41&")
             reply(call, listing(44))
-            assert (await recorded.updates.get()).revision == 44
+            assert (await harness.updates.get()).revision == 44
 
     run(test())
 
 
-@pytest.mark.parametrize("how", ["503", "reset", "refused", "silent"])
-def test_each_failed_call_is_reported_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    if how == "silent":
+@pytest.mark.parametrize("cause", ["503", "reset", "refused", "silent"])
+def test_each_failed_call_is_reported_once(cause: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    if cause == "silent":
         monkeypatch.setattr(discovery_client_module, "OPENING_TIMEOUT_MS", 50)
         monkeypatch.setattr(discovery_client_module, "MAX_OPENING_CALLS", 1)
 
     async def test() -> None:
-        if how == "refused":
+        if cause == "refused":
             service = await ScriptedServer().open()
             service.close()
             await service.server.wait_closed()
-            recorded = RecordedClient(service.address)
-            recorded.client.watch()
-            await recorded.failures.get()
+            harness = ClientHarness(service.address)
+            harness.client.watch()
+            await harness.failures.get()
             return
-        async with watching() as (recorded, service):
+        async with watching_client() as (harness, service):
             call = await service.requests.get()
-            if how == "503":
+            if cause == "503":
                 call.respond(status=503)
-            elif how == "reset":
+            elif cause == "reset":
                 call.writer.close()
-            await recorded.failures.get()
+            await harness.failures.get()
             await call.closed.wait()
-            assert recorded.failures.empty() and recorded.updates.empty()
+            assert harness.failures.empty() and harness.updates.empty()
 
     run(test())
 
 
-def test_exception_in_the_watch_is_a_failed_call() -> None:
-    def broken(_: EndpointListUpdate) -> None:
+def test_exception_in_the_watch_is_reported_as_a_failed_call() -> None:
+    def raise_error(_: EndpointListUpdate) -> None:
         raise ZeroDivisionError
 
     async def test() -> None:
-        async with watching() as (recorded, service):
-            recorded.client.on_update = broken
+        async with watching_client() as (harness, service):
+            harness.client.on_update = raise_error
             reply(await service.requests.get(), listing(42))
-            assert "ZeroDivisionError" in await recorded.failures.get()
-            assert recorded.client.revision == 41  # the list is asked for again
+            assert "ZeroDivisionError" in await harness.failures.get()
+            assert harness.client.revision == 41  # the list is requested again
 
     run(test())
 
 
-def test_proxy_keeps_its_list_after_a_malformed_one_and_replaces_it_by_a_snapshot() -> None:
+def test_malformed_list_leaves_the_list_unchanged_until_the_next_snapshot() -> None:
     async def test() -> None:
         async with proxy(backends=2) as p:
-            bad = await p.registry.requests.get()
-            bad.respond(b'{"rev":2,"all":true,"targets":[{"uid":5}]}')
+            malformed = await p.registry.requests.get()
+            malformed.respond(b'{"rev":2,"all":true,"targets":[{"uid":5}]}')
             client = await p.client()
             assert (await client.exchange("/health/ready", "GET")).status == 200
             assert set(p.engine.connection_pool.endpoints) == {"s0", "s1"}
-            good = await p.registry.requests.get()
-            reply(good, listing(3, target("s1", p.backends[1].address)))
-            await p.registry.requests.get()  # the next poll: the update has been processed
+            valid = await p.registry.requests.get()
+            reply(valid, listing(3, target("s1", p.backends[1].address)))
+            await p.registry.requests.get()  # the next poll follows after the update was processed
             assert set(p.engine.connection_pool.endpoints) == {"s1"}
             for number in range(5):
                 client.send(x_call_id=f"c{number}")
@@ -172,9 +174,9 @@
     run(test())
 
 
-def test_pushed_list_is_read_from_the_start_and_again_after_a_failure() -> None:
-    # With "Discovery": "push" the balancer never polls: nobody read the list, and drained backends went on
-    # getting requests.
+def test_pushed_list_is_polled_from_startup_and_after_a_failed_call() -> None:
+    # With "Discovery": "push" the balancer never polls. Unless the proxy opens the watch, nothing reads the
+    # list, and drained backends go on getting requests.
     async def test() -> None:
         async with proxy(backends=2, list_mode="push") as p:
             first = await p.registry.requests.get()
@@ -196,21 +198,21 @@
     return driver.now - start
 
 
-class LatestChoice(Random):
+class MaxUniformRandom(Random):
     def uniform(self, a: float, b: float) -> float:
         return b
 
 
 def max_ms_until_retry(driver: Driver) -> float:
-    """The longest time in ms from a failed call to the next one, at the latest random choice."""
-    driver.balancer.polling.rng = LatestChoice(1)
+    """Return the longest time in ms from a failed call to the next one, with the largest random delay."""
+    driver.balancer.polling.rng = MaxUniformRandom(1)
     driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     return ms_until_poll(driver)
 
 
-def client_for(pushed: bool, grace_ms: float) -> DiscoveryClient:
-    wire = ProxySettings({}, {}, {}, {}, 1000.0, 1000.0, grace_ms)
-    return DiscoveryClient(ADDRESS, wire, 1, lambda _: None, lambda _: None, pushed)
+def make_client(pushed: bool, drain_grace_ms: float) -> DiscoveryClient:
+    proxy_settings = ProxySettings({}, {}, {}, {}, 1000.0, 1000.0, drain_grace_ms)
+    return DiscoveryClient(ADDRESS, proxy_settings, 1, lambda _: None, lambda _: None, pushed)
 
 
 @pytest.mark.parametrize("max_poll_interval_ms", [5_000.0, 10_000.0, 60_000.0])
@@ -218,165 +220,173 @@
     ("pushed", "proxies"),
     [(True, 1), (True, 200), (False, 1), (False, 40), (False, 200), (False, 1_000), (False, 3_400)],
 )
-def test_unresponsive_watch_is_reopened_in_time_also_if_connecting_hangs(
+def test_unresponsive_watch_is_reopened_within_6_s_even_if_connecting_hangs(
     pushed: bool, proxies: int, max_poll_interval_ms: float
 ) -> None:
-    # What it missed counts as notified 6 s after it fell silent, which may have been at the start of a call.
+    # A missed update counts as notified 6 s after the watch became unresponsive, which may be at the start of
+    # a long poll.
     config = make_settings(
         polls_discovery=not pushed, proxy_count=proxies, max_poll_interval_ms=max_poll_interval_ms
     )
     driver = Driver(config, *make_backends(2))
     if not pushed:
-        assert actions_of_type(PollDiscovery, driver.run_ticks(2_525))  # a new process polls soon, too
+        assert actions_of_type(PollDiscovery, driver.run_ticks(2_525))  # the first poll of a new process
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(make_backends(2))))
-    discovery = client_for(pushed, 300.0)
-    silent = discovery.long_poll_ms + discovery.response_timeout_ms
+    discovery = make_client(pushed, 300.0)
+    detection_ms = discovery.long_poll_ms + discovery.response_timeout_ms
     assert (
-        silent + max_ms_until_retry(driver) + discovery.opening_timeout_ms + max_ms_until_retry(driver)
+        detection_ms + max_ms_until_retry(driver) + discovery.opening_timeout_ms + max_ms_until_retry(driver)
         < 6_000
     )
 
 
 @pytest.mark.parametrize("failures", [1, 2, 3, 4, 8, 50])
 @pytest.mark.parametrize("proxies", [1, 40, 200, 1_000, 3_400])
-def test_list_is_read_within_6_s_of_the_services_return(proxies: int, failures: int) -> None:
-    # It returns just after a call that hangs has begun, and takes as long to answer the next as a call may.
+def test_list_is_read_within_6_s_after_the_service_recovers(proxies: int, failures: int) -> None:
+    # The service recovers just after a call that hangs has started, and takes the whole timeout to respond to
+    # the next call.
     driver = Driver(
         make_settings(polls_discovery=True, proxy_count=proxies, max_poll_interval_ms=10_000.0),
         *make_backends(2),
     )
-    for _ in range(failures - 1):  # refused at once
+    for _ in range(failures - 1):  # refused immediately
         ms_until_poll(driver)
         driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     ms_until_poll(driver)
-    call = client_for(False, 300.0).opening_timeout_ms
-    driver.run_ticks(call)
-    assert call + max_ms_until_retry(driver) + call < 6_000
+    call_ms = make_client(False, 300.0).opening_timeout_ms
+    driver.run_ticks(call_ms)
+    assert call_ms + max_ms_until_retry(driver) + call_ms < 6_000
 
 
 @pytest.mark.parametrize("proxies", [200, 3_400])
-def test_new_process_whose_first_call_hangs_has_the_list_within_6_s(proxies: int) -> None:
+def test_new_process_whose_first_call_hangs_gets_the_list_within_6_s(proxies: int) -> None:
     driver = Driver(
         make_settings(polls_discovery=True, proxy_count=proxies, proxy_index=proxies - 1), *make_backends(2)
     )
     assert (
-        ms_until_poll(driver) + client_for(False, 300.0).opening_timeout_ms + max_ms_until_retry(driver)
+        ms_until_poll(driver) + make_client(False, 300.0).opening_timeout_ms + max_ms_until_retry(driver)
         < 6_000
     )
 
 
-def test_all_proxies_get_the_list_from_a_service_that_answers_calls_in_turn() -> None:
-    """If each try began at the end of the queue, only the first few proxies would ever get it."""
+def test_all_proxies_get_the_list_from_a_service_that_queues_calls() -> None:
+    """If each try started at the end of the queue, only the first few proxies would ever get the list."""
     config = make_settings(polls_discovery=True, proxy_count=32)
-    ms_a_call = 250.0
-    timeout_ms = client_for(False, 300.0).opening_timeout_ms
-    drivers = [Driver(replace(config, proxy_index=me), *make_backends(2), seed=me) for me in range(32)]
+    call_duration_ms = 250.0
+    timeout_ms = make_client(False, 300.0).opening_timeout_ms
+    drivers = [
+        Driver(replace(config, proxy_index=index), *make_backends(2), seed=index) for index in range(32)
+    ]
     queue: deque[tuple[int, int]] = deque()  # index of the proxy, number of its call
     calls = Counter[int]()
-    deadlines: dict[int, float] = {}  # of the latest call of each
+    deadlines: dict[int, float] = {}  # of the latest call of each proxy
     served: set[int] = set()
     for tick in range(400):
-        for me, driver in enumerate(drivers):
-            if actions_of_type(PollDiscovery, driver.tick()) and me not in deadlines and me not in served:
-                calls[me] += 1
-                queue.append((me, calls[me]))
-                deadlines[me] = driver.now + timeout_ms
-            if deadlines.get(me, inf) <= driver.now:
-                del deadlines[me]
+        for index, driver in enumerate(drivers):
+            if (
+                actions_of_type(PollDiscovery, driver.tick())
+                and index not in deadlines
+                and index not in served
+            ):
+                calls[index] += 1
+                queue.append((index, calls[index]))
+                deadlines[index] = driver.now + timeout_ms
+            if deadlines.get(index, inf) <= driver.now:
+                del deadlines[index]
                 driver.step(BackendListUpdate(ListUpdateKind.FAILED))
-        if queue and tick % int(ms_a_call / 25) == 0:
-            me, number = queue.popleft()
-            if number > calls[me] - discovery_client_module.MAX_OPENING_CALLS and me not in served:
-                served.add(me)
-                deadlines.pop(me, None)
-                drivers[me].step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(make_backends(2))))
-    assert len(served) == 32  # within 10 s, 2 s more than the service needs for all
+        if queue and tick % int(call_duration_ms / 25) == 0:
+            index, number = queue.popleft()
+            if number > calls[index] - discovery_client_module.MAX_OPENING_CALLS and index not in served:
+                served.add(index)
+                deadlines.pop(index, None)
+                drivers[index].step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(make_backends(2))))
+    assert len(served) == 32  # within 10 s, 2 s more than the service needs for all proxies
 
 
-def test_call_that_timed_out_keeps_its_place_in_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_opening_call_stays_in_flight_after_its_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_client_module, "OPENING_TIMEOUT_MS", 50)
 
     async def test() -> None:
-        async with watching() as (recorded, service):
+        async with watching_client() as (harness, service):
             first = await service.requests.get()
-            await recorded.failures.get()
-            recorded.client.watch()
+            await harness.failures.get()
+            harness.client.watch()
             second = await service.requests.get()
-            await recorded.failures.get()
-            reply(first, listing(42))  # nobody waits for it just now
-            assert (await recorded.updates.get()).revision == 42
+            await harness.failures.get()
+            reply(first, listing(42))  # no watch waits for it
+            assert (await harness.updates.get()).revision == 42
             await second.closed.wait()
-            third = await service.requests.get()  # the watch stands, on the connection that was answered
+            third = await service.requests.get()  # the watch uses the connection with the response
             assert third.connection == first.connection and "since=42&" in third.request_line
-            assert recorded.failures.empty() and recorded.updates.empty()
+            assert harness.failures.empty() and harness.updates.empty()
 
     run(test())
 
 
-def test_opening_calls_are_limited_and_a_failed_one_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_opening_calls_are_limited_and_failed_ones_are_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_client_module, "OPENING_TIMEOUT_MS", 50)
 
     async def test() -> None:
-        async with watching() as (recorded, service):
+        async with watching_client() as (harness, service):
             calls = []
             for _ in range(4):
-                recorded.client.watch()
+                harness.client.watch()
                 calls.append(await service.requests.get())
-                await recorded.failures.get()
+                await harness.failures.get()
             await calls[0].closed.wait()
-            assert len(recorded.client.opening_calls) == discovery_client_module.MAX_OPENING_CALLS
+            assert len(harness.client.opening_calls) == discovery_client_module.MAX_OPENING_CALLS
             calls[1].respond(status=503)
             await calls[1].closed.wait()
-            assert len(recorded.client.opening_calls) == 2 and recorded.failures.empty()
-            recorded.client.opening_timeout_ms = 1e6
-            recorded.client.watch()
+            assert len(harness.client.opening_calls) == 2 and harness.failures.empty()
+            harness.client.opening_timeout_ms = 1e6
+            harness.client.watch()
             latest = await service.requests.get()
-            calls[2].respond(status=503)  # while the latest is waited for
+            calls[2].respond(status=503)  # while the watch waits for the latest call
             await calls[2].closed.wait()
-            await until(lambda: len(recorded.client.opening_calls) <= 2)
-            assert recorded.failures.empty()
+            await until(lambda: len(harness.client.opening_calls) <= 2)
+            assert harness.failures.empty()
             reply(latest, listing(42))
-            assert (await recorded.updates.get()).revision == 42
+            assert (await harness.updates.get()).revision == 42
             await calls[3].closed.wait()
 
     run(test())
 
 
-@pytest.mark.parametrize("grace_ms", [500.0, 2_500.0, 6_000.0])
-def test_pushed_list_is_read_within_the_drain_grace_of_its_return(grace_ms: float) -> None:
-    # What the service has then counts as notified at once. An open watch may have been left silent, or a
-    # call since.
-    discovery = client_for(True, grace_ms)
-    again = max_ms_until_retry(Driver(make_settings(), *make_backends(2)))
-    assert discovery.long_poll_ms + discovery.response_timeout_ms + again <= grace_ms + 50
+@pytest.mark.parametrize("drain_grace_ms", [500.0, 2_500.0, 6_000.0])
+def test_pushed_list_is_read_within_the_drain_grace_after_its_service_recovers(drain_grace_ms: float) -> None:
+    # When the service is back, its updates count as notified at once. Until then, a long poll or an opening
+    # call may have hung.
+    discovery = make_client(True, drain_grace_ms)
+    retry_delay_ms = max_ms_until_retry(Driver(make_settings(), *make_backends(2)))
+    assert discovery.long_poll_ms + discovery.response_timeout_ms + retry_delay_ms <= drain_grace_ms + 50
 
 
-def test_list_received_in_parts_is_one_update() -> None:
+def test_list_received_in_parts_is_published_as_one_update() -> None:
     async def test() -> None:
-        async with watching() as (recorded, service):
+        async with watching_client() as (harness, service):
             call = await service.requests.get()
             body = json.dumps(listing(42, target("s", ADDRESS)), indent=2).encode()
-            whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-            for place in range(0, len(whole), 40):
-                call.writer.write(whole[place : place + 40])
+            response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+            for start in range(0, len(response), 40):
+                call.writer.write(response[start : start + 40])
                 await call.writer.drain()
                 await asyncio.sleep(0)
-            assert (await recorded.updates.get()).revision == 42
+            assert (await harness.updates.get()).revision == 42
 
     run(test())
 
 
-def test_list_of_20000_fits_192_mb_and_an_endless_one_is_cut_off(
+def test_list_of_20000_backends_fits_192_mb_and_an_endless_list_is_aborted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for limit in ("RESPONSE_TIMEOUT_MS", "OPENING_TIMEOUT_MS"):  # however slow this machine is
+    for limit in ("RESPONSE_TIMEOUT_MS", "OPENING_TIMEOUT_MS"):  # however slow the machine is
         monkeypatch.setattr(discovery_client_module, limit, 60_000)
 
     async def test() -> None:
         async with proxy(memory_mb=192) as p:
-            many = [target(f"s-{number:08x}", ADDRESS) for number in range(20_000)]
+            targets = [target(f"s-{number:08x}", ADDRESS) for number in range(20_000)]
             first = await p.registry.requests.get()
-            first.respond(json.dumps(listing(2, *many)).encode())
+            first.respond(json.dumps(listing(2, *targets)).encode())
             call = await p.registry.requests.get()
             assert "?since=2&" in call.request_line and p.engine.connection_pool.active_count() == 20_000
             assert p.engine.discovery is not None
@@ -384,11 +394,11 @@
             # A list takes up to three times its bytes.
             assert discovery_client_module.PROCESS_MEMORY_MB + 3 * max_list_bytes / BYTES_PER_MB < 192
             call.writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
-            sent, piece = 0, b" " * 65_536
+            sent_bytes, chunk = 0, b" " * 65_536
             while not call.closed.is_set():
-                call.writer.write(b"10000\r\n%b\r\n" % piece)
-                sent += len(piece)
-                assert sent < max_list_bytes + 16 * BYTES_PER_MB  # with what is in flight
+                call.writer.write(b"10000\r\n%b\r\n" % chunk)
+                sent_bytes += len(chunk)
+                assert sent_bytes < max_list_bytes + 16 * BYTES_PER_MB  # with bytes in flight
                 with suppress(ConnectionError):
                     await call.writer.drain()
                 await asyncio.sleep(0)
@@ -398,105 +408,103 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", ["noise", "end"])
-def test_connection_closed_between_two_calls_is_no_failed_call(how: str) -> None:
+@pytest.mark.parametrize("cause", ["noise", "end"])
+def test_connection_closed_between_two_calls_is_not_a_failed_call(cause: str) -> None:
     async def test() -> None:
-        async with watching() as (recorded, service):
+        async with watching_client() as (harness, service):
 
-            def between(update: EndpointListUpdate) -> None:
-                recorded.updates.put_nowait(update)
-                call = recorded.client.connection
+            def close_between_calls(update: EndpointListUpdate) -> None:
+                harness.updates.put_nowait(update)
+                call = harness.client.connection
                 assert call is not None
-                if how == "noise":
+                if cause == "noise":
                     call.data_received(b"x")
                 else:
                     call.connection_lost(ConnectionResetError())
 
-            recorded.client.on_update = between
+            harness.client.on_update = close_between_calls
             reply(await service.requests.get(), listing(42))
             second = await service.requests.get()
             assert second.request_line.startswith("GET /registry/instances?since=42&")
-            assert second.connection == 2 and recorded.failures.empty()
+            assert second.connection == 2 and harness.failures.empty()
 
     run(test())
 
 
-@pytest.mark.parametrize("how", ["time is up", "moved"])
-def test_connection_abandoned_as_it_opens_is_not_left_open(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("cause", ["time is up", "moved"])
+def test_connection_abandoned_while_opening_is_closed(cause: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         service, other = await ScriptedServer().open(), await ScriptedServer().open()
-        recorded = RecordedClient(service.address)
-        connect = recorded.client._connect
-        comes_up = asyncio.Event()
+        harness = ClientHarness(service.address)
+        connect = harness.client._connect
+        connect_started = asyncio.Event()
 
-        async def late(call: DiscoveryConnection) -> None:
-            if recorded.client.address == other.address:
+        async def connect_with_delay(call: DiscoveryConnection) -> None:
+            if harness.client.address == other.address:
                 await connect(call)
                 return
-            if how == "time is up":
+            if cause == "time is up":
                 await connect(call)
                 raise TimeoutError
             task = asyncio.create_task(connect(call))
-            comes_up.set()
-            await asyncio.shield(
-                task
-            )  # what the service is moved away from, the kernel connects all the same
-
-        monkeypatch.setattr(recorded.client, "_connect", late)
-        recorded.client.watch()
-        if how == "time is up":
-            assert "TimeoutError" in await recorded.failures.get()
+            connect_started.set()
+            await asyncio.shield(task)  # the kernel completes the connection even after the move
+
+        monkeypatch.setattr(harness.client, "_connect", connect_with_delay)
+        harness.client.watch()
+        if cause == "time is up":
+            assert "TimeoutError" in await harness.failures.get()
         else:
-            await comes_up.wait()
-            assert recorded.client.set_address(other.address)
-            recorded.client.watch()
+            await connect_started.wait()
+            assert harness.client.set_address(other.address)
+            harness.client.watch()
             reply(await other.requests.get(), listing(7))
-            assert (await recorded.updates.get()).revision == 7
+            assert (await harness.updates.get()).revision == 7
         await until(lambda: service.writers)
-        await until(lambda: service.writers[0].is_closing())  # its reader has found the end
-        assert service.requests.empty() and recorded.failures.empty()
-        recorded.client.close()
+        await until(lambda: service.writers[0].is_closing())  # it has read the end of the stream
+        assert service.requests.empty() and harness.failures.empty()
+        harness.client.close()
         service.close()
         other.close()
 
     run(test())
 
 
-def test_response_of_the_old_service_in_the_turn_of_the_move_is_ignored() -> None:
+def test_response_of_the_old_service_in_the_loop_iteration_of_the_move_is_ignored() -> None:
     async def test() -> None:
         other = await ScriptedServer().open()
-        async with watching() as (recorded, service):
+        async with watching_client() as (harness, service):
             await service.requests.get()
-            call = recorded.client.connection
+            call = harness.client.connection
             assert call is not None
             body = json.dumps(listing(42, target("old", ADDRESS))).encode()
             call.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
-            assert recorded.client.set_address(other.address)  # before the watch could look at it
-            recorded.client.watch()
+            assert harness.client.set_address(other.address)  # before the watch has processed it
+            harness.client.watch()
             first = await other.requests.get()
             assert first.request_line == "GET /registry/instances HTTP/1.1"
             reply(first, listing(7))
-            assert (await recorded.updates.get()).revision == 7
-            assert recorded.updates.empty() and recorded.failures.empty()
+            assert (await harness.updates.get()).revision == 7
+            assert harness.updates.empty() and harness.failures.empty()
         other.close()
 
     run(test())
 
 
-def test_moving_twice_and_back_asks_the_last_service_for_everything() -> None:
+def test_moving_away_and_back_requests_the_whole_list() -> None:
     async def test() -> None:
         other = await ScriptedServer().open()
-        async with watching() as (recorded, service):
+        async with watching_client() as (harness, service):
             (await service.requests.get()).respond(json.dumps(listing(42)).encode())
-            await recorded.updates.get()
+            await harness.updates.get()
             old = await service.requests.get()
-            assert recorded.client.set_address(other.address) and recorded.client.set_address(service.address)
-            assert not recorded.client.set_address(service.address)
-            recorded.client.watch()
+            assert harness.client.set_address(other.address) and harness.client.set_address(service.address)
+            assert not harness.client.set_address(service.address)
+            harness.client.watch()
             await old.closed.wait()
-            again = await service.requests.get()
-            assert again.request_line == "GET /registry/instances HTTP/1.1" and again.connection == 2
-            assert other.connection_count == 0 and recorded.failures.empty()
+            new = await service.requests.get()
+            assert new.request_line == "GET /registry/instances HTTP/1.1" and new.connection == 2
+            assert other.connection_count == 0 and harness.failures.empty()
         other.close()
 
     run(test())
--- a/tests/proxy/test_endpoint_json.py
+++ b/tests/proxy/test_endpoint_json.py
@@ -1,4 +1,4 @@
-"""The cached list of the configuration, read in slices where it is long."""
+"""The cached list of the configuration; long ones are read in slices."""
 
 from __future__ import annotations
 
@@ -11,29 +11,30 @@
 from dunecove.config import read_config
 from dunecove.errors import ConfigurationError
 from tests.loopback import configuration, listing
-from tests.proxy.list_entries import entries
+from tests.proxy.list_entries import make_entries
 
 
 def test_long_cached_list_keeps_its_order_and_applies_drains(tmp_path: Path) -> None:
-    known = listing(7, *entries(900), *entries(1, 5, "leaving"), *entries(1, 900))
+    known = listing(7, *make_entries(900), *make_entries(1, 5, "leaving"), *make_entries(1, 900))
     config = configuration("127.0.0.1:9") | {"known": known}
     for indent in (None, 2):
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config, indent=indent))
         cached = read_config({"LB_CONFIG": str(path)}).cached_list
         assert cached.revision == 7 and len(cached.table) == 900 and cached.table.get("s-00000005") is None
-        assert cached.backend_ids == [e["uid"] for e in entries(901)]  # the drained one is skipped later
+        # The id of the drained backend is kept here; it is skipped when the list is fed to the balancer.
+        assert cached.backend_ids == [e["uid"] for e in make_entries(901)]
     assert len(read_config({"LB_CONFIG": str(path)}, skips_long_list=True).cached_list.backend_ids) < 200
-    bad = config | {"known": listing(7, *entries(900), {"uid": "odd"}, *entries(900, 900))}
-    path.write_text(json.dumps(bad))
+    malformed = config | {"known": listing(7, *make_entries(900), {"uid": "odd"}, *make_entries(900, 900))}
+    path.write_text(json.dumps(malformed))
     with pytest.raises(ConfigurationError, match="endpoint is missing"):
         read_config({"LB_CONFIG": str(path)})
 
 
-def test_few_objects_of_a_long_cached_list_exist_at_a_time(tmp_path: Path) -> None:
+def test_reading_a_long_cached_list_keeps_memory_bounded(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(configuration("127.0.0.1:9") | {"known": listing(7, *entries(5000))}))
-    read_config({"LB_CONFIG": str(path)})  # whatever is created once
+    path.write_text(json.dumps(configuration("127.0.0.1:9") | {"known": listing(7, *make_entries(5000))}))
+    read_config({"LB_CONFIG": str(path)})  # creates all objects that later calls reuse
     tracemalloc.start()
     config = read_config({"LB_CONFIG": str(path)})
     current, peak = tracemalloc.get_traced_memory()
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between proxies: the datagrams, and what the balancer learns from them."""
+"""Gossip between proxies: its datagrams and their effect on the balancer."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.loopback import configuration, run
 
 
-def bound() -> tuple[socket.socket, str]:
+def bind_udp_socket() -> tuple[socket.socket, str]:
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     sock.settimeout(20.0)
@@ -32,44 +32,50 @@
     return host, port
 
 
-def test_gossip_has_the_index_of_its_sender_and_strangers_are_ignored() -> None:
+def test_message_is_received_with_its_senders_index_and_unknown_senders_are_ignored() -> None:
     async def test() -> None:
-        (first, one), (second, two), (stranger, _) = bound(), bound(), bound()
-        heard: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
-        addresses = PeerAddresses("127.0.0.1:0", (one, two), one)
-        channel = GossipChannel(addresses, lambda number, data: heard.put_nowait((number, data)))
-        stranger.sendto(b"not of the tier", address_of(channel))
+        (first, first_address), (second, second_address), (unknown, _) = (
+            bind_udp_socket(),
+            bind_udp_socket(),
+            bind_udp_socket(),
+        )
+        received: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
+        addresses = PeerAddresses("127.0.0.1:0", (first_address, second_address), first_address)
+        channel = GossipChannel(addresses, lambda number, data: received.put_nowait((number, data)))
+        unknown.sendto(b"not of the tier", address_of(channel))
         first.sendto(b"x" * 257, address_of(channel))
         second.sendto(b"second", address_of(channel))
-        assert await heard.get() == (1, b"second")
+        assert await received.get() == (1, b"second")
         first.sendto(b"first", address_of(channel))
-        assert await heard.get() == (0, b"first")
-        assert heard.empty()
+        assert await received.get() == (0, b"first")
+        assert received.empty()
         channel.send(b"to all")
         assert first.recv(512) == b"to all"
         with pytest.raises(ValueError, match="too long"):
             channel.send(b"x" * 257)
         channel.close()
-        for sock in (first, second, stranger):
+        for sock in (first, second, unknown):
             sock.close()
 
     run(test())
 
 
-def with_peers(folder: Path, **more: Any) -> Config:
+def read_config_with_peers(folder: Path, **more: Any) -> Config:
     raw = configuration("127.0.0.1:1", Peers=True)
     path = folder / "config.json"
     path.write_text(json.dumps(raw | more))
     return read_config({"LB_CONFIG": str(path)})
 
 
-def test_the_program_sends_and_receives_gossip_where_the_settings_allow_it(
+def test_program_sends_and_receives_gossip_if_the_settings_allow_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
         gossip_seen = asyncio.Event()
-        other, address = bound()
-        config = with_peers(tmp_path, peer_listen="127.0.0.1:0", peers=[address], peers_all=address)
+        other, address = bind_udp_socket()
+        config = read_config_with_peers(
+            tmp_path, peer_listen="127.0.0.1:0", peers=[address], peers_all=address
+        )
         engine, listener = start(config)
         assert engine.gossip is not None
 
@@ -90,10 +96,12 @@
     run(test())
 
 
-def test_unavailable_gossip_address_leaves_the_proxy_serving(tmp_path: Path) -> None:
+def test_proxy_starts_without_gossip_if_the_gossip_address_is_unavailable(tmp_path: Path) -> None:
     async def test() -> None:
-        where = "203.0.113.1:1"
-        engine, listener = start(with_peers(tmp_path, peer_listen=where, peers=[where], peers_all=where))
+        address = "203.0.113.1:1"
+        engine, listener = start(
+            read_config_with_peers(tmp_path, peer_listen=address, peers=[address], peers_all=address)
+        )
         assert engine.gossip is None and listener.address
         engine._execute(SendGossip(b"\x01"))
         await listener.finish_shutdown(0.0)
@@ -102,14 +110,14 @@
     run(test())
 
 
-@pytest.mark.parametrize("bad", [{"peers": "x"}, {"peer_listen": "here"}, {"peers_all": 5}])
-def test_bad_addresses_of_peers_are_named(tmp_path: Path, bad: dict[str, Any]) -> None:
-    good = {"peer_listen": "127.0.0.1:1", "peers": ["127.0.0.1:1"], "peers_all": "127.0.0.1:2"}
+@pytest.mark.parametrize("invalid", [{"peers": "x"}, {"peer_listen": "here"}, {"peers_all": 5}])
+def test_invalid_peer_address_raises_a_configuration_error(tmp_path: Path, invalid: dict[str, Any]) -> None:
+    valid = {"peer_listen": "127.0.0.1:1", "peers": ["127.0.0.1:1"], "peers_all": "127.0.0.1:2"}
     with pytest.raises(ConfigurationError, match=r"peer|address"):
-        with_peers(tmp_path, **(good | bad))
+        read_config_with_peers(tmp_path, **(valid | invalid))
 
 
-def test_the_wire_of_the_simulator_carries_messages_both_ways() -> None:
+def test_simulator_wire_carries_gossip_in_both_directions() -> None:
     info = {
         "Lanes": [{"AimMs": 300, "HardLimitMs": 900, "Effect": "read_like"}],
         "Balancers": 40,
@@ -133,7 +141,7 @@
     failed = {"what": "Reply", "Call": "a", "Leg": 0, "How": "error", "DelaySeenMs": 5.0, "Finished": True}
     (notified,) = [cmd for cmd in batch(5.0, failed) if cmd["what"] == "Notify"]
     assert notified["Recipient"] == "all"
-    heard = {"what": "FromPeer", "Raw": notified["Raw"]}
-    batch(10.0, heard | {"SrcPeer": 7}, heard | {"SrcPeer": 8})
+    received = {"what": "FromPeer", "Raw": notified["Raw"]}
+    batch(10.0, received | {"SrcPeer": 7}, received | {"SrcPeer": 8})
     (backend,) = adapter.instances[0].balancer.backends.by_id.values()
     assert [by for _, by in backend.failure_reports] == [0, 7, 8]
--- a/tests/proxy/test_http_exchange.py
+++ b/tests/proxy/test_http_exchange.py
@@ -1,4 +1,4 @@
-"""How one exchange with a backend ends: responses that are complete, malformed, or broken off."""
+"""The results of exchanges with backends: complete, malformed and truncated responses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from dunecove.policy.models import AttemptResult
 from tests.loopback import reset, run, until
-from tests.proxy.pool_harness import PoolHarness, endpoint, pool_harness
+from tests.proxy.pool_harness import PoolHarness, make_endpoint, pool_harness
 
 
 @pytest.mark.parametrize(
@@ -40,15 +40,15 @@
 
 
 @asynccontextmanager
-async def half_written(harness: PoolHarness) -> AsyncIterator[socket.socket]:
-    """A backend that reads a little of a request far larger than the kernel's buffers."""
+async def partly_written_request(harness: PoolHarness) -> AsyncIterator[socket.socket]:
+    """Yield the socket of a backend that has read 10 bytes of a request larger than the kernel's buffers."""
     loop = asyncio.get_running_loop()
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
         listener.listen(1)
         listener.setblocking(False)
-        harness.update(endpoint("s", "{}:{}".format(*listener.getsockname())))
+        harness.update(make_endpoint("s", "{}:{}".format(*listener.getsockname())))
         harness.start(body=b"x" * 32_000_000)
         accepted, _ = await loop.sock_accept(listener)
         with accepted:
@@ -58,7 +58,7 @@
 
 def test_close_before_the_last_byte_fails_as_not_executed() -> None:
     async def test() -> None:
-        async with pool_harness() as (harness, _), half_written(harness) as backend:
+        async with pool_harness() as (harness, _), partly_written_request(harness) as backend:
             backend.close()
             assert await harness.result() is AttemptResult.CONNECT_FAILED
 
@@ -67,7 +67,7 @@
 
 def test_connection_with_an_early_response_is_not_reused() -> None:
     async def test() -> None:
-        async with pool_harness() as (harness, _), half_written(harness) as backend:
+        async with pool_harness() as (harness, _), partly_written_request(harness) as backend:
             response = b"HTTP/1.1 503 X\r\nx-rejected: 1\r\ncontent-length: 0\r\n\r\n"
             await asyncio.get_running_loop().sock_sendall(backend, response)
             assert await harness.result() is AttemptResult.REJECTED
@@ -130,7 +130,7 @@
     ],
 )
 def test_malformed_response_fails_at_once_and_may_have_executed(sent: bytes) -> None:
-    # The connection stays open: waiting until the attempt's deadline would leave no time for a retry.
+    # The backend leaves the connection open: waiting for the deadline would leave no time for a retry.
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
@@ -143,26 +143,26 @@
 
 
 @pytest.mark.parametrize("first", [OK, OK + b"connection: close\r\n", b"HTTP/1.0 200 OK\r\n"])
-@pytest.mark.parametrize("how", ["end", "reset", "silence"])
-def test_response_without_length_is_complete_only_at_the_end_of_the_stream(first: bytes, how: str) -> None:
+@pytest.mark.parametrize("ending", ["end", "reset", "silence"])
+def test_response_without_length_is_complete_only_at_the_end_of_the_stream(first: bytes, ending: str) -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            harness.start(timeout_ms=100.0 if how == "silence" else 30000.0)
+            harness.start(timeout_ms=100.0 if ending == "silence" else 30000.0)
             call = await backend.requests.get()
             call.writer.write(first + b"\r\nto the ")
             call.writer.write(b"end")
-            if how == "reset":
+            if ending == "reset":
                 reset(call.writer)
-            elif how == "end":
+            elif ending == "end":
                 call.writer.close()
             result, response = await harness.results.get()
-            if how == "reset":
+            if ending == "reset":
                 assert result is AttemptResult.RESET
-            elif how == "silence":
+            elif ending == "silence":
                 assert result is AttemptResult.TIMEOUT
             else:
                 assert result is AttemptResult.OK and response is not None and response.body == b"to the end"
-            assert await harness.serve_one(backend) == 2  # on another connection
+            assert await harness.serve_one(backend) == 2  # on a new connection
 
     run(test())
 
@@ -184,13 +184,13 @@
     run(test())
 
 
-def test_second_response_is_never_taken_for_that_to_the_next_request() -> None:
+def test_second_response_to_one_request_prevents_reuse_of_the_connection() -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
             call = await backend.requests.get()
-            twice = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n"
-            call.writer.write(twice + b"a" + twice + b"b")
+            head = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n"
+            call.writer.write(head + b"a" + head + b"b")
             _, response = await harness.results.get()
             assert response is not None and response.body == b"a"
             assert await harness.serve_one(backend) == 2
--- a/tests/proxy/test_incremental_json.py
+++ b/tests/proxy/test_incremental_json.py
@@ -1,4 +1,4 @@
-"""Long lists as JSON: the slices make up what decoding at once would give."""
+"""Incremental decoding of long lists, compared with decoding at once."""
 
 from __future__ import annotations
 
@@ -58,14 +58,18 @@
     assert remainder == orjson.loads(text)
 
 
-@pytest.mark.parametrize("bad", [b"", b"{", b'{"targets":[{}', b'{"targets":[{},]}', b'{"targets":[{}]]}'])
-def test_invalid_json_is_an_error(bad: bytes) -> None:
-    for text in (bad, bad.replace(b"[", b"[" + b'{"uid":"s"},' * 4000)):
+@pytest.mark.parametrize(
+    "malformed", [b"", b"{", b'{"targets":[{}', b'{"targets":[{},]}', b'{"targets":[{}]]}']
+)
+def test_invalid_json_raises_value_error(malformed: bytes) -> None:
+    for text in (malformed, malformed.replace(b"[", b"[" + b'{"uid":"s"},' * 4000)):
         with pytest.raises(ValueError):
             read(text, 1000)
 
 
-def test_invalid_entry_in_a_long_list_is_found_with_few_tries(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invalid_entry_in_a_long_list_is_detected_with_few_decoding_tries(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     tries = count()
     loads = orjson.loads
     monkeypatch.setattr(orjson, "loads", lambda text: (next(tries), loads(text))[1])
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -1,4 +1,4 @@
-"""Long endpoint lists: read in slices, published as differences, and notified to the balancer in slices."""
+"""Long endpoint lists: read in slices, published as deltas, and passed to the balancer in slices."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 from dunecove.proxy.long_list import ENDPOINTS_PER_SLICE
 from dunecove.wire.settings import ProxySettings
 from tests.loopback import Proxy, listing, proxy, run, target, until
-from tests.proxy.list_entries import entries
+from tests.proxy.list_entries import make_entries
 
 
-class RecordedClient:
-    """A client whose updates change its table, and a count of the loop's turns."""
+class ClientHarness:
+    """A client with a table that its updates change, and a count of event loop iterations."""
 
     def __init__(self) -> None:
-        wire = ProxySettings({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
+        proxy_settings = ProxySettings({}, {}, {"a": 0}, {"m": 0}, 1000.0, 1000.0)
         self.updates: list[tuple[int, EndpointListUpdate]] = []
-        self.turns = 0
-        self.client = DiscoveryClient("127.0.0.1:9", wire, 1, self.on_update, lambda _: None)
+        self.iterations = 0
+        self.client = DiscoveryClient("127.0.0.1:9", proxy_settings, 1, self.on_update, lambda _: None)
 
     def on_update(self, update: EndpointListUpdate) -> None:
-        self.updates.append((self.turns, update))
+        self.updates.append((self.iterations, update))
         for endpoint in update.endpoints:
             shard = self.client.endpoints.shard_of(endpoint.backend_id)
             shard.pop(endpoint.backend_id, None)
             if endpoint.is_active:
                 shard[endpoint.backend_id] = encode_endpoint(endpoint)
 
-    async def _count_turns(self) -> None:
+    async def _count_iterations(self) -> None:
         while True:
-            self.turns += 1
+            self.iterations += 1
             await asyncio.sleep(0)
 
     async def process(self, data: Any) -> int:
         text = json.dumps(data).encode()
-        counting = asyncio.create_task(self._count_turns())
+        counting = asyncio.create_task(self._count_iterations())
         try:
             return await self.client._process_list(
                 [text[at : at + 65536] for at in range(0, len(text), 65536)]
@@ -57,58 +57,60 @@
         return set(self.client.endpoints)
 
 
-def test_long_list_yields_to_the_loop_between_its_slices() -> None:
+def test_reading_a_long_list_yields_to_the_event_loop_between_slices() -> None:
     async def test() -> None:
-        recorded = RecordedClient()
-        assert await recorded.process(listing(2, *entries(30 * ENDPOINTS_PER_SLICE))) == 2
-        assert len(recorded.known_ids()) == 30 * ENDPOINTS_PER_SLICE
+        harness = ClientHarness()
+        assert await harness.process(listing(2, *make_entries(30 * ENDPOINTS_PER_SLICE))) == 2
+        assert len(harness.known_ids()) == 30 * ENDPOINTS_PER_SLICE
         assert (
-            recorded.turns > 2 * 20
-            and max(len(update.endpoints) for _, update in recorded.updates) < 2 * ENDPOINTS_PER_SLICE
+            harness.iterations > 2 * 20
+            and max(len(update.endpoints) for _, update in harness.updates) < 2 * ENDPOINTS_PER_SLICE
         )
-        turns = [turn for turn, _ in recorded.updates]
-        assert len(set(turns)) == len(turns) > 20  # never two slices in one turn
-        first = recorded.updates[0][1]
+        iterations = [iteration for iteration, _ in harness.updates]
+        assert len(set(iterations)) == len(iterations) > 20  # at most one slice per iteration
+        first = harness.updates[0][1]
         assert not first.is_snapshot and first.revision == 2
 
     run(test())
 
 
-def test_long_snapshot_is_published_as_its_differences() -> None:
+def test_long_snapshot_is_published_as_deltas() -> None:
     async def test() -> None:
-        recorded = RecordedClient()
-        await recorded.process(listing(2, *entries(1000)))
-        recorded.updates.clear()
-        await recorded.process(listing(3, *entries(20, 30, weight=0.5), *entries(900, 50), *entries(5, 2000)))
-        states = {t.backend_id: t.info.state for _, update in recorded.updates for t in update.endpoints}
+        harness = ClientHarness()
+        await harness.process(listing(2, *make_entries(1000)))
+        harness.updates.clear()
+        await harness.process(
+            listing(3, *make_entries(20, 30, weight=0.5), *make_entries(900, 50), *make_entries(5, 2000))
+        )
+        states = {t.backend_id: t.info.state for _, update in harness.updates for t in update.endpoints}
         removed = [one for one, state in states.items() if state is BackendState.REMOVED]
         assert len(states) == 20 + 5 + 30 + 50 and len(removed) == 30 + 50
-        assert recorded.known_ids() == {e["uid"] for e in (*entries(920, 30), *entries(5, 2000))}
-        known = recorded.client.endpoints.get("s-00000020")
+        assert harness.known_ids() == {e["uid"] for e in (*make_entries(920, 30), *make_entries(5, 2000))}
+        known = harness.client.endpoints.get("s-00000020")
         assert known is not None and decode_endpoint("s", known).info.weight == 0.5
-        recorded.updates.clear()
-        await recorded.process(listing(4, whole=False))
-        # A list without a change is an update, too.
-        assert [update for _, update in recorded.updates] == [EndpointListUpdate(4, False, ())]
+        harness.updates.clear()
+        await harness.process(listing(4, whole=False))
+        # A list without changes is published, too.
+        assert [update for _, update in harness.updates] == [EndpointListUpdate(4, False, ())]
 
     run(test())
 
 
 def test_only_the_drains_of_a_malformed_long_list_take_effect() -> None:
     async def test() -> None:
-        recorded = RecordedClient()
-        await recorded.process(listing(2, *entries(2000)))
-        before = recorded.known_ids()
-        recorded.updates.clear()
-        bad = [*entries(1, 7, "leaving"), *entries(1500, 1000), {"uid": "odd"}]
+        harness = ClientHarness()
+        await harness.process(listing(2, *make_entries(2000)))
+        before = harness.known_ids()
+        harness.updates.clear()
+        malformed = [*make_entries(1, 7, "leaving"), *make_entries(1500, 1000), {"uid": "odd"}]
         with pytest.raises(MalformedListError):
-            await recorded.process(listing(3, *bad))
-        assert recorded.known_ids() == before - {"s-00000007"}
-        # The revision is that of before, so that the list is asked for again.
-        assert [update.revision for _, update in recorded.updates] == [1]
-        assert recorded.updates[0][0] < recorded.turns - 5  # long before the malformed entry was read
+            await harness.process(listing(3, *malformed))
+        assert harness.known_ids() == before - {"s-00000007"}
+        # The revision is unchanged, so that the list is requested again.
+        assert [update.revision for _, update in harness.updates] == [1]
+        assert harness.updates[0][0] < harness.iterations - 5  # long before the malformed entry was read
         with pytest.raises(MalformedListError):
-            await recorded.process({"rev": 3, "targets": entries(900)})
+            await harness.process({"rev": 3, "targets": make_entries(900)})
 
     run(test())
 
@@ -122,7 +124,9 @@
         async with proxy() as p:
             own = target("s0", p.backends[0].address)
             client = await p.client()
-            (await p.registry.requests.get()).respond(json.dumps(listing(2, own, *entries(3000))).encode())
+            (await p.registry.requests.get()).respond(
+                json.dumps(listing(2, own, *make_entries(3000))).encode()
+            )
             served = 0
             while p.engine.balancer.backends.listed_count != 3001:
                 assert (await client.exchange("/health/ready", "GET")).status == 200
@@ -138,106 +142,109 @@
     run(test())
 
 
-def test_list_of_megabytes_is_received_in_slices() -> None:
+def test_list_of_several_megabytes_is_received_in_slices() -> None:
     async def test() -> None:
         async with proxy(settings={}) as p:
             p.engine.discovery.max_list_bytes = 2**25  # type: ignore[union-attr]
             call = await p.registry.requests.get()
-            body = json.dumps(listing(2, *entries(2)) | {"pad": "x" * 5 * 2**20}).encode()
+            body = json.dumps(listing(2, *make_entries(2)) | {"pad": "x" * 5 * 2**20}).encode()
             call.respond(body)
             await until_listed(p, 2)
 
     run(test())
 
 
-def test_longest_list_follows_from_the_memory_limit() -> None:
-    wire = ProxySettings({}, {}, {}, {}, 1000.0, 1000.0)
+def test_maximum_list_size_follows_from_the_memory_limit() -> None:
+    proxy_settings = ProxySettings({}, {}, {}, {}, 1000.0, 1000.0)
     limits = [
-        DiscoveryClient("127.0.0.1:9", wire, 1, lambda _: None, lambda _: None, memory_mb=mb).max_list_bytes
+        DiscoveryClient(
+            "127.0.0.1:9", proxy_settings, 1, lambda _: None, lambda _: None, memory_mb=mb
+        ).max_list_bytes
         for mb in (16.0, 192.0)
     ]
     assert limits[0] == 2**20 > LONG_LIST_BYTES and limits[1] > 150_000 * 170
 
 
-def endpoints(n: int, first: int = 0, state: BackendState = BackendState.ACTIVE) -> tuple[Endpoint, ...]:
-    """Endpoints at which nothing listens."""
+def make_endpoints(n: int, first: int = 0, state: BackendState = BackendState.ACTIVE) -> tuple[Endpoint, ...]:
+    """Return endpoints on which nothing listens."""
     return tuple(
         Endpoint(f"s-{i:08x}", f"127.1.{i // 250 % 250}.{i % 250}", 9, BackendInfo(f"s-{i:08x}", state))
         for i in range(first, first + n)
     )
 
 
-def names(p: Proxy) -> set[str]:
+def ids(p: Proxy) -> set[str]:
+    """Return the ids of the backends that the balancer knows."""
     backends = p.engine.balancer.backends
     return {*(s.id for s in backends.active), *backends.unsubscribed.first(maxsize)}
 
 
-async def turns_until_notified(p: Proxy) -> int:
-    """Turns of the loop until the balancer has been notified of the whole list."""
-    turns = 0
+async def iterate_until_notified(p: Proxy) -> int:
+    """Run the event loop until the balancer has the whole list; return the number of iterations."""
+    iterations = 0
     while p.engine._next_step is not None or not p.engine.cached_list_feed.is_done:
-        turns += 1
+        iterations += 1
         await asyncio.sleep(0)
-    return turns
+    return iterations
 
 
-def test_long_list_opens_no_pools_and_reaches_the_balancer_in_slices() -> None:
+def test_long_cached_list_creates_no_pools_and_reaches_the_balancer_in_slices() -> None:
     async def test() -> None:
         async with proxy() as p:
             p.engine.on_list(
-                EndpointListUpdate(2, True, endpoints(10 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
+                EndpointListUpdate(2, True, make_endpoints(10 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             assert (
                 not p.engine.connection_pool.connections_by_backend
                 and p.engine.connection_pool.active_count() == 10 * ENDPOINTS_PER_SLICE
             )
-            assert await turns_until_notified(p) >= 10
-            assert p.engine.balancer.backends.listed_count == 10 * ENDPOINTS_PER_SLICE and names(p) == set(
+            assert await iterate_until_notified(p) >= 10
+            assert p.engine.balancer.backends.listed_count == 10 * ENDPOINTS_PER_SLICE and ids(p) == set(
                 p.engine.connection_pool.endpoints
             )
 
     run(test())
 
 
-def test_update_takes_effect_while_a_long_list_is_being_notified() -> None:
+def test_update_takes_effect_while_a_long_cached_list_is_being_fed_to_the_balancer() -> None:
     async def test() -> None:
         async with proxy() as p:
             p.engine.on_list(
-                EndpointListUpdate(2, True, endpoints(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
+                EndpointListUpdate(2, True, make_endpoints(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
-            last = endpoints(1, 5 * ENDPOINTS_PER_SLICE - 1, BackendState.DRAINING)
-            p.engine.on_list(EndpointListUpdate(3, False, (*last, *endpoints(1, 9999))))
+            last = make_endpoints(1, 5 * ENDPOINTS_PER_SLICE - 1, BackendState.DRAINING)
+            p.engine.on_list(EndpointListUpdate(3, False, (*last, *make_endpoints(1, 9999))))
             assert p.engine.connection_pool.active_count() == 5 * ENDPOINTS_PER_SLICE
-            await turns_until_notified(p)
-            assert names(p) == set(p.engine.connection_pool.endpoints) and last[0].backend_id not in names(p)
+            await iterate_until_notified(p)
+            assert ids(p) == set(p.engine.connection_pool.endpoints) and last[0].backend_id not in ids(p)
 
     run(test())
 
 
-def broken_step(now: float, events: list[Event]) -> list[Action]:
+def failing_step(now: float, events: list[Event]) -> list[Action]:
     raise ZeroDivisionError
 
 
-def test_new_balancer_is_notified_of_the_whole_long_list() -> None:
+def test_replaced_balancer_is_notified_of_the_whole_long_cached_list() -> None:
     async def test() -> None:
         async with proxy() as p:
             p.engine.on_list(
-                EndpointListUpdate(2, True, endpoints(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
+                EndpointListUpdate(2, True, make_endpoints(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             await asyncio.sleep(0)
             old = p.engine.balancer
-            p.engine.balancer.step = broken_step  # type: ignore[method-assign]
-            p.engine._raise_event(TimerFired(0))  # while the old one is still being notified
+            p.engine.balancer.step = failing_step  # type: ignore[method-assign]
+            p.engine._raise_event(TimerFired(0))  # while the old balancer is still being notified
             await until(lambda: p.engine.balancer is not old)
-            await turns_until_notified(p)
-            assert p.engine.balancer.backends.listed_count == 5 * ENDPOINTS_PER_SLICE and names(p) == set(
+            await iterate_until_notified(p)
+            assert p.engine.balancer.backends.listed_count == 5 * ENDPOINTS_PER_SLICE and ids(p) == set(
                 p.engine.connection_pool.endpoints
             )
 
     run(test())
 
 
-def test_empty_pools_are_forgotten() -> None:
+def test_empty_pools_are_removed() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -245,7 +252,7 @@
             (await p.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
             p.engine.connection_pool._close_expired()
-            assert set(p.engine.connection_pool.connections_by_backend) == {"s0"}  # its connection is kept
+            assert set(p.engine.connection_pool.connections_by_backend) == {"s0"}  # it has an idle connection
             p.engine.connection_pool.connections_by_backend["s0"].close_idle()
             await until(lambda: not p.engine.connection_pool.connections)
             p.engine.connection_pool._close_expired()
