--- a/dunecove/proxy/incremental_json.py
+++ b/dunecove/proxy/incremental_json.py
@@ -14,8 +14,8 @@
 SLICE_BYTES = 16 * 1024  # JSON text decoded at once, about 100 entries
 FILE_READ_BYTES = 64 * 1024
 MAX_PREFIX_BYTES = 1024 * 1024  # a document whose array starts later is decoded at once
-# Positions tried one after another as the end of a slice: some are inside an entry that holds objects. Each
-# further position is twice as far away, so that the number of tries grows with the logarithm of the size.
+# Consecutive positions tried as the end of a slice: some are inside an entry that holds objects. After these,
+# the distance doubles with each try, so that the number of tries grows with the logarithm of the size.
 MAX_CONSECUTIVE_CUTS = 16
 ARRAY_MEMBER = "targets"
 _ARRAY_START = re.compile(rb'"targets"\s*:\s*\[')
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -154,7 +154,7 @@
     run(test())
 
 
-def test_malformed_list_leaves_the_list_unchanged_until_the_next_snapshot() -> None:
+def test_malformed_list_leaves_the_endpoints_unchanged_until_the_next_snapshot() -> None:
     async def test() -> None:
         async with proxy(backends=2) as p:
             malformed = await p.registry.requests.get()
@@ -303,7 +303,7 @@
     assert len(served) == 32  # within 10 s, 2 s more than the service needs for all proxies
 
 
-def test_opening_call_stays_in_flight_after_its_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_to_an_opening_call_is_used_after_its_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_client_module, "OPENING_TIMEOUT_MS", 50)
 
     async def test() -> None:
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -74,7 +74,7 @@
     run(test())
 
 
-def test_long_snapshot_is_published_as_deltas() -> None:
+def test_only_the_changes_of_a_long_snapshot_are_published() -> None:
     async def test() -> None:
         harness = ClientHarness()
         await harness.process(listing(2, *make_entries(1000)))
