--- a/dunecove/proxy/discovery_client.py
+++ b/dunecove/proxy/discovery_client.py
@@ -84,7 +84,7 @@
     ) -> None:
         """Create a client of the service at `address`; without a `revision` it requests the whole list.
 
-        `on_failure` is called with the reason as a text for the log. `pushed` tells that the service is an
+        `on_failure` is called with the reason as a text for the log. `pushed` means that the service is an
         agent on this machine to which the list is pushed. `endpoints` is the table that `on_update` keeps up
         to date.
         """
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -347,15 +347,15 @@
     run(test())
 
 
-@pytest.mark.parametrize("change", ["drains", "leaves", "is gone", "restarts", "moves"])
+@pytest.mark.parametrize("change", ["drains", "is removed", "is absent", "restarts", "moves"])
 def test_idle_connections_close_when_their_backend_drains_ends_or_moves(change: str) -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             other = await ScriptedServer().open()
             updates = {
                 "drains": [make_endpoint("s", backend.address, BackendState.DRAINING)],
-                "leaves": [make_endpoint("s", backend.address, BackendState.REMOVED)],
-                "is gone": [],
+                "is removed": [make_endpoint("s", backend.address, BackendState.REMOVED)],
+                "is absent": [],
                 "restarts": [make_endpoint("s", backend.address, started=5.0)],
                 "moves": [make_endpoint("s", other.address)],
             }
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -50,8 +50,8 @@
         service.close()
 
 
-def reply(call: ReceivedRequest, what: Any) -> None:
-    call.respond(json.dumps(what).encode())
+def reply(call: ReceivedRequest, data: Any) -> None:
+    call.respond(json.dumps(data).encode())
 
 
 def test_polls_follow_back_to_back_on_one_connection() -> None:
@@ -112,9 +112,9 @@
     run(test())
 
 
-@pytest.mark.parametrize("cause", ["503", "reset", "refused", "silent"])
+@pytest.mark.parametrize("cause", ["503", "reset", "refused", "timeout"])
 def test_each_failed_call_is_reported_once(cause: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    if cause == "silent":
+    if cause == "timeout":
         monkeypatch.setattr(discovery_client_module, "OPENING_TIMEOUT_MS", 50)
         monkeypatch.setattr(discovery_client_module, "MAX_OPENING_CALLS", 1)
 
@@ -408,7 +408,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("cause", ["noise", "end"])
+@pytest.mark.parametrize("cause", ["unsolicited bytes", "end"])
 def test_connection_closed_between_two_calls_is_not_a_failed_call(cause: str) -> None:
     async def test() -> None:
         async with watching_client() as (harness, service):
@@ -417,7 +417,7 @@
                 harness.updates.put_nowait(update)
                 call = harness.client.connection
                 assert call is not None
-                if cause == "noise":
+                if cause == "unsolicited bytes":
                     call.data_received(b"x")
                 else:
                     call.connection_lost(ConnectionResetError())
@@ -431,7 +431,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("cause", ["time is up", "moved"])
+@pytest.mark.parametrize("cause", ["timeout", "moved"])
 def test_connection_abandoned_while_opening_is_closed(cause: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         service, other = await ScriptedServer().open(), await ScriptedServer().open()
@@ -443,7 +443,7 @@
             if harness.client.address == other.address:
                 await connect(call)
                 return
-            if cause == "time is up":
+            if cause == "timeout":
                 await connect(call)
                 raise TimeoutError
             task = asyncio.create_task(connect(call))
@@ -452,7 +452,7 @@
 
         monkeypatch.setattr(harness.client, "_connect", connect_with_delay)
         harness.client.watch()
-        if cause == "time is up":
+        if cause == "timeout":
             assert "TimeoutError" in await harness.failures.get()
         else:
             await connect_started.wait()
--- a/tests/proxy/test_http_exchange.py
+++ b/tests/proxy/test_http_exchange.py
@@ -143,11 +143,11 @@
 
 
 @pytest.mark.parametrize("first", [OK, OK + b"connection: close\r\n", b"HTTP/1.0 200 OK\r\n"])
-@pytest.mark.parametrize("ending", ["end", "reset", "silence"])
+@pytest.mark.parametrize("ending", ["end", "reset", "timeout"])
 def test_response_without_length_is_complete_only_at_the_end_of_the_stream(first: bytes, ending: str) -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            harness.start(timeout_ms=100.0 if ending == "silence" else 30000.0)
+            harness.start(timeout_ms=100.0 if ending == "timeout" else 30000.0)
             call = await backend.requests.get()
             call.writer.write(first + b"\r\nto the ")
             call.writer.write(b"end")
@@ -158,7 +158,7 @@
             result, response = await harness.results.get()
             if ending == "reset":
                 assert result is AttemptResult.RESET
-            elif ending == "silence":
+            elif ending == "timeout":
                 assert result is AttemptResult.TIMEOUT
             else:
                 assert result is AttemptResult.OK and response is not None and response.body == b"to the end"
