--- a/dunecove/adapter.py
+++ b/dunecove/adapter.py
@@ -12,7 +12,7 @@
 from dunecove.policy.events import Event
 from dunecove.wire.fields import JsonObject, as_array, as_integer, as_number, as_object, required
 from dunecove.wire.settings import read_settings
-from dunecove.wire.simulator import read_event, write_action, write_fault
+from dunecove.wire.simulator import read_event, write_action, write_exception
 
 EXIT_MALFORMED = 2
 
@@ -70,7 +70,7 @@
         try:
             actions = self.instances[index].balancer.step(now_ms, events)
         except Exception as error:  # whatever broke in the balancer, the simulator is told and stops
-            return [write_fault(error, index)]
+            return [write_exception(error, index)]
         return [write_action(action, index) for action in actions]
 
 
--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -108,7 +108,7 @@
             self._actions += self.pinned_retries.dispatch(now)
         self._actions += self._dispatcher.dispatch(now)
         self._expire(now)
-        if self._outliers.to_gossip:
+        if self._outliers.backends_to_report:
             self._actions.append(self._outliers.take_gossip())
         return self._actions
 
@@ -253,7 +253,7 @@
         self._expire(now)  # before dispatch too, so that ended backoffs are sent in this step
         cold = self.backends.cold_subset
         self._slow_start_budget.refill(now, cold, self.backends.proxies_per_backend() if cold else 1.0)
-        if self.polling.take_due(now):
+        if self.polling.start_poll_if_due(now):
             self._actions.append(PollDiscovery())
         if now - self._slow_tick_at >= SLOW_TICK_MS:
             self._on_slow_tick(now)
--- a/dunecove/policy/discovery_polling.py
+++ b/dunecove/policy/discovery_polling.py
@@ -52,7 +52,7 @@
         turn = settings.proxy_index % proxy_count + self.rng.random()
         self._poll_at = now + span_ms * turn / proxy_count
 
-    def take_due(self, now: float) -> bool:
+    def start_poll_if_due(self, now: float) -> bool:
         """Whether to poll now; the next poll is then made even if nothing is heard of this one."""
         if self._poll_at is None or now < self._poll_at:
             return False
--- a/dunecove/policy/list_updates.py
+++ b/dunecove/policy/list_updates.py
@@ -34,7 +34,7 @@
         """Apply an update that has not failed."""
         backends = self._backends
         is_cached = update.kind in CACHED_KINDS
-        clock_was_right = self._slow_start.clock_is_right
+        clock_was_right = self._slow_start.is_clock_plausible
         previous = backends.unsubscribed
         if update.kind not in _PARTIAL_KINDS:
             for name in backends.begin_snapshot({entry.backend_id for entry in update.entries}):
@@ -42,7 +42,7 @@
         for entry in update.entries:
             self._record_start(now, entry, previous, is_cached)
             backends.apply_entry(now, entry)
-        if is_cached or not self._has_heard_discovery or self._slow_start.clock_is_right != clock_was_right:
+        if is_cached or not self._has_heard_discovery or self._slow_start.is_clock_plausible != clock_was_right:
             self._update_cold(now)
         self._has_heard_discovery = self._has_heard_discovery or not is_cached
         backends.refresh_active()
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -47,7 +47,7 @@
         self._rng = rng
         self._backends = backends
         self._is_sparse = settings.is_sparse_tier
-        self.to_gossip: list[Backend] = []  # seen to fail in this step
+        self.backends_to_report: list[Backend] = []  # seen to fail in this step
 
     def record_success(self, now: float, backend: Backend) -> None:
         """Learn that a backend responded."""
@@ -63,7 +63,7 @@
             self._report(now, backend, self._settings.proxy_index)
             if now - backend.last_reported_at >= GOSSIP_INTERVAL_MS:
                 backend.last_reported_at = now
-                self.to_gossip.append(backend)
+                self.backends_to_report.append(backend)
         # A timeout may show load alone, in which all share.
         is_bad = self._is_sparse and result is not AttemptResult.TIMEOUT and self._is_outlier(backend)
         fails_in_a_row = backend.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
@@ -86,8 +86,8 @@
 
     def take_gossip(self) -> SendGossip:
         """Return the message on the backends that have just failed, and forget them."""
-        named = self.to_gossip[:MAX_GOSSIP_BACKENDS]
-        self.to_gossip = []
+        named = self.backends_to_report[:MAX_GOSSIP_BACKENDS]
+        self.backends_to_report = []
         hashes = b"".join(backend.name_hash.to_bytes(HASH_BYTES, "big") for backend in named)
         return SendGossip(GOSSIP_PREFIX + hashes)
 
--- a/dunecove/policy/slow_start.py
+++ b/dunecove/policy/slow_start.py
@@ -18,21 +18,21 @@
     """The cold backends, each with the time at which it is warm."""
 
     def __init__(self, slow_start_ms: float) -> None:
-        self.clock_is_right = False  # a start was heard of that was neither in the future nor long past
+        self.is_clock_plausible = False  # a start was heard of that was neither in the future nor long past
         self._slow_start_ms = slow_start_ms
-        self._warm_at: dict[str, float] = {}
+        self._cold_until: dict[str, float] = {}
         # Starts in the first lists that by this proxy's clock are long past or in the future. The newest one
         # is in the past for sure, so the others have a least age.
         self._unproven_starts: dict[str, float] = {}
         self._newest_start = -inf
         self._newest_heard_at = 0.0
 
-    def warm_at(self, backend_id: str) -> float:
+    def cold_until(self, backend_id: str) -> float:
         """Return when a backend is warm; 0 for one that is not known to be cold."""
         started_at = self._unproven_starts.get(backend_id)
         if started_at is None:
-            return self._warm_at.get(backend_id, 0.0)
-        if self.clock_is_right and started_at <= self._newest_heard_at:
+            return self._cold_until.get(backend_id, 0.0)
+        if self.is_clock_plausible and started_at <= self._newest_heard_at:
             return 0.0  # long past by a clock that can be believed
         return self._newest_heard_at + self._slow_start_ms - (self._newest_start - started_at)
 
@@ -42,8 +42,8 @@
         if started_at is None or self._slow_start_ms <= 0:
             return
         plausible = now - min(MAX_UPDATE_DELAY_MS, self._slow_start_ms) <= started_at <= now
-        self.clock_is_right = self.clock_is_right or plausible
-        self._warm_at[backend_id] = (started_at if plausible else now) + self._slow_start_ms
+        self.is_clock_plausible = self.is_clock_plausible or plausible
+        self._cold_until[backend_id] = (started_at if plausible else now) + self._slow_start_ms
 
     def record_first_update(self, now: float, backend_id: str, started_at: float | None) -> None:
         """Record a start from the first update of discovery, that the cached list did not have.
@@ -61,8 +61,8 @@
         if started_at is None or self._slow_start_ms <= 0:
             return
         if now - self._slow_start_ms < started_at <= now:
-            self.clock_is_right = True
-            self._warm_at[backend_id] = started_at + self._slow_start_ms
+            self.is_clock_plausible = True
+            self._cold_until[backend_id] = started_at + self._slow_start_ms
             return
         self._unproven_starts[backend_id] = started_at
         if started_at > self._newest_start:
@@ -71,11 +71,11 @@
 
     def forget(self, backend_id: str) -> None:
         """Drop a backend that is warm or was removed."""
-        self._warm_at.pop(backend_id, None)
+        self._cold_until.pop(backend_id, None)
         self._unproven_starts.pop(backend_id, None)
 
     def prune(self, now: float) -> None:
         """Drop the backends that are warm by now."""
-        known = [*self._warm_at, *self._unproven_starts]
-        for backend_id in [backend_id for backend_id in known if self.warm_at(backend_id) <= now]:
+        known = [*self._cold_until, *self._unproven_starts]
+        for backend_id in [backend_id for backend_id in known if self.cold_until(backend_id) <= now]:
             self.forget(backend_id)
--- a/dunecove/policy/slow_start_budget.py
+++ b/dunecove/policy/slow_start_budget.py
@@ -34,7 +34,7 @@
     def update(self, now: float, backend: Backend) -> None:
         """Update until when a backend is cold; one that has just turned cold gets a small budget."""
         was_cold = backend.cold_until > now
-        backend.cold_until = self._slow_start.warm_at(backend.id)
+        backend.cold_until = self._slow_start.cold_until(backend.id)
         if backend.cold_until <= now or was_cold:
             return
         backend.limit = min(1.0, backend.limit)
--- a/dunecove/wire/simulator.py
+++ b/dunecove/wire/simulator.py
@@ -174,7 +174,7 @@
     return message
 
 
-def write_fault(error: Exception, instance: int) -> JsonObject:
+def write_exception(error: Exception, instance: int) -> JsonObject:
     """Return the message that an instance's balancer raised an exception."""
     return {"what": "GiveIn", "ProxyId": instance, "Msg": f"{type(error).__name__}: {error}"}
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -180,7 +180,7 @@
     """By such a date it would be warm, or not have started: the start is taken to be now."""
     now, slow_start = 100_000.0, SlowStart(6_000.0)
     slow_start.record_restart(now, "s", now + clock_off_ms)
-    assert slow_start.warm_at("s") == now + end
+    assert slow_start.cold_until("s") == now + end
 
 
 @pytest.mark.parametrize("clock_off_ms", [-HOUR_MS, HOUR_MS])
