--- a/dunecove/policy/list_updates.py
+++ b/dunecove/policy/list_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list: whose start is new, and what each update replaces."""
+"""Updates of the endpoint list: which entries an update replaces, and which backends have restarted."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ListUpdates:
-    """Applies updates to the backends. Times are in ms."""
+    """Applies updates of the endpoint list to the backends. Times are in ms."""
 
     def __init__(
         self,
@@ -28,13 +28,13 @@
         self._slow_start = slow_start
         self._slow_start_budget = slow_start_budget
         self._in_flight = in_flight
-        self._has_heard_discovery = False  # since this process began
+        self._has_discovery_list = False  # whether an update has come from discovery
 
     def apply(self, now: float, update: BackendListUpdate) -> None:
-        """Apply an update that has not failed."""
+        """Apply an update of any kind but FAILED."""
         backends = self._backends
         is_cached = update.kind in CACHED_KINDS
-        clock_was_right = self._slow_start.is_clock_plausible
+        was_clock_plausible = self._slow_start.is_clock_plausible
         previous = backends.unsubscribed
         if update.kind not in _PARTIAL_KINDS:
             for name in backends.begin_snapshot({entry.backend_id for entry in update.entries}):
@@ -42,23 +42,34 @@
         for entry in update.entries:
             self._record_start(now, entry, previous, is_cached)
             backends.apply_entry(now, entry)
-        if is_cached or not self._has_heard_discovery or self._slow_start.is_clock_plausible != clock_was_right:
+        if (
+            is_cached
+            or not self._has_discovery_list
+            or self._slow_start.is_clock_plausible != was_clock_plausible
+        ):
             self._update_cold(now)
-        self._has_heard_discovery = self._has_heard_discovery or not is_cached
+        self._has_discovery_list = self._has_discovery_list or not is_cached
         backends.refresh_active()
         if not backends.subset or update.kind is ListUpdateKind.CACHED_CONTINUED:
             self._in_flight.reset(backends.listed_count)
         backends.choose_subset(now)
 
     def _update_cold(self, now: float) -> None:
-        """Dates of starts are judged by one another and by the clock: what is now known may change them."""
+        """Update which backends are cold.
+
+        Start times are judged by one another and by the clock, so an update may also change the state of
+        backends that it does not contain.
+        """
         for backend in [b for b in self._backends.by_id.values() if b.started_at is not None]:
             self._slow_start_budget.update(now, backend)
 
     def _record_start(
         self, now: float, entry: BackendInfo, previous: UnsubscribedBackends, is_cached: bool
     ) -> None:
-        """Record a start that this process had not heard of; `previous`: unsubscribed before the update."""
+        """Record the start of a backend if it is new to this process.
+
+        `previous` contains the backends that were unsubscribed before the update.
+        """
         if entry.state is BackendState.REMOVED:
             self._slow_start.forget(entry.backend_id)
             return
@@ -67,7 +78,7 @@
             return
         if is_cached:
             self._slow_start.record_cached(now, entry.backend_id, entry.started_at)
-        elif self._has_heard_discovery:
+        elif self._has_discovery_list:
             self._slow_start.record_restart(now, entry.backend_id, entry.started_at)
         else:
             self._slow_start.record_first_update(now, entry.backend_id, entry.started_at)
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: backends that fail far more than others are ejected for a while.
+"""Outlier detection: backends that fail far more often than others are ejected for a while.
 
-A sparse proxy meets a backend too seldom to judge it, so proxies gossip failure reports. Three in a second
-from two proxies eject it: one proxy may itself be cut off.
+A sparse proxy sends too few requests to a backend to judge it alone, so proxies gossip failure reports. Three
+reports within a second from at least two proxies eject the backend; a single proxy may itself be cut off.
 """
 
 from __future__ import annotations
@@ -23,56 +23,58 @@
 from dunecove.policy.settings import Settings
 from dunecove.policy.subsetting import BackendSet
 
-EJECTION_JITTER = (0.75, 1.25)  # times the ejection
-OUTLIER_PAYOFF = 0.5  # part of the usual payoff up to which a backend is an outlier
-SPARSE_OUTLIER_PAYOFF = 0.6  # the same for a sparse proxy
+EJECTION_JITTER = (0.75, 1.25)  # range of the random factor on the duration of an ejection
+OUTLIER_PAYOFF_FRACTION = 0.5  # of the mean payoff of the subset, up to which a backend is an outlier
+SPARSE_OUTLIER_PAYOFF_FRACTION = 0.6  # the same for a sparse proxy
 
 REPORT_WINDOW_MS = 1000.0
-MIN_REPORTS = 3  # within the window
-MIN_REPORTERS = 2  # proxies they come from
-MAX_KEPT_REPORTS = 60
-GOSSIP_INTERVAL_MS = 100.0  # between two reports of one backend: more often says nothing more
-# Times the ejection after reports: all eject it in the same moment, and must not all return so.
+MIN_REPORTS = 3  # within the window, to eject a backend
+MIN_REPORTERS = 2  # number of proxies that sent these reports
+MAX_KEPT_REPORTS = 60  # per backend
+GOSSIP_INTERVAL_MS = 100.0  # between two reports of one backend; more frequent ones carry no more information
+# Range of the random factor on the duration of an ejection caused by reports: all proxies eject the backend
+# at the same moment, but must not all send requests to it again at the same moment.
 REPORTED_JITTER = (1.0, 3.0)
-GOSSIP_PREFIX = b"\x01"  # first byte of a message that names backends seen to fail
-HASH_BYTES = 4  # of each name
+GOSSIP_PREFIX = b"\x01"  # first byte of a message with failure reports
+HASH_BYTES = 4  # per backend name
 MAX_GOSSIP_BACKENDS = 60  # in one message of at most 256 bytes
 
 
 class OutlierDetector:
-    """Ejects backends by their own failures and by reports. Times are in ms."""
+    """Ejects backends after failures that this proxy observed or that others reported. Times are in ms."""
 
     def __init__(self, settings: Settings, rng: Random, backends: BackendSet) -> None:
         self._settings = settings
         self._rng = rng
         self._backends = backends
         self._is_sparse = settings.is_sparse_tier
-        self.backends_to_report: list[Backend] = []  # seen to fail in this step
+        self.backends_to_report: list[Backend] = []  # failed in this step
 
     def record_success(self, now: float, backend: Backend) -> None:
-        """Learn that a backend responded."""
+        """Record that a backend responded."""
         backend.consecutive_failures = 0
         if backend.next_ejection_ms > MIN_EJECTION_MS and not self._is_suspect(now, backend):
             backend.next_ejection_ms = MIN_EJECTION_MS
 
     def record_failure(self, now: float, backend: Backend, result: AttemptResult) -> BackendEjected | None:
-        """Learn that a backend failed; return what to log if it is ejected."""
+        """Record that a backend failed; return the action that logs the ejection if it is ejected."""
         backend.consecutive_failures += 1
-        # Seldom met, a backend that fails every other request seldom fails three in a row.
+        # A sparse proxy sends few requests to a backend. Even if every other one fails, three failures in a row
+        # are rare, so they are not the only criterion.
         if self._is_sparse and self._settings.may_gossip and result in BACKEND_FAULTS:
             self._report(now, backend, self._settings.proxy_index)
             if now - backend.last_reported_at >= GOSSIP_INTERVAL_MS:
                 backend.last_reported_at = now
                 self.backends_to_report.append(backend)
-        # A timeout may show load alone, in which all share.
-        is_bad = self._is_sparse and result is not AttemptResult.TIMEOUT and self._is_outlier(backend)
-        fails_in_a_row = backend.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
-        if (is_bad or fails_in_a_row) and backend.ejected_until <= now:
+        # A timeout may be caused by load, which affects all backends alike.
+        fails_often = self._is_sparse and result is not AttemptResult.TIMEOUT and self._is_outlier(backend)
+        fails_repeatedly = backend.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+        if (fails_often or fails_repeatedly) and backend.ejected_until <= now:
             return self._eject_outlier(now, backend)
         return None
 
     def on_gossip(self, now: float, event: GossipReceived) -> None:
-        """Record another proxy's reports; messages of another kind, as of a later release, are ignored."""
+        """Record another proxy's reports; unknown messages, as of a later release, are ignored."""
         if not self._is_sparse or event.sender_index == self._settings.proxy_index:
             return
         if not event.payload.startswith(GOSSIP_PREFIX):
@@ -80,19 +82,22 @@
         last_start = len(event.payload) - HASH_BYTES
         for start in range(len(GOSSIP_PREFIX), last_start + 1, HASH_BYTES):
             name_hash = int.from_bytes(event.payload[start : start + HASH_BYTES], "big")
-            alike = self._backends.find_by_hash(name_hash)
-            if alike:
-                self._report(now, alike[-1], event.sender_index)
+            same_hash = self._backends.find_by_hash(name_hash)
+            if same_hash:
+                self._report(now, same_hash[-1], event.sender_index)
 
     def take_gossip(self) -> SendGossip:
-        """Return the message on the backends that have just failed, and forget them."""
-        named = self.backends_to_report[:MAX_GOSSIP_BACKENDS]
+        """Return the message that reports the backends that failed in this step, and clear them."""
+        reported = self.backends_to_report[:MAX_GOSSIP_BACKENDS]
         self.backends_to_report = []
-        hashes = b"".join(backend.name_hash.to_bytes(HASH_BYTES, "big") for backend in named)
+        hashes = b"".join(backend.name_hash.to_bytes(HASH_BYTES, "big") for backend in reported)
         return SendGossip(GOSSIP_PREFIX + hashes)
 
     def _is_suspect(self, now: float, backend: Backend) -> bool:
-        """Whether a success may stand between two failures; a sparse proxy sees too few to know."""
+        """Whether the backend may still be failing in spite of a success.
+
+        A sparse proxy sees too few of its responses to tell from one success.
+        """
         if not self._is_sparse:
             return False
         reports = backend.failure_reports
@@ -100,13 +105,14 @@
         return reported or self._is_outlier(backend)
 
     def _is_outlier(self, backend: Backend) -> bool:
-        part = SPARSE_OUTLIER_PAYOFF if self._is_sparse else OUTLIER_PAYOFF
-        return backend.payoff <= part * mean_payoff(self._backends.subset)
+        fraction = SPARSE_OUTLIER_PAYOFF_FRACTION if self._is_sparse else OUTLIER_PAYOFF_FRACTION
+        return backend.payoff <= fraction * mean_payoff(self._backends.subset)
 
     def _eject_outlier(self, now: float, backend: Backend) -> BackendEjected | None:
-        """Eject a backend, unless it is a usual one or most fail: then the fault is not this backend's.
+        """Eject a backend and return the action that logs it.
 
-        If it declines, the count begins anew.
+        If it is not an outlier, or if more than half of the backends fail, the cause is not this backend: its
+        count of consecutive failures is reset, and nothing is returned.
         """
         active = self._backends.active
         failing = sum(
@@ -121,7 +127,7 @@
         return ejection
 
     def _report(self, now: float, backend: Backend, proxy_index: int) -> None:
-        """Record that a backend failed a request of some proxy; eject it once enough proxies say so."""
+        """Record a proxy's report of a failure; eject the backend once enough proxies have reported it."""
         recent = [r for r in backend.failure_reports if r.reported_at > now - REPORT_WINDOW_MS]
         reports = [*recent[-MAX_KEPT_REPORTS:], FailureReport(now, proxy_index)]
         backend.failure_reports = reports
@@ -130,7 +136,7 @@
         active = self._backends.active
         ejected = sum(other.ejected_until > now for other in active)
         if backend.ejected_until <= now and 2 * (ejected + 1) <= len(active):
-            # It comes back with one request on trial.
+            # After the ejection it gets one trial request first.
             backend.consecutive_failures = max(backend.consecutive_failures, MAX_CONSECUTIVE_FAILURES)
             self._eject(now, backend, REPORTED_JITTER)
 
--- a/dunecove/policy/rendezvous_hash.py
+++ b/dunecove/policy/rendezvous_hash.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every key orders all backends, and the order of the others stays as some leave."""
+"""Rendezvous hashing: each key orders all backends; removing some keeps the order of the others."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 def name_hash(backend_id: str) -> int:
-    """Return the 32 bits that stand for a backend in ranks and in gossip."""
+    """Return the 32-bit hash that identifies a backend in ranks and in gossip."""
     return crc32(backend_id.encode())
 
 
 def hash_pair(key: int, number: int) -> int:
-    """Return 64 well-mixed bits of two integers; the same in every process."""
+    """Return a well-mixed 64-bit hash of two integers, the same in every process."""
     mixed = (key * 0x9E3779B97F4A7C15 ^ number * 0xC2B2AE3D27D4EB4F) & _MASK_64
     mixed = ((mixed ^ mixed >> 29) * 0xBF58476D1CE4E5B9) & _MASK_64
     return mixed ^ mixed >> 32
 
 
 def proxy_key(proxy_index: int) -> int:
-    """Return the key by which a proxy ranks the backends that it may subscribe to."""
+    """Return the key by which a proxy ranks the backends."""
     return proxy_index + 1
--- a/dunecove/policy/slow_start_budget.py
+++ b/dunecove/policy/slow_start_budget.py
@@ -1,4 +1,4 @@
-"""How many requests a cold backend gets from this proxy while it warms up."""
+"""The number of requests that this proxy sends to a cold backend while it warms up."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from dunecove.policy.slow_start import SlowStart
 from dunecove.policy.smoothing import MIN_RESPONSES
 
-WARM_RATE_KEPT = 0.9  # part of a warm backend's known rate kept each second without one to look at
-BURST_FRACTION = 1 / 4  # of a window's requests that may be saved up
-MAX_SHARE_FACTOR = 1.2  # on a cold backend's share of a warm one's load, or half the overload factor
+WARM_RATE_DECAY = 0.9  # factor per second on the known rate of warm backends, down to the observed one
+BURST_FRACTION = 1 / 4  # size of a token bucket, as a fraction of the requests per window
+# Factor on a cold backend's share of a warm backend's rate; half the overload factor if that is less.
+MAX_SHARE_FACTOR = 1.2
 
 
 class SlowStartBudget:
-    """Token buckets of cold backends, filled by what warm backends of their kind get."""
+    """Token buckets of cold backends, refilled in proportion to the rate of warm backends of their kind."""
 
     def __init__(self, settings: Settings, rng: Random, slow_start: SlowStart) -> None:
         self._settings = settings
@@ -24,27 +25,30 @@
         self._slow_start = slow_start
         self._is_sparse = settings.is_sparse_tier
         self._refilled_at = 0.0  # ms
-        self._warm_rate: dict[int, float] = {}  # responses a second of a warm backend, by kind
+        self._warm_rate: dict[int, float] = {}  # responses per second of a warm backend, by kind
         self._warm_base_latency_ms: dict[int, float] = {}  # of a warm backend, by kind
 
     def start(self, now: float) -> None:
-        """Begin to fill the buckets."""
+        """Set the time from which the first refill counts."""
         self._refilled_at = now
 
     def update(self, now: float, backend: Backend) -> None:
-        """Update until when a backend is cold; one that has just turned cold gets a small budget."""
+        """Update when a backend becomes warm; one that has just become cold gets a small budget."""
         was_cold = backend.cold_until > now
         backend.cold_until = self._slow_start.cold_until(backend.id)
         if backend.cold_until <= now or was_cold:
             return
         backend.limit = min(1.0, backend.limit)
-        # All proxies hear of it at once: their first requests must not come at once as well.
+        # All proxies learn of its start at once; the random delay keeps their first requests apart.
         backend.slow_start_tokens = self._rng.random() if self._is_sparse else 0.0
         window_ms = self._settings.slow_start_window_ms
         backend.next_token_draw_at = now + backend.slow_start_tokens * window_ms
 
     def refill(self, now: float, backends: Iterable[Backend], proxies_per_backend: float) -> None:
-        """Add what has come in since the last refill; `proxies_per_backend`: that share a backend."""
+        """Add the tokens for the time since the last refill.
+
+        `proxies_per_backend` is the number of proxies that share a backend.
+        """
         for backend in backends:
             if backend.cold_until > now:
                 self._refill(now, backend, proxies_per_backend)
@@ -53,11 +57,12 @@
     def _refill(self, now: float, backend: Backend, proxies_per_backend: float) -> None:
         window_ms = self._settings.slow_start_window_ms
         rate = self._rate_per_ms(now, backend)
-        # Nothing observed yet: one request a window, of all proxies that share this backend.
+        # The minimum, also before any observation: one request per window, in a sparse tier from all proxies
+        # that share this backend.
         rate = max(rate, 1 / window_ms / (proxies_per_backend if self._is_sparse else 1))
         if self._is_sparse and rate * window_ms < 1:
-            # One request saved up by each proxy while little came would be too many when all come at once:
-            # each draws for each window whether it has one, and loses what it doesn't use.
+            # If each proxy kept a token from a time of low traffic, a burst could spend all of them at once
+            # and overload the backend. So each draws per window whether it has a token; unused ones expire.
             if now >= backend.next_token_draw_at:
                 backend.slow_start_tokens = float(self._rng.random() < rate * window_ms)
                 backend.next_token_draw_at = now + window_ms
@@ -67,16 +72,16 @@
         backend.slow_start_tokens = min(burst, backend.slow_start_tokens + added)
 
     def _rate_per_ms(self, now: float, backend: Backend) -> float:
-        """Return a cold backend's part of what a warm one gets from this proxy.
+        """Return the rate of a cold backend as a share of this proxy's rate to a warm one.
 
-        What all proxies send to a warm backend is under its capacity, so the sum of their parts is under the
-        cold one's, however traffic is split.
+        The rates of all proxies to a warm backend add up to less than its capacity, so their shares add up to
+        less than the cold backend's capacity, however the traffic is split between proxies.
         """
         settings = self._settings
-        age = max(0.0, 1 - (backend.cold_until - now) / max(settings.slow_start_ms, 1.0))
-        capacity = settings.slow_start_capacity + (1 - settings.slow_start_capacity) * age
+        elapsed_fraction = max(0.0, 1 - (backend.cold_until - now) / max(settings.slow_start_ms, 1.0))
+        capacity = settings.slow_start_capacity + (1 - settings.slow_start_capacity) * elapsed_fraction
         if backend.response_count >= MIN_RESPONSES and backend.kind in self._warm_base_latency_ms:
-            # It has shown its speed: compared with the base latency of warm ones of its kind.
+            # Its latency shows its speed, relative to the base latency of warm backends of its kind.
             speed = self._warm_base_latency_ms[backend.kind] / backend.latency_ms
             capacity = max(capacity, min(1.0, speed))
         if backend.kind in self._warm_rate:
@@ -88,22 +93,22 @@
     def observe(
         self, now: float, seconds: float, active: Sequence[Backend], subset: Sequence[Backend]
     ) -> None:
-        """Learn what warm backends got in the last seconds; of a sparse proxy those of its subset count."""
+        """Update the rates of warm backends, over the last `seconds`; a sparse proxy observes its subset."""
         in_subset = set(subset)
         warm: dict[int, list[Backend]] = {}
         for backend in active:
             backend.update_response_rate(seconds)
-            counts = not self._is_sparse or backend in in_subset
-            if counts and backend.cold_until <= now and backend.latency_ms:
+            is_observed = not self._is_sparse or backend in in_subset
+            if is_observed and backend.cold_until <= now and backend.latency_ms:
                 warm.setdefault(backend.kind, []).append(backend)
-        # Held for a while, for when a release leaves no warm backend to look at.
-        self._warm_rate = {kind: rate * WARM_RATE_KEPT for kind, rate in self._warm_rate.items()}
+        # The rates decay slowly, since a release may leave no warm backend to observe.
+        self._warm_rate = {kind: rate * WARM_RATE_DECAY for kind, rate in self._warm_rate.items()}
         for kind, backends in warm.items():
             self._observe_kind(kind, backends)
 
     def _observe_kind(self, kind: int, warm: Sequence[Backend]) -> None:
         rates = sorted(backend.response_rate for backend in warm)
-        if not self._is_sparse:  # slow and ejected ones hide what a backend of this kind carries
+        if not self._is_sparse:  # slow and ejected backends would hide the rate that this kind can serve
             rates = rates[len(rates) // 2 :]
         self._warm_rate[kind] = max(self._warm_rate.get(kind, 0.0), sum(rates) / len(rates))
         self._warm_base_latency_ms[kind] = sum(backend.base_latency_ms for backend in warm) / len(warm)
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -1,8 +1,8 @@
-"""Which backends a proxy keeps state of, and which of these it sends to.
+"""The backends that a proxy subscribes to, and the subset of these that it sends requests to.
 
-Each proxy has an order of its own of all backends, by rendezvous hash, and keeps state of the first ones: no
-cost grows with the rest. A sparse proxy sends to a few of those only, more with more traffic: few are soon
-known and have few connections each.
+Each proxy ranks all backends by rendezvous hash and keeps state only of the first ones, the subscribed
+backends: no cost grows with the number of others. A sparse proxy sends requests to only a few of these, to
+more as its traffic grows: it learns about few backends quickly, and each backend has few connections.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from dunecove.policy.slow_start_budget import SlowStartBudget
 from dunecove.policy.unsubscribed_backends import Rank, UnsubscribedBackends
 
-MIN_SUBSET = 8  # of a sparse proxy: with a few requests a second it learns of no more in time
-MIN_SUBSCRIBED = 256  # backends with state; of a sparse proxy twice its subset, if that is more
-SUBSCRIBED_SLACK = 64  # more than wanted before the last are unsubscribed: the list moves all the time
-SUBSCRIBED_KEPT = 0.9  # fraction of a larger number that is kept each second when load falls
-BACKENDS_PER_REQUEST = 2  # of few proxies: backends kept for each request here
-MAX_SUBSCRIBE_STEP = 128  # of few proxies: backends added at once
+MIN_SUBSET = 8  # of a sparse proxy: with a few requests per second it cannot learn about more in time
+MIN_SUBSCRIBED = 256  # backends with state; of a sparse proxy twice its subset if that is more
+SUBSCRIBED_SLACK = 64  # backends above the wanted number before some are unsubscribed: the list changes often
+SUBSCRIPTION_DECAY = 0.9  # factor per second on the number of subscribed backends as load falls
+BACKENDS_PER_REQUEST = 2  # dense tier: backends subscribed per request that is queued or in flight here
+MAX_SUBSCRIBE_STEP = 128  # dense tier: backends subscribed at once
 
 
 def _rank_of(backend: Backend) -> Rank:
@@ -31,7 +31,7 @@
 
 
 class BackendSet:
-    """The backends that this proxy keeps state of, its subset, and the unsubscribed ones."""
+    """The subscribed backends, which this proxy keeps state of, its subset, and the unsubscribed ones."""
 
     def __init__(
         self,
@@ -45,32 +45,33 @@
         self._queues = queues
         self._in_flight = in_flight
         self._slow_start_budget = slow_start_budget
-        self._by_hash: dict[int, list[Backend]] = {}  # hardly ever two
-        self._rank_boundary: Rank = (0, "")  # backends up to it have state
-        self._max_subscribed = MIN_SUBSCRIBED  # how many to keep state of, but for the slack
-        self.by_id: dict[str, Backend] = {}  # those with state
-        self.active: list[Backend] = []  # of these
+        self._by_hash: dict[int, list[Backend]] = {}  # two names rarely have the same hash
+        self._rank_boundary: Rank = (0, "")  # all active backends up to it are subscribed
+        self._max_subscribed = MIN_SUBSCRIBED  # wanted number, without the slack
+        self.by_id: dict[str, Backend] = {}  # the subscribed backends, in any state
+        self.active: list[Backend] = []  # of the subscribed backends
         self.unsubscribed = UnsubscribedBackends(settings.proxy_index)
-        self.listed_count = 0  # active ones of the whole list
-        self.subset: list[Backend] = []  # those it sends to
-        self.subset_size = 0  # of a sparse proxy: how many it wants
-        self.cold_subset: list[Backend] = []  # those that were cold as the subset was chosen
-        self.sparse_backend_limit = 0.0  # of a sparse proxy: least limit of each backend
+        self.listed_count = 0  # active backends in the whole list
+        self.subset: list[Backend] = []  # the backends that requests are sent to
+        self.subset_size = 0  # of a sparse proxy: wanted size of the subset
+        self.cold_subset: list[Backend] = []  # backends that were cold when the subset was chosen
+        self.sparse_backend_limit = 0.0  # of a sparse proxy: minimum concurrency limit of each backend
 
     def find_by_hash(self, name_hash: int) -> Sequence[Backend]:
-        """Return the backends with state whose names have this hash, the oldest first."""
+        """Return the subscribed backends whose names have this hash, the oldest subscription first."""
         return self._by_hash.get(name_hash, ())
 
     def proxies_per_backend(self) -> float:
-        """Return how many sparse proxies share a backend; 1 at least."""
+        """Return the mean number of sparse proxies whose subsets share a backend, at least 1."""
         return max(1.0, self._settings.proxy_count * self.subset_size / max(self.listed_count, 1))
 
-    # What the endpoint list says
+    # Updates of the endpoint list
 
     def begin_snapshot(self, listed: set[str]) -> list[str]:
-        """Remove the backends with state that are not listed, and all unsubscribed ones.
+        """Remove the subscribed backends that are not listed, and all unsubscribed ones.
 
-        The snapshot's entries add them again. Return the names of those removed that had state.
+        The snapshot's entries add the unsubscribed ones again. Return the names of the removed backends that
+        were subscribed.
         """
         removed = [backend for name, backend in self.by_id.items() if name not in listed]
         for backend in removed:
@@ -79,7 +80,7 @@
         return [backend.id for backend in removed]
 
     def apply_entry(self, now: float, entry: BackendInfo) -> None:
-        """Apply an entry of the list. `refresh_active` has to follow the last one."""
+        """Apply an entry of the list; call `refresh_active` after the last entry."""
         backend = self.by_id.get(entry.backend_id)
         if backend is not None and entry.state is BackendState.REMOVED:
             self._remove(backend, BackendState.REMOVED)
@@ -95,7 +96,7 @@
             self._trim()
 
     def subscribe(self, now: float, names: Sequence[str]) -> None:
-        """Keep state of these, too."""
+        """Subscribe to further backends by name; names that are not unsubscribed backends are ignored."""
         for name in names:
             entry = self.unsubscribed.pop(name)
             if entry is not None:
@@ -103,7 +104,7 @@
         self.refresh_active()
 
     def refresh_active(self) -> None:
-        """Find the active ones anew."""
+        """Update `active` and `listed_count` after a change of the backends."""
         self.active = [backend for backend in self.by_id.values() if backend.state is BackendState.ACTIVE]
         self.listed_count = len(self.active) + self.unsubscribed.count
 
@@ -125,18 +126,18 @@
     def _remove(self, backend: Backend, state: BackendState) -> None:
         del self.by_id[backend.id]
         backend.state = state
-        alike = self._by_hash[backend.name_hash]
-        alike.remove(backend)
-        if not alike:
+        same_hash = self._by_hash[backend.name_hash]
+        same_hash.remove(backend)
+        if not same_hash:
             del self._by_hash[backend.name_hash]
 
     # The subset and the subscribed backends
 
     def choose_subset(self, now: float) -> None:
-        """Choose anew which backends it sends to.
+        """Choose the backends that requests are sent to.
 
-        Of any zone, and cold ones too: after a release they are most of what there is, and one zone's proxies
-        alone would leave its backends half idle or overload them.
+        The subset includes backends of all zones, as the proxies of one zone alone would leave its backends
+        half idle or overload them. It includes cold ones, as after a release most backends are cold.
         """
         if self._is_sparse:
             self.subset_size = max(MIN_SUBSET, int(2 * (self._in_flight.limit + 1)))
@@ -150,11 +151,11 @@
         self.cold_subset = [backend for backend in self.subset if backend.cold_until > now]
 
     def shrink_subscriptions(self) -> None:
-        """Let the number of subscribed backends, raised under load, shrink by a second."""
-        self._max_subscribed = int(self._max_subscribed * SUBSCRIBED_KEPT)
+        """Reduce the number of subscribed backends after a rise under load; call it once per second."""
+        self._max_subscribed = int(self._max_subscribed * SUBSCRIPTION_DECAY)
 
     def _subscribe_more(self, now: float) -> None:
-        """Keep state of the first by rank: as some of them leave the list, or load grows, the next follow."""
+        """Subscribe to the next backends by rank after others have left the list, or as load grows."""
         self._max_subscribed = max(MIN_SUBSCRIBED, self._wanted_subscriptions(now), self._max_subscribed)
         if self.unsubscribed.count and len(self.active) < self._max_subscribed:
             names = self.unsubscribed.first(self._max_subscribed - len(self.active))
@@ -165,10 +166,11 @@
             self.refresh_active()
 
     def _wanted_subscriptions(self, now: float) -> int:
-        """Of a sparse proxy twice its subset, of which at most half are ejected.
+        """Return the number of backends to subscribe to.
 
-        Few proxies send to all that they keep state of, so they want more the more requests they have: no
-        request waits beside idle backends.
+        A sparse proxy wants twice its subset, since at most half of the backends are ejected. A proxy in a
+        dense tier sends requests to all subscribed backends, so it wants more as it has more requests: none
+        should be queued while a backend is idle.
         """
         if self._is_sparse:
             return 2 * self.subset_size
@@ -181,7 +183,7 @@
         return len(self.by_id) > self._max_subscribed + SUBSCRIBED_SLACK
 
     def _trim(self) -> None:
-        """Forget what was learned of the last by rank, but for those in use."""
+        """Unsubscribe the last backends by rank, except those with requests in flight."""
         for backend in [b for b in self.by_id.values() if b.state is not BackendState.ACTIVE]:
             self._remove(backend, BackendState.DRAINING)
         if len(self.by_id) <= self._max_subscribed:
