--- a/dunecove/adapter.py
+++ b/dunecove/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: batches of events in, actions out, one balancer for each instance."""
+"""The simulator's adapter: reads batches of events from stdin and writes the actions to stdout."""
 
 from __future__ import annotations
 
@@ -25,14 +25,13 @@
 
 
 class Adapter:
-    """One balancer for each instance; nothing is shared between them."""
+    """Runs one balancer per instance; the instances share no state."""
 
     def __init__(self) -> None:
-        """Begin without instances."""
         self.instances: dict[int, Instance] = {}
 
     def handle_batch(self, line: bytes) -> bytes:
-        """Return the reply to a line; MalformedInputError with a text for a person if it can't be used."""
+        """Process a line and return the reply; raise MalformedInputError if the line is invalid."""
         now_ms, entries = _read_batch(line)
         pending: dict[int, list[Event]] = {}
         for entry in entries:
@@ -50,9 +49,9 @@
                 if key not in raw:
                     raise MissingFieldError(key)
             if type(index) is not int:
-                raise InvalidFieldError(f"ProxyId is not a whole number: {index!r}")
+                raise InvalidFieldError(f"ProxyId is not an integer: {index!r}")
             if name == "Provision":
-                # What an instance had before a new start is void: its unread events go with it.
+                # Provisioning replaces an instance of the same index and discards its pending events.
                 pending[index] = []
                 self.instances[index] = _provision(raw)
             elif index not in self.instances:
@@ -69,21 +68,21 @@
     def _step(self, now_ms: float, index: int, events: list[Event]) -> list[JsonObject]:
         try:
             actions = self.instances[index].balancer.step(now_ms, events)
-        except Exception as error:  # whatever broke in the balancer, the simulator is told and stops
+        except Exception as error:  # any error in the balancer is reported to the simulator, which stops
             return [write_exception(error, index)]
         return [write_action(action, index) for action in actions]
 
 
 def _read_batch(line: bytes) -> tuple[float, list[object]]:
-    """Return a batch's time and its entries."""
+    """Return the time and the entries of a batch."""
     try:
         message = orjson.loads(line)
     except orjson.JSONDecodeError as error:
-        raise MalformedMessageError(f"line is not JSON: {error}") from None
+        raise MalformedMessageError(f"batch is not JSON: {error}") from None
     message = as_object(message, "batch")
     for key in ("TsMs", "news"):
         if key not in message:
-            raise MalformedMessageError(f"batch without {key}")
+            raise MalformedMessageError(f"{key} is missing from the batch")
     return as_number(message["TsMs"], "TsMs"), as_array(message["news"], "news")
 
 
@@ -94,7 +93,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answer each line of `source` on `sink`; return the exit code."""
+    """Reply on `sink` to each line of `source`; return the exit code."""
     adapter = Adapter()
     for line in source:
         try:
--- a/dunecove/config.py
+++ b/dunecove/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a proxy, from its environment and a JSON file, and what follows from its limits."""
+"""The configuration of a proxy, read from the environment and a JSON file, and its connection limits."""
 
 from __future__ import annotations
 
@@ -32,20 +32,21 @@
 DISCOVERY_VARIABLE = "LB_DISCOVERY"
 DEFAULT_MAX_DESCRIPTORS = 1024
 DEFAULT_MEMORY_MB = 192
-MIN_DESCRIPTORS = 32  # with fewer hardly anybody could be served
-# Descriptors for the program itself, discovery, and those that are just closing.
+MIN_DESCRIPTORS = 32  # with fewer, hardly any client could be served
+# Descriptors for the program itself, for discovery and for connections that are being closed.
 RESERVED_DESCRIPTORS = 40
-# With few descriptors a quarter of them, but no fewer than these: a running program has 16 of its own, peers
-# and discovery among them, and one more for each connection that is accepted or opened as another closes.
+# With few descriptors a quarter of them is reserved, but at least this number: a running program has 16 of
+# its own, including those for peers and discovery, and one more for each connection that is accepted or
+# opened as another closes.
 MIN_RESERVED_DESCRIPTORS = 24
-# The fraction of the other descriptors that is for connections to backends. Requests hold at most a third of
-# all on the clients' side and, each with one attempt at a time, no more on the backends' side. What remains
-# is for clients' connections that are idle or silent.
+# Fraction of the remaining descriptors for backend connections. Requests use at most a third of all for
+# client connections and, with one attempt at a time each, no more for backend connections. The rest is for
+# client connections that are idle or silent.
 BACKEND_SHARE = 0.42
 
 
 class ConnectionLimits(NamedTuple):
-    """How many connections there may be."""
+    """The maximum numbers of open connections."""
 
     clients: int
     backends: int
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What the platform tells the proxy, checked."""
+    """The validated configuration of a proxy."""
 
     name: str
     listen_address: str
@@ -64,14 +65,14 @@
     cached_list: CachedEndpointList
     max_descriptors: int
     memory_mb: float
-    peer_addresses: PeerAddresses | None  # None where there is no gossip
+    peer_addresses: PeerAddresses | None  # None: no gossip
 
 
 def read_config(environment: Mapping[str, str], *, skips_long_list: bool = False) -> Config:
-    """Return the configuration; ConfigurationError with a text for a person if it can't be used.
+    """Return the configuration; raise ConfigurationError if it is invalid or cannot be read.
 
-    With `skips_long_list` the entries of a long cached list are passed over, as a running proxy has no use
-    for them.
+    With `skips_long_list` the entries of a long cached list are not read, as a running proxy doesn't need
+    them.
     """
     path = environment.get("LB_CONFIG")
     if not path:
@@ -85,7 +86,7 @@
 
 
 def connection_limits(max_descriptors: int) -> ConnectionLimits:
-    """Return how many connections clients may have, and how many may lead to backends."""
+    """Return the maximum numbers of client and backend connections."""
     reserved = max(min(RESERVED_DESCRIPTORS, max_descriptors // 4), MIN_RESERVED_DESCRIPTORS)
     available = max_descriptors - reserved
     backends = int(available * BACKEND_SHARE)
@@ -93,7 +94,7 @@
 
 
 def _read_outline(path: str) -> tuple[JsonObject, bool]:
-    """Return the file's object without the entries of a long cached list, and whether it has a long one."""
+    """Return the configuration file without the entries of a long cached list, and whether it has one."""
     try:
         outline, has_long_list = ArraySlices(read_file(path), "known").read_remainder()
     except OSError as error:
@@ -105,7 +106,7 @@
 
 def _parse(fields: JsonObject, environment: Mapping[str, str], slices: Iterable[list[Any]]) -> Config:
     info = as_object(required(fields, "settings"), "settings")
-    # `Limits.RetryAfter` is for the simulator's clients; over HTTP all get Retry-After.
+    # `Limits.RetryAfter` applies to the simulator only; over HTTP all clients get Retry-After.
     settings = replace(read_settings(info), sends_retry_after=True)
     proxy_settings = read_proxy_settings(info)
     limits = as_object(fields.get("limits") or {}, "limits")
@@ -135,11 +136,11 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise InvalidFieldError(f"seed is not a number in base 16: {text!r}") from None
+        raise InvalidFieldError(f"seed is not an integer in base 16: {text!r}") from None
 
 
 def _split_address(address: str, key: str) -> tuple[str, int]:
-    """Return host and port; InvalidFieldError with the key that has the address."""
+    """Return host and port; raise InvalidFieldError, which names the key of the address."""
     try:
         return split_address(address)
     except ValueError as error:
@@ -158,7 +159,9 @@
     configured = as_integer(default_if_none(limits, "sockets", DEFAULT_MAX_DESCRIPTORS), "sockets")
     max_descriptors = min(configured, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
     if max_descriptors < MIN_DESCRIPTORS:
-        raise InvalidFieldError(f"sockets: {max_descriptors} are too few, {MIN_DESCRIPTORS} are needed")
+        raise InvalidFieldError(
+            f"sockets, or the open file limit if lower, must be at least {MIN_DESCRIPTORS}: {max_descriptors}"
+        )
     return max_descriptors
 
 
@@ -170,7 +173,7 @@
 
 
 def _peer_addresses(fields: JsonObject) -> PeerAddresses | None:
-    """Return where the other proxies are, if the platform says so."""
+    """Return the addresses of the other proxies; None if none are configured."""
     if not fields.get("peers"):
         return None
     addresses = PeerAddresses(
--- a/dunecove/errors.py
+++ b/dunecove/errors.py
@@ -1,21 +1,21 @@
-"""The errors that the program raises and expects. The text of each is for a person, on one line."""
+"""The exceptions of the program. Their messages are written for operators, on one line."""
 
 from __future__ import annotations
 
 
 class DunecoveError(Exception):
-    """Base of all errors of this program."""
+    """Base class of the program's exceptions."""
 
 
 class MalformedInputError(DunecoveError):
-    """JSON that breaks its format; the text names the key, and the value where that is short."""
+    """JSON input is invalid; the message names the key, and the value if it is short."""
 
 
 class MissingFieldError(MalformedInputError):
-    """An object lacks a required field."""
+    """A JSON object lacks a required field."""
 
     def __init__(self, key: str) -> None:
-        """`key` is the field's name in JSON."""
+        """Initialize the error with the key of the field in JSON."""
         super().__init__(f"{key} is missing")
 
 
@@ -24,17 +24,17 @@
 
 
 class MalformedMessageError(MalformedInputError):
-    """A line on the simulator's wire can't be used."""
+    """A message of the simulator is invalid."""
 
 
 class ConfigurationError(DunecoveError):
-    """The proxy's configuration can't be used."""
+    """The proxy's configuration is invalid."""
 
 
 class UnreadableFileError(ConfigurationError):
-    """The configuration file could not be read at all; `errno` says why."""
+    """The configuration file cannot be read; `errno` has the reason."""
 
     def __init__(self, path: str, error: OSError) -> None:
-        """Name the file and the system's reason."""
-        super().__init__(f"{path}: {error.strerror}")
+        """Initialize the error with the path of the file and the error of the system call."""
+        super().__init__(f"cannot read {path}: {error.strerror}")
         self.errno = error.errno
--- a/dunecove/policy/discovery_polling.py
+++ b/dunecove/policy/discovery_polling.py
@@ -16,8 +16,8 @@
 MAX_COUNTED_FAILURES = 6  # consecutive failures after which the delay is no longer doubled
 FAST_RETRIES = 2  # consecutive failures up to which the maximum delay is `FAST_RETRY_MAX_MS`
 FAST_RETRY_MAX_MS = 750.0  # after more failures: this or the rest of `MAX_POLL_GAP_MS`, if that is longer
-# Maximum time between the starts of two polls. An update counts as notified after 6 s, of which a hanging poll
-# may take 2 s, and before that the detection of an unresponsive watch another 2 s.
+# Maximum time between the starts of two polls. An update counts as notified after 6 s, of which a hanging
+# poll may take 2 s, and before that the detection of an unresponsive watch another 2 s.
 MAX_POLL_GAP_MS = 3500.0
 MOVE_WINDOW_MS = 4000.0  # after a move to another service; its updates then count as notified
 # Maximum delay after a failed poll in that window or of a pushed list: the service then has spare capacity.
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -59,8 +59,8 @@
     def record_failure(self, now: float, backend: Backend, result: AttemptResult) -> BackendEjected | None:
         """Record that a backend failed; return the action that logs the ejection if it is ejected."""
         backend.consecutive_failures += 1
-        # A sparse proxy sends few requests to a backend. Even if every other one fails, three failures in a row
-        # are rare, so they are not the only criterion.
+        # A sparse proxy sends few requests to a backend: even if every other one fails, three failures in a
+        # row are rare, so they are not the only criterion.
         if self._is_sparse and self._settings.may_gossip and result in BACKEND_FAULTS:
             self._report(now, backend, self._settings.proxy_index)
             if now - backend.last_reported_at >= GOSSIP_INTERVAL_MS:
--- a/dunecove/wire/__init__.py
+++ b/dunecove/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The edge: the names of settings and of the simulator's wire, mapped to the code's own terms and checked."""
+"""Reads settings and the simulator's messages: validates them and maps outer names to those of the code."""
--- a/dunecove/wire/endpoint_list.py
+++ b/dunecove/wire/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The states of a backend, as an entry of an endpoint list names them."""
+"""The names of backend states in the entries of an endpoint list."""
 
 from __future__ import annotations
 
--- a/dunecove/wire/fields.py
+++ b/dunecove/wire/fields.py
@@ -1,4 +1,4 @@
-"""Checked readers of decoded JSON values: each raises InvalidFieldError for a value of another type."""
+"""Validates decoded JSON values: the `as_` functions raise InvalidFieldError for other types."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def required(fields: JsonObject, key: str) -> Any:
-    """Return a field's value; MissingFieldError if there is none."""
+    """Return the value of a field; raise MissingFieldError if it is absent."""
     try:
         return fields[key]
     except KeyError:
@@ -20,15 +20,15 @@
 
 
 def default_if_none(fields: JsonObject, key: str, default: float) -> Any:
-    """Return the value of a field that may be absent or null, which mean `default`."""
+    """Return the value of a field, or `default` if it is absent or null."""
     value = fields.get(key)
     return default if value is None else value
 
 
 def as_choice(choices: Mapping[str, _Choice], value: object, key: str) -> _Choice:
-    """Return what `choices` has for a name; InvalidFieldError if the name is not in it."""
+    """Return the value of `choices` for a name; raise InvalidFieldError if the name is not in it."""
     if not isinstance(value, str) or value not in choices:
-        raise InvalidFieldError(f"unknown {key} {value!r}")
+        raise InvalidFieldError(f"{key} has an unknown value: {value!r}")
     return choices[value]
 
 
@@ -40,9 +40,9 @@
 
 
 def as_integer(value: object, key: str) -> int:
-    """Return a whole number."""
+    """Return an integer."""
     if isinstance(value, bool) or not isinstance(value, int):
-        raise InvalidFieldError(f"{key} is not a whole number: {value!r}")
+        raise InvalidFieldError(f"{key} is not an integer: {value!r}")
     return value
 
 
--- a/dunecove/wire/settings.py
+++ b/dunecove/wire/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a deployment as JSON, read for both programs: the simulator's adapter and the proxy."""
+"""Reads the settings of a deployment from JSON, for the proxy and the simulator's adapter."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 _DEDUPLICATION_SCOPES = {scope.value: scope for scope in DeduplicationScope}
-# By field of `Settings` and `RequestClass`: its key in JSON. Errors name that.
+# The JSON key of each field of `Settings` and `RequestClass` that an error message may name.
 _SETTING_KEYS = {
     "classes": "Lanes",
     "latency_objective_ms": "AimMs",
@@ -54,7 +54,7 @@
 
 
 def read_settings(info: JsonObject) -> Settings:
-    """Return the settings, checked; MalformedInputError with the key of what is wrong."""
+    """Return the validated settings; raise MalformedInputError, which names the invalid key."""
     limits = as_object(info.get("Limits") or {}, "Limits")
     obligations = as_object(info.get("Obligations") or {}, "Obligations")
     domain = as_object(info.get("Domain") or {}, "Domain")
@@ -105,9 +105,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxySettings:
-    """What only a proxy on sockets needs: the names that clients and discovery use, and connection limits.
+    """The settings that only the proxy needs, not the simulator: names and connection timeouts.
 
-    The names are mapped to the indexes that `Settings`, events and actions use.
+    The names that clients and discovery use are mapped to the indexes in `Settings`, events and actions.
     """
 
     class_indexes: dict[str, int]
@@ -116,11 +116,11 @@
     kind_indexes: dict[str, int]
     connect_timeout_ms: float
     backend_idle_timeout_ms: float
-    drain_grace_ms: float = inf  # from being told of a drain to the last attempt that may be written
+    drain_grace_ms: float = inf  # from the notification of a drain until no attempt may be written any more
 
 
 def read_proxy_settings(info: JsonObject) -> ProxySettings:
-    """Return the proxy's own part of the settings; MalformedInputError with the key of what is wrong."""
+    """Return the settings for the proxy only; raise MalformedInputError, which names the invalid key."""
     limits = as_object(info.get("Limits") or {}, "Limits")
     obligations = as_object(info.get("Obligations") or {}, "Obligations")
     classes = as_objects(required(info, "Lanes"), "Lanes")
--- a/dunecove/wire/simulator.py
+++ b/dunecove/wire/simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: its messages read as the balancer's events, and the balancer's actions written."""
+"""The simulator's wire format: converts its messages to events, and actions to its messages."""
 
 from __future__ import annotations
 
@@ -59,13 +59,13 @@
     "SAVED": ListUpdateKind.CACHED,
     "FAILED": ListUpdateKind.FAILED,
 }
-# Bits of an arrival's `Bitmap`.
+# Bits of `Bitmap` in an `Incoming` message.
 _HAS_WORK_HINT = 1
 _IS_RETRY = 2
 
 
 def read_event(raw: JsonObject, class_count: int) -> Event:
-    """Return the event that a message tells; MalformedInputError or ValueError if it can't be one."""
+    """Convert a message to an event; raise MalformedInputError or ValueError if it is invalid."""
     name = raw["what"]
     if name == "Incoming":
         return read_request_arrived(raw, class_count)
@@ -75,10 +75,10 @@
 
 
 def read_request_arrived(raw: JsonObject, class_count: int) -> RequestArrived:
-    """Return the arrival of a request; its class is an index below `class_count`."""
+    """Convert an `Incoming` message; its request class is an index below `class_count`."""
     class_index = required(raw, "Lane")
     if type(class_index) is not int or not 0 <= class_index < class_count:
-        raise InvalidFieldError(f"Lane is no known class: {class_index!r}")
+        raise InvalidFieldError(f"Lane is not the index of a request class: {class_index!r}")
     affinity_key = raw.get("Subject")
     if affinity_key is not None:
         affinity_key = as_integer(affinity_key, "Subject")
@@ -141,7 +141,7 @@
     result_name = as_string(required(raw, "How"), "How")
     return HealthCheckResult(
         backend_id=as_string(required(raw, "Backend"), "Backend"),
-        # A health check may fail for a cause that has no name here; only success is told apart.
+        # A health check may fail with a result that is not in the table; only success is distinguished.
         result=_RESULTS.get(result_name, AttemptResult.ERROR),
         latency_ms=as_number(required(raw, "DelaySeenMs"), "DelaySeenMs"),
     )
@@ -168,14 +168,14 @@
 
 
 def write_action(action: Action, instance: int) -> JsonObject:
-    """Return the message that tells the simulator of an action of an instance."""
+    """Convert an action of an instance to a message."""
     message = _WRITERS[type(action)](action)
     message["ProxyId"] = instance
     return message
 
 
 def write_exception(error: Exception, instance: int) -> JsonObject:
-    """Return the message that an instance's balancer raised an exception."""
+    """Return the message that reports an exception in the balancer of an instance."""
     return {"what": "GiveIn", "ProxyId": instance, "Msg": f"{type(error).__name__}: {error}"}
 
 
