--- a/dunecove/config.py
+++ b/dunecove/config.py
@@ -160,7 +160,7 @@
     max_descriptors = min(configured, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
     if max_descriptors < MIN_DESCRIPTORS:
         raise InvalidFieldError(
-            f"sockets, or the open file limit if lower, must be at least {MIN_DESCRIPTORS}: {max_descriptors}"
+            f"sockets or the open file limit is {max_descriptors}, but must be at least {MIN_DESCRIPTORS}"
         )
     return max_descriptors
 
--- a/dunecove/policy/slow_start.py
+++ b/dunecove/policy/slow_start.py
@@ -20,18 +20,18 @@
     def __init__(self, slow_start_ms: float) -> None:
         self.is_clock_plausible = False  # whether a start was neither in the future nor long past
         self._slow_start_ms = slow_start_ms
-        self._cold_until: dict[str, float] = {}
+        self._slow_start_ends: dict[str, float] = {}
         # Start times in the first lists that are long past or in the future by this proxy's clock. The newest
         # start has certainly happened, which gives a minimum age for each of the others.
         self._unproven_starts: dict[str, float] = {}
         self._newest_start = -inf
         self._newest_received_at = 0.0
 
-    def cold_until(self, backend_id: str) -> float:
+    def slow_start_end(self, backend_id: str) -> float:
         """Return the time at which a backend becomes warm; 0 if it is not known to be cold."""
         started_at = self._unproven_starts.get(backend_id)
         if started_at is None:
-            return self._cold_until.get(backend_id, 0.0)
+            return self._slow_start_ends.get(backend_id, 0.0)
         if self.is_clock_plausible and started_at <= self._newest_received_at:
             return 0.0  # long past, by a clock that was found plausible
         return self._newest_received_at + self._slow_start_ms - (self._newest_start - started_at)
@@ -43,7 +43,7 @@
             return
         is_plausible = now - min(MAX_UPDATE_DELAY_MS, self._slow_start_ms) <= started_at <= now
         self.is_clock_plausible = self.is_clock_plausible or is_plausible
-        self._cold_until[backend_id] = (started_at if is_plausible else now) + self._slow_start_ms
+        self._slow_start_ends[backend_id] = (started_at if is_plausible else now) + self._slow_start_ms
 
     def record_first_update(self, now: float, backend_id: str, started_at: float | None) -> None:
         """Record a start that is in the first update from discovery but not in the cached list.
@@ -62,7 +62,7 @@
             return
         if now - self._slow_start_ms < started_at <= now:
             self.is_clock_plausible = True
-            self._cold_until[backend_id] = started_at + self._slow_start_ms
+            self._slow_start_ends[backend_id] = started_at + self._slow_start_ms
             return
         self._unproven_starts[backend_id] = started_at
         if started_at > self._newest_start:
@@ -71,11 +71,11 @@
 
     def forget(self, backend_id: str) -> None:
         """Discard the start of a backend that is warm or was removed."""
-        self._cold_until.pop(backend_id, None)
+        self._slow_start_ends.pop(backend_id, None)
         self._unproven_starts.pop(backend_id, None)
 
     def prune(self, now: float) -> None:
         """Discard the starts of all backends that are warm by now."""
-        known = [*self._cold_until, *self._unproven_starts]
-        for backend_id in [backend_id for backend_id in known if self.cold_until(backend_id) <= now]:
+        known = [*self._slow_start_ends, *self._unproven_starts]
+        for backend_id in [backend_id for backend_id in known if self.slow_start_end(backend_id) <= now]:
             self.forget(backend_id)
--- a/dunecove/policy/slow_start_budget.py
+++ b/dunecove/policy/slow_start_budget.py
@@ -35,7 +35,7 @@
     def update(self, now: float, backend: Backend) -> None:
         """Update when a backend becomes warm; one that has just become cold gets a small budget."""
         was_cold = backend.cold_until > now
-        backend.cold_until = self._slow_start.cold_until(backend.id)
+        backend.cold_until = self._slow_start.slow_start_end(backend.id)
         if backend.cold_until <= now or was_cold:
             return
         backend.limit = min(1.0, backend.limit)
--- a/tests/policy/test_discovery_polling.py
+++ b/tests/policy/test_discovery_polling.py
@@ -1,4 +1,4 @@
-"""When discovery is polled."""
+"""The times at which discovery is polled."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.support import Driver, actions_of_type, make_backends, make_settings
 
 
-def test_discovery_is_polled_soon_and_after_failures_with_longer_waits() -> None:
+def test_first_poll_is_early_and_retry_delays_grow_to_maximum() -> None:
     driver = Driver(
         make_settings(polls_discovery=True, proxy_count=3, max_poll_interval_ms=10_000.0), *make_backends(1)
     )
@@ -37,56 +37,60 @@
     assert not actions_of_type(PollDiscovery, driver.run_ticks(30_000))
 
 
-@pytest.mark.parametrize("me", [0, 342, 684])
-def test_hundreds_of_proxies_poll_within_the_longest_interval(me: int) -> None:
-    """Past it a proxy counts as notified of drains it has not heard of (incident i7da933)."""
+@pytest.mark.parametrize("proxy_index", [0, 342, 684])
+def test_first_poll_of_large_tier_is_within_maximum_interval(proxy_index: int) -> None:
+    """After that a proxy counts as notified of drains that it has not received (incident i7da933)."""
     driver = Driver(
-        make_settings(polls_discovery=True, proxy_count=685, proxy_index=me, max_poll_interval_ms=10_000.0),
+        make_settings(
+            polls_discovery=True, proxy_count=685, proxy_index=proxy_index, max_poll_interval_ms=10_000.0
+        ),
         *make_backends(1),
     )
     assert actions_of_type(PollDiscovery, driver.run_ticks(8_000))
 
 
 @pytest.mark.parametrize("proxies", [200, 1_000, 3_400])
-def test_after_failed_polls_hundreds_of_proxies_leave_discovery_capacity(proxies: int) -> None:
-    """Each proxy must be notified within 6 s of the return, so a sixth of them polls each second at least."""
+def test_retries_of_large_tier_are_within_rate_bounds_of_discovery(proxies: int) -> None:
+    """Each proxy must be notified within 6 s after an outage, so at least a sixth poll in each second."""
     config = make_settings(polls_discovery=True, proxy_count=proxies, max_poll_interval_ms=10_000.0)
-    asked: Counter[int] = Counter()
-    for me in range(0, proxies, proxies // 200):
-        driver = Driver(replace(config, proxy_index=me), *make_backends(1), seed=me)
+    polls: Counter[int] = Counter()  # by second
+    for proxy_index in range(0, proxies, proxies // 200):
+        driver = Driver(replace(config, proxy_index=proxy_index), *make_backends(1), seed=proxy_index)
         end = driver.now + 30_000
         while driver.now < end:
             if actions_of_type(PollDiscovery, driver.tick()):
-                asked[int(driver.now / 1000)] += proxies // 200
+                polls[int(driver.now / 1000)] += proxies // 200
                 driver.step(BackendListUpdate(ListUpdateKind.FAILED))
-    later = [asked[second] for second in range(8, 29)]  # the first ones are soon made again, see above
-    assert max(later) <= 0.6 * proxies and min(later) >= proxies / 6
-    assert max(asked.values()) <= 1.5 * proxies
+    steady = [polls[second] for second in range(8, 29)]  # without the first retries, which are fast
+    assert max(steady) <= 0.6 * proxies and min(steady) >= proxies / 6
+    assert max(polls.values()) <= 1.5 * proxies
 
 
-def test_a_pushed_list_that_failed_is_read_again_soon_however_often_it_fails() -> None:
+def test_failed_pushed_list_is_retried_fast_after_any_number_of_failures() -> None:
     driver = Driver(make_settings(proxy_count=40, max_poll_interval_ms=10_000.0), *make_backends(1))
     for _ in range(8):
         driver.step(BackendListUpdate(ListUpdateKind.FAILED))
         assert actions_of_type(PollDiscovery, driver.run_ticks(250))
 
 
-@pytest.mark.parametrize("ask", [True, False])
-def test_a_long_outage_of_discovery_breaks_nothing(ask: bool) -> None:
-    # Two minutes and a half of rejected calls are 1,024 of them, and a wait doubled so often is no number.
-    driver = Driver(make_settings(polls_discovery=ask), *make_backends(2))
+@pytest.mark.parametrize("polls_discovery", [True, False])
+def test_polling_continues_after_long_outage_of_discovery(polls_discovery: bool) -> None:
+    # Guards against an overflow: 1,024 polls fail in two and a half minutes, and a delay that is doubled as
+    # often exceeds the range of a float.
+    driver = Driver(make_settings(polls_discovery=polls_discovery), *make_backends(2))
     for _ in range(1_100):
         driver.step(BackendListUpdate(ListUpdateKind.FAILED), elapsed_ms=150.0)
     assert actions_of_type(PollDiscovery, driver.run_ticks(10_000))
 
 
-def test_a_poll_that_nothing_is_heard_of_is_repeated() -> None:
+def test_poll_without_result_is_repeated() -> None:
     driver = Driver(make_settings(polls_discovery=True, max_poll_interval_ms=10_000.0), *make_backends(1))
     assert len(actions_of_type(PollDiscovery, driver.run_ticks(12_000))) >= 2
 
 
-def test_a_failed_poll_of_a_service_just_moved_to_is_repeated_at_once() -> None:
-    # Its updates count as notified 4 s after the move: the wait grown by earlier failures is too long.
+def test_failed_poll_shortly_after_move_is_retried_fast() -> None:
+    # The updates of the new service count as notified 4 s after the move, so the delay that has grown with
+    # earlier failures would be too long.
     driver = Driver(make_settings(polls_discovery=True), *make_backends(2))
     for _ in range(6):
         driver.step(BackendListUpdate(ListUpdateKind.FAILED))
@@ -95,6 +99,6 @@
         driver.step(BackendListUpdate(ListUpdateKind.FAILED))
         assert actions_of_type(PollDiscovery, driver.run_ticks(250))
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(make_backends(2))))
-    assert not actions_of_type(PollDiscovery, driver.run_ticks(20_000))  # the watch stands
+    assert not actions_of_type(PollDiscovery, driver.run_ticks(20_000))  # the watch is open
     driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     assert not actions_of_type(PollDiscovery, driver.run_ticks(200))
--- a/tests/policy/test_list_updates.py
+++ b/tests/policy/test_list_updates.py
@@ -1,4 +1,4 @@
-"""What an update of the endpoint list changes."""
+"""Updates of the endpoint list."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from tests.support import Driver, actions_of_type, make_backends, make_settings
 
 
-def delta(name: str, state: BackendState) -> BackendListUpdate:
-    return BackendListUpdate(ListUpdateKind.DELTA, (BackendInfo(name, state),))
+def delta(backend_id: str, state: BackendState) -> BackendListUpdate:
+    return BackendListUpdate(ListUpdateKind.DELTA, (BackendInfo(backend_id, state),))
 
 
 @pytest.mark.parametrize("state", [BackendState.DRAINING, BackendState.REMOVED])
-def test_nothing_is_forwarded_to_a_backend_that_drains_or_is_removed(state: BackendState) -> None:
+def test_draining_or_removed_backend_gets_no_requests(state: BackendState) -> None:
     driver = Driver(make_settings(), *make_backends(2))
     driver.step(delta("10.0.0.0:80", state))
     for _ in range(10):
         driver.end_attempt(driver.send_request())
-    assert {s for sends in driver.forwards.values() for s in sends} == {"10.0.0.1:80"}
+    assert {i for backend_ids in driver.forwards.values() for i in backend_ids} == {"10.0.0.1:80"}
 
 
-def test_a_snapshot_without_a_backend_removes_it() -> None:
+def test_snapshot_removes_backend_that_it_does_not_contain() -> None:
     driver = Driver(make_settings(), *make_backends(2))
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(make_backends(1))))
     assert [s.id for s in driver.balancer.backends.active] == ["10.0.0.0:80"]
 
 
-def test_a_removed_backend_that_responds_late_does_no_harm() -> None:
+def test_late_response_of_removed_backend_does_not_add_it_again() -> None:
     driver = Driver(make_settings(), *make_backends(1))
     request = driver.send_request()
     driver.step(delta("10.0.0.0:80", BackendState.REMOVED))
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejection of backends that fail far more than others, and failure reports by gossip."""
+"""Ejection of backends that fail far more often than others, and gossiped failure reports."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 GOSSIPING: dict[str, Any] = {"proxy_count": 40, "may_gossip": True}
 
 
-def test_another_zone_serves_when_the_own_one_fails() -> None:
+def test_requests_go_to_other_zone_when_own_zone_fails() -> None:
     driver = Driver(make_settings(proxy_count=8, zone_count=2), *make_backends_in_two_zones(8))
-    first: list[str] = []
+    first_backends: list[str] = []
     for _ in range(100):
         request = driver.send_request()
-        first.append(driver.forwards[request][0])
+        first_backends.append(driver.forwards[request][0])
         for attempt in range(4):
             if len(driver.forwards[request]) > attempt:
                 near = driver.forwards[request][attempt].split(".")[2] == "0"
@@ -35,17 +35,17 @@
                     request, AttemptResult.CONNECT_FAILED if near else AttemptResult.OK, elapsed_ms=1.0
                 )
         driver.run_ticks(100)
-    assert sum(s.split(".")[2] == "1" for s in first[60:]) > 15
+    assert sum(s.split(".")[2] == "1" for s in first_backends[60:]) > 15
 
 
 def forwards_to_failing_backend(driver: Driver, bad: str, arrivals: int) -> int:
-    """Of each three requests there it fails two, so that three in a row are rare."""
-    sends = 0
+    """Return the number of forwards to `bad`, which fails two of each three, so rarely three in a row."""
+    forward_count = 0
     for _ in range(arrivals):
         request = driver.send_request()
-        there = driver.forwards[request][0] == bad
-        sends += there
-        fails = there and sends % 3 != 0
+        is_bad = driver.forwards[request][0] == bad
+        forward_count += is_bad
+        fails = is_bad and forward_count % 3 != 0
         driver.end_attempt(
             request,
             AttemptResult.ERROR if fails else AttemptResult.OK,
@@ -54,14 +54,14 @@
             latency_ms=40.0,
         )
         driver.tick(elapsed_ms=30.0)
-    return sends
+    return forward_count
 
 
-def test_a_backend_that_fails_often_but_seldom_in_a_row_is_ejected_and_replaced() -> None:
+def test_backend_with_many_but_few_consecutive_failures_is_ejected_and_replaced() -> None:
     driver = Driver(make_settings(proxy_count=40), *make_backends(30))
     bad = driver.balancer.backends.subset[0]
     assert forwards_to_failing_backend(driver, bad.id, 250) <= 12  # an even share would be 20
-    assert bad.next_ejection_ms > 1000.0  # and a success between two failures does not reset its ejection
+    assert bad.next_ejection_ms > 1000.0  # a success between two failures does not reset it
     bad.ejected_until = driver.now + 3000.0
     driver.run_ticks(1100)
     assert bad not in driver.balancer.backends.subset and len(driver.balancer.backends.subset) >= 8
@@ -74,34 +74,36 @@
     )
 
 
-def test_a_failure_is_reported_and_one_that_may_be_load_is_not() -> None:
+def test_backend_faults_are_reported_and_load_failures_are_not() -> None:
     driver = Driver(make_settings(**GOSSIPING), *make_backends(30))
     name, (gossip,) = fail_one(driver, AttemptResult.ERROR)
     assert gossip.payload == b"\x01" + driver.balancer.backends.by_id[name].name_hash.to_bytes(4, "big")
     for result in (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.REJECTED):
         assert fail_one(driver, result)[1] == []
-    alone = Driver(make_settings(proxy_count=3, may_gossip=True), *make_backends(30))
-    forbidden = Driver(make_settings(proxy_count=40), *make_backends(30))
-    assert fail_one(alone, AttemptResult.ERROR)[1] == fail_one(forbidden, AttemptResult.ERROR)[1] == []
+    dense = Driver(make_settings(proxy_count=3, may_gossip=True), *make_backends(30))
+    without_gossip = Driver(make_settings(proxy_count=40), *make_backends(30))
+    assert fail_one(dense, AttemptResult.ERROR)[1] == fail_one(without_gossip, AttemptResult.ERROR)[1] == []
 
 
 @pytest.mark.parametrize(
-    ("senders", "apart", "ejected"),
+    ("senders", "interval_ms", "ejected"),
     [((1, 2, 1), 10.0, True), ((1, 1, 1), 10.0, False), ((1, 2, 3), 600.0, False)],
 )
-def test_a_backend_that_other_proxies_see_fail_is_ejected(
-    senders: tuple[int, ...], apart: float, ejected: bool
+def test_backend_is_ejected_after_enough_recent_reports_of_two_proxies(
+    senders: tuple[int, ...], interval_ms: float, ejected: bool
 ) -> None:
     driver = Driver(make_settings(**GOSSIPING), *make_backends(30))
     backend = driver.balancer.backends.subset[0]
     for sender in senders:
-        driver.step(GossipReceived(sender, b"\x01" + backend.name_hash.to_bytes(4, "big")), elapsed_ms=apart)
+        driver.step(
+            GossipReceived(sender, b"\x01" + backend.name_hash.to_bytes(4, "big")), elapsed_ms=interval_ms
+        )
     assert (not backend.has_capacity(driver.now)) == ejected
     driver.run_ticks(2000)  # longer than its first ejection may last
     assert backend.has_capacity(driver.now)
 
 
-def test_other_proxies_cannot_eject_most_backends() -> None:
+def test_reports_eject_at_most_half_of_backends() -> None:
     driver = Driver(make_settings(**GOSSIPING), *make_backends(10))
     data = b"\x01" + b"".join(s.name_hash.to_bytes(4, "big") for s in driver.balancer.backends.active)
     for sender in (1, 2, 3):
@@ -109,9 +111,9 @@
     assert sum(s.has_capacity(driver.now) for s in driver.balancer.backends.active) == 5
 
 
-def test_messages_that_say_nothing_to_this_proxy_are_ignored() -> None:
+def test_own_reports_and_malformed_unknown_or_unlisted_ones_are_ignored() -> None:
     driver = Driver(make_settings(proxy_index=4, **GOSSIPING), *make_backends(30))
-    gone = driver.balancer.backends.subset[0].name_hash.to_bytes(4, "big")
+    removed = driver.balancer.backends.subset[0].name_hash.to_bytes(4, "big")
     own = GossipReceived(4, b"\x01" + driver.balancer.backends.subset[1].name_hash.to_bytes(4, "big"))
     driver.step(
         BackendListUpdate(
@@ -119,7 +121,7 @@
             tuple(s for s in make_backends(30) if s.backend_id != driver.balancer.backends.subset[0].id),
         )
     )
-    for data in (b"", b"\x01", b"\x01abc", b"\x01abcd", b"\x02" + gone, b"\x01" + gone):
+    for data in (b"", b"\x01", b"\x01abc", b"\x01abcd", b"\x02" + removed, b"\x01" + removed):
         for sender in (1, 2, 3):
             driver.step(GossipReceived(sender, data), own)
     assert all(s.has_capacity(driver.now) for s in driver.balancer.backends.active)
@@ -139,7 +141,7 @@
     return actions
 
 
-def test_an_outlier_is_ejected_and_comes_back_on_trial() -> None:
+def test_outlier_is_ejected_and_gets_one_trial_request_afterwards() -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(4))
     backend = driver.balancer.backends.active[0]
     assert [a for a in fail_often(driver, 0, 10) if isinstance(a, BackendEjected)]
@@ -147,20 +149,20 @@
     driver.now = backend.ejected_until + 1
     assert backend.has_capacity(driver.now)
     backend.in_flight = 1
-    assert not backend.has_capacity(driver.now)  # one on trial, not a full load
+    assert not backend.has_capacity(driver.now)  # one trial request only
     backend.in_flight = 0
     driver.end_attempt(driver.send_request())
     assert backend.consecutive_failures == 0
 
 
-def test_never_more_than_half_are_ejected() -> None:
+def test_at_most_half_of_backends_are_ejected() -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(4))
     for n in range(4):
         fail_often(driver, n, 12)
     assert sum(s.consecutive_failures >= 3 for s in driver.balancer.backends.active) <= 2
 
 
-def test_none_is_ejected_when_all_serve_alike() -> None:
+def test_no_backend_is_ejected_when_all_have_same_payoff() -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(4))
     for backend in driver.balancer.backends.active:
         backend.payoff = 0.2
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""A cold backend gets no more than it can take from all proxies together."""
+"""Slow start: all proxies together don't overload a cold backend."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 
 
 class Fleet:
-    """Proxies, each a balancer of its own, before warm backends that respond to all after the same time."""
+    """Simulates proxies, each with its own `Balancer`, and backends that all respond after `LATENCY_MS`."""
 
     def __init__(
         self, proxies: int, warm: int, backend_rate: float, shares: list[float], seed: int = 1
     ) -> None:
         self.proxies = proxies
-        self.backend_rate = backend_rate  # requests a second that a warm backend can do
-        self.shares = shares  # of the traffic, by proxy
+        self.backend_rate = backend_rate  # capacity of a warm backend, in requests per second
+        self.shares = shares  # share of the traffic of each proxy, not normalized
         self.random = Random(seed)
         self.ids = count()
         self.now = 100_000.0
         self.backends = [BackendInfo(f"10.0.0.{n}:80") for n in range(warm)]
         self.balancers: dict[int, Balancer] = {}
         self.events: list[tuple[float, int, int, object]] = []
-        self.forwarded_at: dict[str, list[float]] = {}  # when something was sent to each cold one
+        self.forwarded_at: dict[str, list[float]] = {}  # times of the requests to each cold backend, in ms
         for proxy in range(proxies):
             self.start(proxy)
 
     def start(self, proxy: int) -> None:
-        """Start it, or start it anew: nothing of the process before it remains."""
+        """Start a proxy, or restart it without any state of its previous process."""
         self.events = [event for event in self.events if event[2] != proxy]
         heapify(self.events)
         config = make_settings(
@@ -78,9 +78,9 @@
                     self.events, (self.now + queue_timeouts.TICK_MS, next(self.ids), proxy, TimerFired(0))
                 )
 
-    def run(self, ms: float, load: float) -> None:
-        """`load`: of what all backends can do together when warm, over all proxies by their shares."""
-        end, total = self.now + ms, load * self.backend_rate * len(self.backends) / 1000
+    def run(self, duration_ms: float, load: float) -> None:
+        """Send requests for `duration_ms`; `load` is a fraction of the capacity of all backends when warm."""
+        end, total = self.now + duration_ms, load * self.backend_rate * len(self.backends) / 1000
         following = self.now + self.random.expovariate(total) if total else end
         while self.now < end:
             self.now = min(end, following, self.events[0][0])
@@ -93,7 +93,7 @@
                 following = self.now + self.random.expovariate(total)
 
     def join(self, cold: int, clock_off_ms: float = 0.0) -> None:
-        """Cold backends that all learn of at once, by a clock that may be off from that of the proxies."""
+        """Add cold backends to all lists at once, with a start time that is wrong by `clock_off_ms`."""
         started = self.now + clock_off_ms
         new = [BackendInfo(f"10.9.9.{n}:80", started_at=started) for n in range(cold)]
         self.forwarded_at = {entry.backend_id: [] for entry in new}
@@ -103,59 +103,61 @@
             self.update_list(proxy, ListUpdateKind.DELTA, new)
 
     def highest_load(self) -> float:
-        """Return the highest load that any cold backend got in any window; above 1 it fails."""
+        """Return the highest load of any cold backend in any window; above 1 the backend fails."""
         return max(self._highest_load(sent) for sent in self.forwarded_at.values())
 
     def _highest_load(self, sent: list[float]) -> float:
-        """Return the highest number of these forwards in any window, as a part of what is allowed."""
+        """Return the highest number of these requests in any window, as a fraction of the allowed number."""
         worst, first = 0.0, 0
         for last, at in enumerate(sent):
             while sent[first] <= at - WINDOW_MS:
                 first += 1
-            warmth = INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * min(
+            warm_fraction = INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * min(
                 1.0, (at - self.joined_at) / SLOW_START_MS
             )
-            allowed = OVERLOAD_FACTOR * self.backend_rate * warmth * WINDOW_MS / 1000
+            allowed = OVERLOAD_FACTOR * self.backend_rate * warm_fraction * WINDOW_MS / 1000
             worst = max(worst, (last - first + 1) / (allowed + 2 * sqrt(allowed) + 2))
         return worst
 
 
-def harmonic(proxies: int) -> list[float]:
-    """Uneven shares of the traffic: the second proxy gets half of what the first gets, and so on."""
-    return [1 / (place + 1) for place in range(proxies)]
+def harmonic_shares(proxies: int) -> list[float]:
+    """Return uneven shares of the traffic: proxy n gets 1/n of the first one's."""
+    return [1 / (index + 1) for index in range(proxies)]
 
 
-@pytest.mark.parametrize(("proxies", "shares"), [(3, harmonic), (20, None), (30, harmonic), (200, harmonic)])
+@pytest.mark.parametrize(
+    ("proxies", "shares"), [(3, harmonic_shares), (20, None), (30, harmonic_shares), (200, harmonic_shares)]
+)
 @pytest.mark.parametrize(("warm", "cold"), [(20, 20), (8, 12)])
-def test_a_burst_after_a_quiet_time_does_not_push_a_cold_backend_over(
+def test_burst_after_idle_time_does_not_overload_cold_backends(
     proxies: int, shares: Callable[[int], list[float]] | None, warm: int, cold: int
 ) -> None:
-    world = Fleet(proxies, warm, 2.0, shares(proxies) if shares else [1.0] * proxies)
-    world.run(3_000, 0.7)
-    world.join(cold)
-    world.run(4_000, 0.0)
-    world.run(1_500, 1.5)
-    assert 0 < world.highest_load() <= 1
+    fleet = Fleet(proxies, warm, 2.0, shares(proxies) if shares else [1.0] * proxies)
+    fleet.run(3_000, 0.7)
+    fleet.join(cold)
+    fleet.run(4_000, 0.0)
+    fleet.run(1_500, 1.5)
+    assert 0 < fleet.highest_load() <= 1
 
 
 @pytest.mark.parametrize("proxies", [3, 20, 30, 200])
-def test_cold_backends_hold_where_no_proxy_knows_what_a_warm_one_does(proxies: int) -> None:
-    world = Fleet(proxies, 0, 2.0, harmonic(proxies))
-    world.join(20)
-    world.run(3_000, 1.5)
-    assert 0 < world.highest_load() <= 1
+def test_cold_backends_are_not_overloaded_when_no_warm_backend_was_observed(proxies: int) -> None:
+    fleet = Fleet(proxies, 0, 2.0, harmonic_shares(proxies))
+    fleet.join(20)
+    fleet.run(3_000, 1.5)
+    assert 0 < fleet.highest_load() <= 1
 
 
 @pytest.mark.parametrize("proxies", [3, 20, 30, 200])
-def test_cold_backends_hold_where_half_of_the_proxies_started_later_than_they(proxies: int) -> None:
-    world = Fleet(proxies, 8, 6.0, harmonic(proxies))
-    world.run(3_000, 0.7)
-    world.join(12)
-    world.run(500, 0.7)
+def test_cold_backends_are_not_overloaded_when_half_of_proxies_restart_after_them(proxies: int) -> None:
+    fleet = Fleet(proxies, 8, 6.0, harmonic_shares(proxies))
+    fleet.run(3_000, 0.7)
+    fleet.join(12)
+    fleet.run(500, 0.7)
     for proxy in range(0, proxies, 2):
-        world.start(proxy)
-    world.run(3_000, 0.9)
-    assert 0 < world.highest_load() <= 1
+        fleet.start(proxy)
+    fleet.run(3_000, 0.9)
+    assert 0 < fleet.highest_load() <= 1
 
 
 HOUR_MS = 3_600_000.0
@@ -163,52 +165,54 @@
 
 @pytest.mark.parametrize("clock_off_ms", [-HOUR_MS, -20_000.0, 20_000.0, HOUR_MS])
 @pytest.mark.parametrize("proxies", [3, 30])
-def test_cold_backends_hold_whatever_the_clock_says_that_dated_their_start(
+def test_cold_backends_are_not_overloaded_when_their_start_times_are_wrong(
     proxies: int, clock_off_ms: float
 ) -> None:
-    world = Fleet(proxies, 8, 6.0, harmonic(proxies))
-    world.run(3_000, 0.7)
-    world.join(12, clock_off_ms)
-    world.run(3_000, 0.9)
-    assert 0 < world.highest_load() <= 1
+    fleet = Fleet(proxies, 8, 6.0, harmonic_shares(proxies))
+    fleet.run(3_000, 0.7)
+    fleet.join(12, clock_off_ms)
+    fleet.run(3_000, 0.9)
+    assert 0 < fleet.highest_load() <= 1
 
 
 @pytest.mark.parametrize(
-    ("clock_off_ms", "end"), [(-3_000.0, 3_000.0), (-8_000.0, 6_000.0), (8_000.0, 6_000.0)]
+    ("clock_off_ms", "cold_ms"), [(-3_000.0, 3_000.0), (-8_000.0, 6_000.0), (8_000.0, 6_000.0)]
 )
-def test_a_date_is_not_believed_past_a_short_cold_time(clock_off_ms: float, end: float) -> None:
-    """By such a date it would be warm, or not have started: the start is taken to be now."""
+def test_start_time_outside_short_slow_start_counts_as_now(clock_off_ms: float, cold_ms: float) -> None:
+    """By such a start time the backend would already be warm, or would not have started yet."""
     now, slow_start = 100_000.0, SlowStart(6_000.0)
     slow_start.record_restart(now, "s", now + clock_off_ms)
-    assert slow_start.cold_until("s") == now + end
+    assert slow_start.slow_start_end("s") == now + cold_ms
 
 
 @pytest.mark.parametrize("clock_off_ms", [-HOUR_MS, HOUR_MS])
 @pytest.mark.parametrize("proxies", [3, 30])
-def test_cold_backends_hold_where_all_proxies_start_anew_by_a_clock_that_is_off(
+def test_cold_backends_are_not_overloaded_when_all_proxies_restart_and_start_times_are_wrong(
     proxies: int, clock_off_ms: float
 ) -> None:
-    world = Fleet(proxies, 8, 6.0, harmonic(proxies))
-    world.run(3_000, 0.7)
-    world.join(12, clock_off_ms)
+    fleet = Fleet(proxies, 8, 6.0, harmonic_shares(proxies))
+    fleet.run(3_000, 0.7)
+    fleet.join(12, clock_off_ms)
     for proxy in range(proxies):
-        world.start(proxy)
-    world.run(3_000, 0.9)
-    assert 0 < world.highest_load() <= 1
+        fleet.start(proxy)
+    fleet.run(3_000, 0.9)
+    assert 0 < fleet.highest_load() <= 1
 
 
 @pytest.mark.parametrize("clock_off_ms", [-HOUR_MS, HOUR_MS])
-@pytest.mark.parametrize("anew", [False, True])
-def test_slow_start_ends_in_its_time_whatever_the_clock_says(clock_off_ms: float, anew: bool) -> None:
-    world = Fleet(3, 8, 6.0, [1.0, 1.0, 1.0])
-    world.run(3_000, 0.7)
-    world.join(12, clock_off_ms)
-    if anew:
+@pytest.mark.parametrize("restarts_proxies", [False, True])
+def test_slow_start_ends_in_time_when_start_times_are_wrong(
+    clock_off_ms: float, restarts_proxies: bool
+) -> None:
+    fleet = Fleet(3, 8, 6.0, [1.0, 1.0, 1.0])
+    fleet.run(3_000, 0.7)
+    fleet.join(12, clock_off_ms)
+    if restarts_proxies:
         for proxy in range(3):
-            world.start(proxy)
-    world.run(SLOW_START_MS + 500.0, 0.1)
+            fleet.start(proxy)
+    fleet.run(SLOW_START_MS + 500.0, 0.1)
     assert all(
-        s.cold_until <= world.now
-        for balancer in world.balancers.values()
+        s.cold_until <= fleet.now
+        for balancer in fleet.balancers.values()
         for s in balancer.backends.by_id.values()
     )
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -1,4 +1,4 @@
-"""What a cold backend gets while it warms up."""
+"""The requests that a cold backend gets while it warms up."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 }
 
 
-def test_a_zone_that_returns_cold_gets_its_part_from_proxies_of_other_zones_too() -> None:
+def test_cold_zone_gets_its_share_also_from_proxies_of_other_zones() -> None:
     cold = {
         "slow_start_capacity": 0.16,
         "slow_start_ms": 24_000.0,
@@ -33,19 +33,19 @@
     for _ in range(200):
         driver.end_attempt(driver.send_request(), elapsed_ms=10.0, latency_ms=50.0)
         driver.tick(elapsed_ms=40.0)
-    back = [s._replace(started_at=driver.now) for s in make_backends_in_two_zones(16) if s.zone == 1]
-    driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(back)))
+    restarted = [s._replace(started_at=driver.now) for s in make_backends_in_two_zones(16) if s.zone == 1]
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(restarted)))
     driver.forwards.clear()
     for _ in range(200):
         driver.end_attempt(driver.send_request(), elapsed_ms=10.0, latency_ms=50.0)
         driver.tick(elapsed_ms=40.0)
-    cold_ones = sum(sent[0].split(".")[2] == "1" for sent in driver.forwards.values())
-    assert 10 <= cold_ones <= 80  # of 200, half of the backends being at a sixth to a half of their capacity
+    cold_count = sum(ids[0].split(".")[2] == "1" for ids in driver.forwards.values())
+    assert 10 <= cold_count <= 80  # of 200; half of the backends have a sixth to a half of their capacity
 
 
 @pytest.mark.parametrize("proxies", [50, 400])
-def test_budgets_of_many_proxies_do_not_come_due_together(proxies: int) -> None:
-    """All hear of a new backend at once; a first request of each at the same time would push it over."""
+def test_first_requests_of_many_proxies_to_cold_backend_are_spread(proxies: int) -> None:
+    """All proxies learn of a new backend at once; a first request from each at once would overload it."""
     cold = {
         "slow_start_capacity": 0.12,
         "slow_start_ms": 20_000.0,
@@ -53,11 +53,11 @@
         "slow_start_window_ms": 2000.0,
     }
     times = []
-    for me in range(proxies):
+    for proxy_index in range(proxies):
         driver = Driver(
-            make_settings(proxy_count=proxies, proxy_index=me, **cold),
+            make_settings(proxy_count=proxies, proxy_index=proxy_index, **cold),
             BackendInfo("new:1", started_at=990.0),
-            seed=me,
+            seed=proxy_index,
         )
         for _ in range(80):
             if driver.forwards:
@@ -68,16 +68,16 @@
     assert len(times) <= proxies / 10 + 4
 
 
-def forwards_to(name: str, drivers: list[Driver]) -> int:
-    return sum(s == name for d in drivers for sends in d.forwards.values() for s in sends)
+def forwards_to(backend_id: str, drivers: list[Driver]) -> int:
+    return sum(i == backend_id for driver in drivers for ids in driver.forwards.values() for i in ids)
 
 
 @pytest.mark.parametrize("split", [(1, 1, 1), (1, 0, 0), (4, 1, 1)])
-def test_the_budget_of_all_proxies_stays_under_the_capacity_for_any_split(split: tuple[int, ...]) -> None:
-    """Warm backends carry 10 a second each; a cold one's capacity is at least its part of that."""
+def test_total_budget_stays_within_capacity_for_any_traffic_split(split: tuple[int, ...]) -> None:
+    """A warm backend gets 10 requests per second; a cold one has at least its share of that as capacity."""
     config = make_settings(proxy_count=3, **COLD)
     drivers = [Driver(config, *make_backends(4), seed=s) for s in range(3)]
-    pause = 1000.0 / 40.0 * sum(split)
+    elapsed_ms = 1000.0 / 40.0 * sum(split)
     sent: list[tuple[float, int]] = []
     for tick in range(400):
         for driver, weight in zip(drivers, split, strict=True):
@@ -87,17 +87,17 @@
                 )
             for _ in range(weight):
                 driver.end_attempt(driver.send_request(), elapsed_ms=0.0, latency_ms=20.0)
-            driver.tick(elapsed_ms=pause)
+            driver.tick(elapsed_ms=elapsed_ms)
         sent.append((drivers[0].now, forwards_to("new:1", drivers)))
     start = sent[200][0]
     for now, count in sent[200:]:
         before = max((c for t, c in sent if t <= now - 2000), default=0)
-        part = 0.12 + 0.88 * max(0.0, now - 2000 - start) / 20_000
-        assert count - before <= 3 * part * 10 * 2 + 3  # and the rule's slack for chance
+        capacity = 0.12 + 0.88 * max(0.0, now - 2000 - start) / 20_000
+        assert count - before <= 3 * capacity * 10 * 2 + 3  # 3: the rule's tolerance for random variation
     assert sent[-1][1] > 3
 
 
-def test_a_cold_backend_gets_little_before_anything_was_observed() -> None:
+def test_cold_backend_gets_few_requests_before_any_observation() -> None:
     driver = Driver(make_settings(proxy_count=2, **COLD), BackendInfo("new:1", started_at=900.0))
     for _ in range(40):
         driver.send_request(timeout_ms=5000)
@@ -107,7 +107,7 @@
     assert forwards_to("new:1", [driver]) <= 3
 
 
-def test_a_restarted_backend_is_cold_and_its_limit_is_forgotten() -> None:
+def test_restarted_backend_is_cold_and_its_learned_state_is_reset() -> None:
     driver = Driver(make_settings(**COLD), *make_backends(2))
     backend = driver.balancer.backends.active[0]
     backend.limit, backend.payoff = 9.0, 0.1
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""A long list: what was learned is kept of the first by rank only, and no cost grows with the others."""
+"""Long endpoint lists: only subscribed backends have state, and no cost grows with the number of others."""
 
 from __future__ import annotations
 
@@ -36,27 +36,27 @@
 NAMES = [f"{name}{i}" for name in ("plumless", "buckeroo") for i in range(4)] + [f"s{i}" for i in range(40)]
 
 
-def make_numbered_backends(n: int, first: int = 0, **more: float) -> tuple[BackendInfo, ...]:
+def make_numbered_backends(count: int, first: int = 0, **fields: float) -> tuple[BackendInfo, ...]:
     return tuple(
-        BackendInfo(f"s-{i:08x}", zone=i % 3, cell=i // 4, **more)  # type: ignore[arg-type]
-        for i in range(first, first + n)
+        BackendInfo(f"s-{i:08x}", zone=i % 3, cell=i // 4, **fields)  # type: ignore[arg-type]
+        for i in range(first, first + count)
     )
 
 
-def by_rank(names: list[str], me: int) -> list[int]:
-    return sorted(hash_pair(me + 1, crc32(name.encode())) for name in names)
+def by_rank(names: list[str], proxy_index: int) -> list[int]:
+    return sorted(hash_pair(proxy_index + 1, crc32(name.encode())) for name in names)
 
 
 @pytest.fixture
-def hashed() -> Iterator[list[int]]:
-    """Every backend that is looked up, moved or compared by rank is hashed: how many were."""
+def hash_count() -> Iterator[list[int]]:
+    """Count the hashes: one for each backend that is looked up, moved or compared by rank."""
     count = [0]
 
-    def counting(key: int, number: int) -> int:
+    def count_and_hash(key: int, number: int) -> int:
         count[0] += 1
         return hash_pair(key, number)
 
-    with patch.object(rendezvous_hash, "hash_pair", counting):
+    with patch.object(rendezvous_hash, "hash_pair", count_and_hash):
         yield count
 
 
@@ -74,6 +74,7 @@
 LISTS = st.tuples(st.sampled_from(KINDS), st.lists(ENTRY, max_size=60, unique_by=lambda e: e.backend_id))
 
 
+# Hypothesis derives the examples from the name and source of this test: a change of either changes them.
 @limits(max_examples=150, derandomize=True, deadline=None)
 @given(st.integers(0, 9), st.lists(LISTS, min_size=1, max_size=12))
 def test_the_subset_is_the_same_as_if_all_were_kept(
@@ -107,40 +108,40 @@
             assert all(s in balancer.backends.find_by_hash(s.name_hash) for s in balancer.backends.active)
 
 
-def test_a_change_among_many_touches_few(hashed: list[int]) -> None:
+def test_small_deltas_on_long_list_hash_few_backends(hash_count: list[int]) -> None:
     driver = Driver(make_settings(**LARGE_TIER), *make_numbered_backends(20_000))
-    hashed[0] = 0
+    hash_count[0] = 0
     for n in range(50):
-        gone = make_numbered_backends(2, 400 * n)
+        removed = make_numbered_backends(2, 400 * n)
         driver.step(
             BackendListUpdate(
-                ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.DRAINING) for s in gone)
+                ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.DRAINING) for s in removed)
             )
         )
         driver.step(
             BackendListUpdate(
-                ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.REMOVED) for s in gone)
+                ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.REMOVED) for s in removed)
             )
         )
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, make_numbered_backends(2, 30_000 + 2 * n)))
-    assert hashed[0] / 150 < 30
-    hashed[0] = 0
+    assert hash_count[0] / 150 < 30
+    hash_count[0] = 0
     driver.run_ticks(3000)
-    assert hashed[0] == 0 and len(driver.balancer.backends.by_id) <= 320
+    assert hash_count[0] == 0 and len(driver.balancer.backends.by_id) <= 320
     assert driver.balancer.backends.listed_count == 20_000
 
 
-def test_new_weights_of_all_touch_only_what_the_list_says_of_them() -> None:
+def test_new_weights_of_all_backends_change_their_entries_only() -> None:
     driver = Driver(make_settings(**LARGE_TIER), *make_numbered_backends(5_000))
-    kept = list(driver.balancer.backends.by_id.values())
+    before = list(driver.balancer.backends.by_id.values())
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, make_numbered_backends(5_000, weight=0.5)))
-    assert list(driver.balancer.backends.by_id.values()) == kept and {s.weight for s in kept} == {0.5}
+    assert list(driver.balancer.backends.by_id.values()) == before and {s.weight for s in before} == {0.5}
     unsubscribed = driver.balancer.backends.unsubscribed
-    weights = {traits.weight for name in unsubscribed.first(maxsize) if (traits := unsubscribed.get(name))}
+    weights = {entry.weight for name in unsubscribed.first(maxsize) if (entry := unsubscribed.get(name))}
     assert weights == {0.5}
 
 
-def test_what_was_learned_is_kept_of_those_it_keeps_to() -> None:
+def test_snapshot_keeps_learned_state_of_subscribed_backends() -> None:
     driver = Driver(make_settings(**LARGE_TIER), *make_numbered_backends(5_000))
     bad = driver.balancer.backends.subset[0]
     bad.payoff = 0.1
@@ -149,20 +150,20 @@
     assert driver.balancer.backends.by_id[bad.id] is bad and bad.payoff < 1.0
 
 
-def test_few_proxies_keep_to_few_of_a_long_list_and_to_more_under_load() -> None:
+def test_dense_proxy_subscribes_to_few_backends_and_to_more_under_load() -> None:
     driver = Driver(make_settings(RequestClass(300.0, 5000.0), proxy_count=3), *make_numbered_backends(5_000))
     assert len(driver.balancer.backends.subset) <= 320
     arrivals = [RequestArrived(f"q{n}", 0, 0, None, driver.now + 5000.0) for n in range(2_000)]
-    for n in range(0, 2_000, 50):  # none ends: all are forwarded, since there are backends for all
+    for n in range(0, 2_000, 50):  # no attempt ends; all are forwarded, as there are enough backends
         driver.step(*arrivals[n : n + 50])
     assert len(driver.forwards) == 2_000 and 1_000 < len(driver.balancer.backends.subset) < 4_500
-    for request in list(driver.forwards):
-        driver.end_attempt(request, elapsed_ms=0.0, latency_ms=20.0)
+    for request_id in list(driver.forwards):
+        driver.end_attempt(request_id, elapsed_ms=0.0, latency_ms=20.0)
     driver.run_ticks(40_000)
     assert len(driver.balancer.backends.by_id) <= 320 and driver.balancer.backends.listed_count == 5_000
 
 
-def test_few_proxies_find_ready_backends_beyond_those_that_are_all_cold() -> None:
+def test_dense_proxy_subscribes_to_warm_backends_when_all_subscribed_ones_are_cold() -> None:
     cold = {"slow_start_capacity": 0.1, "slow_start_ms": 60_000.0, "slow_start_window_ms": 10_000.0}
     driver = Driver(make_settings(proxy_count=3, **cold), *make_numbered_backends(2_000))
     restarted = tuple(BackendInfo(s.id, started_at=driver.now) for s in driver.balancer.backends.active)
@@ -171,86 +172,89 @@
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.CELL, DeduplicationScope.ZONE])
-def test_the_scope_of_a_keyed_request_is_found_among_the_unsubscribed(scope: DeduplicationScope) -> None:
-    """Its repeats may go to the three others of its cell only, and of 1,250 cells few are kept whole."""
-    spec = RequestClass(900.0, 5000.0, Idempotency.KEYED, scope, 4000.0)
-    driver = Driver(make_settings(spec, **LARGE_TIER), *make_numbered_backends(5_000))
-    request = driver.send_request(timeout_ms=5000)
-    first = driver.forwards[request][0]
-    gone = BackendInfo(first, BackendState.DRAINING)
-    driver.step(BackendListUpdate(ListUpdateKind.DELTA, (gone,)))
-    driver.end_attempt(request, AttemptResult.ERROR, request_finished=False)
-    assert len(driver.forwards[request]) == 2
-    one, other = (int(name[2:], 16) for name in driver.forwards[request])
+def test_keyed_retry_finds_backends_of_its_scope_among_unsubscribed_ones(scope: DeduplicationScope) -> None:
+    """A cell has only three other backends, and few of the 1,250 cells are subscribed entirely."""
+    request_class = RequestClass(900.0, 5000.0, Idempotency.KEYED, scope, 4000.0)
+    driver = Driver(make_settings(request_class, **LARGE_TIER), *make_numbered_backends(5_000))
+    request_id = driver.send_request(timeout_ms=5000)
+    first = driver.forwards[request_id][0]
+    drained = BackendInfo(first, BackendState.DRAINING)
+    driver.step(BackendListUpdate(ListUpdateKind.DELTA, (drained,)))
+    driver.end_attempt(request_id, AttemptResult.ERROR, request_finished=False)
+    assert len(driver.forwards[request_id]) == 2
+    one, other = (int(backend_id[2:], 16) for backend_id in driver.forwards[request_id])
     assert one != other and (
         one // 4 == other // 4 if scope is DeduplicationScope.CELL else one % 3 == other % 3
     )
 
 
-def test_a_drain_of_an_unsubscribed_backend_is_known_at_once() -> None:
-    spec = RequestClass(900.0, 5000.0, Idempotency.KEYED, DeduplicationScope.CELL, 4000.0)
-    driver = Driver(make_settings(spec, **LARGE_TIER), *make_numbered_backends(5_000))
-    request = driver.send_request(timeout_ms=5000)
-    number = int(driver.forwards[request][0][2:], 16)
+def test_keyed_retry_skips_unsubscribed_backends_that_drain() -> None:
+    request_class = RequestClass(900.0, 5000.0, Idempotency.KEYED, DeduplicationScope.CELL, 4000.0)
+    driver = Driver(make_settings(request_class, **LARGE_TIER), *make_numbered_backends(5_000))
+    request_id = driver.send_request(timeout_ms=5000)
+    number = int(driver.forwards[request_id][0][2:], 16)
     cell = make_numbered_backends(4, number - number % 4)
     drained = tuple(s._replace(state=BackendState.DRAINING) for s in cell)
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, drained))
-    driver.end_attempt(request, AttemptResult.ERROR, request_finished=False)
-    assert len(driver.forwards[request]) == 1  # nobody is left who may see it again
+    driver.end_attempt(request_id, AttemptResult.ERROR, request_finished=False)
+    assert len(driver.forwards[request_id]) == 1  # no backend of its scope is left
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, cell[:1] if number % 4 else cell[1:2]))
-    assert len(driver.forwards[request]) == 2
+    assert len(driver.forwards[request_id]) == 2
 
 
-def test_up_to_the_minimum_all_are_subscribed_in_the_order_of_the_list() -> None:
+def test_list_of_minimum_size_is_subscribed_entirely_in_list_order() -> None:
     names = [s.backend_id for s in make_numbered_backends(256)]
-    for proxies in (3, 3400):
-        driver = Driver(make_settings(proxy_count=proxies), *make_numbered_backends(256))
+    for proxy_count in (3, 3400):
+        driver = Driver(make_settings(proxy_count=proxy_count), *make_numbered_backends(256))
         driver.run_ticks(2000)
         assert [
             s.id for s in driver.balancer.backends.active
         ] == names and not driver.balancer.backends.unsubscribed.count
 
 
-def test_a_tick_looks_at_cold_backends_only() -> None:
+def test_tick_does_not_iterate_over_subset() -> None:
     driver = Driver(
         make_settings(slow_start_ms=60_000.0, **LARGE_TIER),
         *make_numbered_backends(300),
         *make_numbered_backends(1, 300, started_at=900.0),
     )
-    looked = [0]
+    iteration_count = [0]
 
-    class Near(list[Backend]):
+    class CountingList(list[Backend]):
         def __iter__(self) -> Iterator[Backend]:
-            looked[0] += 1
+            iteration_count[0] += 1
             return super().__iter__()
 
     driver.run_ticks(2_000)
-    driver.balancer.backends.subset = Near(driver.balancer.backends.subset)
+    driver.balancer.backends.subset = CountingList(driver.balancer.backends.subset)
     driver.run_ticks(900)
-    assert looked[0] == 0
+    assert iteration_count[0] == 0
 
 
-def test_one_that_arrives_ahead_of_those_moved_up_is_kept() -> None:
+def test_new_backend_ranked_before_newly_subscribed_ones_is_subscribed() -> None:
     ranked = sorted(
         make_numbered_backends(60),
         key=lambda s: hash_pair(LARGE_TIER["proxy_index"] + 1, crc32(s.backend_id.encode())),
     )
     with patch.multiple(subsetting, MIN_SUBSCRIBED=16, SUBSCRIBED_SLACK=2):
         driver = Driver(make_settings(**LARGE_TIER), *ranked[:20], *ranked[30:])
-        gone = tuple(s._replace(state=BackendState.REMOVED) for s in ranked[:10])
-        driver.step(BackendListUpdate(ListUpdateKind.DELTA, gone))
+        removed = tuple(s._replace(state=BackendState.REMOVED) for s in ranked[:10])
+        driver.step(BackendListUpdate(ListUpdateKind.DELTA, removed))
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(ranked[20:22])))
-        kept = {s.id for s in driver.balancer.backends.active}
-    assert kept == {s.backend_id for s in [*ranked[10:22], *ranked[30 : 30 + len(kept) - 12]]}
+        active = {s.id for s in driver.balancer.backends.active}
+    assert active == {s.backend_id for s in [*ranked[10:22], *ranked[30 : 30 + len(active) - 12]]}
 
 
 def used_backends(driver: Driver) -> set[str]:
-    return {backend for sends in driver.forwards.values() for backend in sends}
+    return {backend_id for backend_ids in driver.forwards.values() for backend_id in backend_ids}
 
 
-def test_a_sparse_proxy_uses_a_few_backends_of_all_zones() -> None:
-    """Hundreds of proxies with a connection to each backend would fill its table (incident i02567f); one
-    zone's proxies alone would carry too much for its backends or too little."""
+def test_sparse_proxy_uses_few_backends_of_all_zones() -> None:
+    """Guards against too many connections to a backend, and against uneven load of the zones.
+
+    Connections from each of hundreds of proxies would fill a backend's connection table (incident i02567f).
+    The traffic of one zone's proxies alone would be too much or too little for its backends.
+    """
     driver = Driver(make_settings(**SPARSE_TIER), *make_backends_in_two_zones(40))
     for _ in range(200):
         driver.end_attempt(driver.send_request())
@@ -258,23 +262,23 @@
     assert len(used_backends(driver)) <= 13 and {s.split(".")[2] for s in used_backends(driver)} == {"0", "1"}
 
 
-def test_subsets_are_spread_evenly_over_the_proxies() -> None:
+def test_subsets_of_all_proxies_include_each_backend_about_equally_often() -> None:
     counts: Counter[str] = Counter()
-    for me in range(100):
-        driver = Driver(make_settings(proxy_index=me, **SPARSE_TIER), *make_backends(20))
+    for proxy_index in range(100):
+        driver = Driver(make_settings(proxy_index=proxy_index, **SPARSE_TIER), *make_backends(20))
         counts.update(s.id for s in driver.balancer.backends.subset)
     assert len(counts) == 20 and max(counts.values()) < 1.5 * 40 and min(counts.values()) > 40 / 1.5
 
 
-def test_a_subset_stays_as_it_is_when_a_backend_leaves() -> None:
+def test_subset_keeps_other_backends_when_one_is_removed() -> None:
     driver = Driver(make_settings(**SPARSE_TIER), *make_backends(20))
     before = [s.id for s in driver.balancer.backends.subset]
-    left = [s for s in make_backends(20) if s.backend_id != before[0]]
-    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(left)))
+    remaining = [s for s in make_backends(20) if s.backend_id != before[0]]
+    driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(remaining)))
     assert len({s.id for s in driver.balancer.backends.subset} & set(before)) == len(before) - 1
 
 
-def test_an_empty_list_at_the_start_is_survived() -> None:
+def test_requests_are_forwarded_after_initial_empty_list() -> None:
     driver = Driver(
         make_settings(
             RequestClass(300.0, 900.0), RequestClass(300.0, 900.0, priority_weight=0.1), **SPARSE_TIER
@@ -286,8 +290,8 @@
     assert driver.forwards[driver.send_request()]
 
 
-def test_the_subset_of_a_sparse_proxy_grows_with_its_traffic() -> None:
-    """Spread over a dozen, the few requests of one of hundreds teach it next to nothing of any."""
+def test_subset_of_sparse_proxy_grows_with_its_in_flight_limit() -> None:
+    """The few requests of one proxy of hundreds are too few to learn about a dozen backends."""
     driver = Driver(make_settings(**SPARSE_TIER), *make_backends(60))
     assert len(driver.balancer.backends.subset) <= 8
     driver.balancer.in_flight.limit = 9.0
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a child process: good input, odd input, malformed input."""
+"""The adapter as a child process, with valid, unknown and malformed input."""
 
 from __future__ import annotations
 
@@ -62,11 +62,11 @@
     return json.dumps({"TsMs": at, "news": events})
 
 
-def test_end_of_input_is_a_clean_exit() -> None:
+def test_end_of_input_exits_with_success() -> None:
     assert run() == (0, [], "")
 
 
-def test_a_request_is_sent_and_empty_batches_are_answered() -> None:
+def test_request_is_forwarded_and_empty_batches_get_empty_replies() -> None:
     code, replies, errors = run(batch(0), batch(1, *START, CALL), batch(11, REPLY), batch(12))
     assert (code, errors) == (0, "")
     assert replies[0] == replies[3] == {"cmds": []}
@@ -74,34 +74,34 @@
     assert [(c["Call"], c["Backend"], c["ProxyId"]) for c in sends] == [("ab", "10.0.0.1:80", 3)]
 
 
-def test_exit_drops_all_state_and_a_new_start_in_the_same_batch_works() -> None:
+def test_exit_discards_all_state_and_instance_can_be_provisioned_again_in_same_batch() -> None:
     stop = {"what": "Exit", "ProxyId": 3}
     code, replies, errors = run(batch(1, *START, CALL), batch(5, REPLY, stop, *START, CALL | {"Call": "cd"}))
     assert (code, errors) == (0, "")
     assert [c["Call"] for c in replies[1]["cmds"] if c["what"] == "Deliver"] == ["cd"]
 
 
-def test_an_exception_in_the_balancer_is_reported_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> None:
-        raise ZeroDivisionError("by a latency of nothing")
+def test_exception_in_balancer_is_reported_to_simulator(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(*_: object) -> None:
+        raise ZeroDivisionError("division by a latency of 0")
 
     adapter = Adapter()
     adapter.handle_batch(batch(1, *START).encode())
-    monkeypatch.setattr(Balancer, "step", broken)
+    monkeypatch.setattr(Balancer, "step", raise_error)
     reply = json.loads(adapter.handle_batch(batch(2, CALL).encode()))
     assert reply["cmds"] == [
-        {"what": "GiveIn", "ProxyId": 3, "Msg": "ZeroDivisionError: by a latency of nothing"}
+        {"what": "GiveIn", "ProxyId": 3, "Msg": "ZeroDivisionError: division by a latency of 0"}
     ]
 
 
-def test_the_registered_size_is_read() -> None:
+def test_rating_is_read_as_weight_of_backend() -> None:
     adapter = Adapter()
     adapter.handle_batch(batch(1, START[0], START[1] | {"Records": [ENTRY | {"Rating": 2.5}]}).encode())
     assert [s.weight for s in adapter.instances[3].balancer.backends.active] == [2.5]
 
 
-def without(event: dict[str, Any], member: str) -> dict[str, Any]:
-    return {k: v for k, v in event.items() if k != member}
+def without(event: dict[str, Any], key: str) -> dict[str, Any]:
+    return {k: v for k, v in event.items() if k != key}
 
 
 @pytest.mark.parametrize(
@@ -128,16 +128,16 @@
     + [(batch(2, without(REPLY, m)), [m, "missing"]) for m in ("Leg", "How", "DelaySeenMs", "Finished")]
     + [(batch(2, {"what": "Ring", "ProxyId": 3}), ["Ref", "missing"])],
 )
-def test_malformed_input_gets_one_plain_line_and_a_failing_exit(line: str, words: list[str]) -> None:
+def test_malformed_input_exits_with_failure_and_one_line_error(line: str, words: list[str]) -> None:
     code, replies, errors = run(batch(1, *START), line)
     assert code != 0
-    assert len(replies) == 1  # the good batch; nothing for the bad one
+    assert len(replies) == 1  # to the valid batch; none to the malformed one
     assert errors.count("\n") == 1 and "Traceback" not in errors
     for word in words:
         assert word in errors
 
 
-@pytest.mark.parametrize(("bits", "work"), [(0, 0.0), (1, 12.5), (3, 12.5)])
-def test_a_hint_of_the_work_counts_only_where_it_is_said_to_be_valid(bits: int, work: float) -> None:
+@pytest.mark.parametrize(("bits", "work_hint_ms"), [(0, 0.0), (1, 12.5), (3, 12.5)])
+def test_work_hint_is_read_only_if_its_bit_is_set(bits: int, work_hint_ms: float) -> None:
     raw = {"Call": "a", "Lane": 0, "GiveUpAtMs": 9.0, "EffortMs": 12.5, "Bitmap": bits}
-    assert read_request_arrived(raw, 1).work_hint_ms == work
+    assert read_request_arrived(raw, 1).work_hint_ms == work_hint_ms
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""The layout that DEVELOPERS.md asks for: small modules and functions, and decisions without I/O."""
+"""The layout rules of DEVELOPERS.md: small modules and functions, and a policy package without I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 MAX_MODULE_LINES = 500
 MAX_FUNCTION_LINES = 40
 MAX_LINE_CHARACTERS = 110
-# What the decisions may import: nothing here opens a socket, reads a clock or touches the system.
+# Modules that the policy may import: none opens a socket, reads a clock or accesses the system.
 PURE_MODULES = {
     "__future__",
     "array",
@@ -42,7 +42,7 @@
 
 
 def imported_modules(tree: ast.Module) -> set[str]:
-    """Every module that is imported anywhere in the file, also inside functions."""
+    """Return the modules that are imported anywhere in the file, also inside functions."""
     names: set[str] = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
@@ -53,19 +53,19 @@
     return names
 
 
-def test_the_program_is_found() -> None:
+def test_modules_are_found() -> None:
     assert len(PROGRAM) > 20 and len(POLICY) > 5
 
 
 @pytest.mark.parametrize("path", PROGRAM, ids=name_of)
-def test_a_module_is_short(path: Path) -> None:
+def test_module_is_within_length_limits(path: Path) -> None:
     lines = path.read_text().splitlines()
     assert len(lines) <= MAX_MODULE_LINES
     assert max(map(len, lines), default=0) <= MAX_LINE_CHARACTERS
 
 
 @pytest.mark.parametrize("path", PROGRAM, ids=name_of)
-def test_a_function_is_short(path: Path) -> None:
+def test_function_is_within_length_limit(path: Path) -> None:
     functions = [
         node
         for node in ast.walk(ast.parse(path.read_text()))
@@ -79,14 +79,14 @@
 
 
 @pytest.mark.parametrize("path", POLICY, ids=name_of)
-def test_the_decisions_import_no_socket_clock_or_network_code(path: Path) -> None:
+def test_policy_imports_only_pure_and_policy_modules(path: Path) -> None:
     imported = imported_modules(ast.parse(path.read_text()))
     allowed = PURE_MODULES | {name for name in imported if name.startswith("dunecove.policy")}
     assert imported - allowed == set()
 
 
 @pytest.mark.parametrize("path", POLICY, ids=name_of)
-def test_the_decisions_call_nothing_that_opens_or_runs_things(path: Path) -> None:
+def test_policy_calls_no_builtin_that_does_io_or_executes_code(path: Path) -> None:
     calls = {
         node.func.id
         for node in ast.walk(ast.parse(path.read_text()))
@@ -95,10 +95,10 @@
     assert calls & {"open", "exec", "eval", "__import__", "input", "print"} == set()
 
 
-def test_the_allowed_modules_are_of_the_standard_library() -> None:
+def test_pure_modules_are_in_standard_library() -> None:
     assert {name.partition(".")[0] for name in PURE_MODULES} <= sys.stdlib_module_names
 
 
-def test_the_deploy_file_lists_every_decision_module() -> None:
+def test_deploy_file_lists_every_policy_module() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert deploy["policy"] == [name_of(path) for path in POLICY]
