--- a/dunecove/policy/discovery_polling.py
+++ b/dunecove/policy/discovery_polling.py
@@ -1,4 +1,4 @@
-"""When this proxy polls discovery, whose service can answer only a limited rate of calls of all proxies."""
+"""The times at which this proxy polls discovery, which can serve only a limited rate of polls in total."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from dunecove.policy.settings import Settings
 
-FIRST_POLL_SLOT_MS = 100.0  # per proxy of the tier, for its first poll
+FIRST_POLL_SLOT_MS = 100.0  # time slot of each proxy for its first poll, unless the maxima below are shorter
 # Maximum time in which the first polls of all proxies are spread, as a fraction of the maximum poll interval.
 FIRST_POLL_MAX_FRACTION = 0.7
-FIRST_POLL_MAX_MS = 2500.0  # the same in ms; the shorter of both holds
-RETRY_SLOT_MS = 10.0  # per proxy of the tier: minimum delay after a failed poll, within the maxima below
+FIRST_POLL_MAX_MS = 2500.0  # the same as a time; the shorter one applies
+RETRY_SLOT_MS = 10.0  # minimum delay after a failed poll, per proxy of the tier
 FIRST_RETRY_MS = 500.0  # delay after the first failure, doubled with each further one
 MAX_COUNTED_FAILURES = 6  # consecutive failures after which the delay is no longer doubled
 FAST_RETRIES = 2  # consecutive failures up to which the maximum delay is `FAST_RETRY_MAX_MS`
@@ -19,7 +19,7 @@
 # Maximum time between the starts of two polls. An update counts as notified after 6 s, of which a hanging
 # poll may take 2 s, and before that the detection of an unresponsive watch another 2 s.
 MAX_POLL_GAP_MS = 3500.0
-MOVE_WINDOW_MS = 4000.0  # after a move to another service; its updates then count as notified
+MOVE_WINDOW_MS = 4000.0  # time after a move to another service until its updates count as notified
 # Maximum delay after a failed poll in that window or of a pushed list: the service then has spare capacity.
 MOVE_RETRY_MS = 100.0
 RETRY_JITTER = (0.5, 1.0)  # range of the random factor on the delay
@@ -39,8 +39,9 @@
     def start(self, now: float) -> None:
         """Schedule the first poll.
 
-        Proxies that restart together must not poll at the same moment, so each has a slot. After the
-        maximum poll interval a proxy counts as notified of drains even if it has not received them.
+        Proxies that restart together must not poll at the same moment, so each has a slot. All slots
+        end within the maximum poll interval: after it a proxy counts as notified of drains even if it has not
+        received them.
         """
         settings = self._settings
         if not settings.polls_discovery:
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -87,7 +87,7 @@
                 self._report(now, same_hash[-1], event.sender_index)
 
     def take_gossip(self) -> SendGossip:
-        """Return the message that reports the backends that failed in this step, and clear them."""
+        """Return the message that reports the backends that failed in this step, and clear the list."""
         reported = self.backends_to_report[:MAX_GOSSIP_BACKENDS]
         self.backends_to_report = []
         hashes = b"".join(backend.name_hash.to_bytes(HASH_BYTES, "big") for backend in reported)
--- a/dunecove/policy/slow_start.py
+++ b/dunecove/policy/slow_start.py
@@ -10,7 +10,7 @@
 
 from math import inf
 
-# Maximum delay of a list update: if the clocks are correct, a start that is new in an update is not older.
+# Maximum delay of a list update: if the clocks are right, a start that is new in an update is not older.
 MAX_UPDATE_DELAY_MS = 15_000.0
 
 
@@ -18,11 +18,11 @@
     """The cold backends, each with the time at which it becomes warm."""
 
     def __init__(self, slow_start_ms: float) -> None:
-        self.is_clock_plausible = False  # whether a start was neither in the future nor long past
+        self.is_clock_plausible = False  # whether any start time was neither in the future nor long past
         self._slow_start_ms = slow_start_ms
         self._slow_start_ends: dict[str, float] = {}
         # Start times in the first lists that are long past or in the future by this proxy's clock. The newest
-        # start has certainly happened, which gives a minimum age for each of the others.
+        # had certainly passed when it was received, which gives a minimum age for each of the others.
         self._unproven_starts: dict[str, float] = {}
         self._newest_start = -inf
         self._newest_received_at = 0.0
--- a/dunecove/policy/slow_start_budget.py
+++ b/dunecove/policy/slow_start_budget.py
@@ -1,4 +1,4 @@
-"""The number of requests that this proxy sends to a cold backend while it warms up."""
+"""The number of requests that this proxy may send to a cold backend while it warms up."""
 
 from __future__ import annotations
 
@@ -62,7 +62,8 @@
         rate = max(rate, 1 / window_ms / (proxies_per_backend if self._is_sparse else 1))
         if self._is_sparse and rate * window_ms < 1:
             # If each proxy kept a token from a time of low traffic, a burst could spend all of them at once
-            # and overload the backend. So each draws per window whether it has a token; unused ones expire.
+            # and overload the backend. So each draws at random, once per window, whether it has a token; an
+            # unused token expires.
             if now >= backend.next_token_draw_at:
                 backend.slow_start_tokens = float(self._rng.random() < rate * window_ms)
                 backend.next_token_draw_at = now + window_ms
@@ -93,7 +94,7 @@
     def observe(
         self, now: float, seconds: float, active: Sequence[Backend], subset: Sequence[Backend]
     ) -> None:
-        """Update the rates of warm backends, over the last `seconds`; a sparse proxy observes its subset."""
+        """Update the rates of warm backends over the last `seconds`, in a sparse tier only of the subset."""
         in_subset = set(subset)
         warm: dict[int, list[Backend]] = {}
         for backend in active:
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -1,8 +1,8 @@
 """The backends that a proxy subscribes to, and the subset of these that it sends requests to.
 
 Each proxy ranks all backends by rendezvous hash and keeps state only of the first ones, the subscribed
-backends: no cost grows with the number of others. A sparse proxy sends requests to only a few of these, to
-more as its traffic grows: it learns about few backends quickly, and each backend has few connections.
+backends: no cost grows with the number of others. A sparse proxy sends requests to only a few of these, and
+to more as its traffic grows: it learns about a few backends quickly, and each one has few connections.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from dunecove.policy.slow_start_budget import SlowStartBudget
 from dunecove.policy.unsubscribed_backends import Rank, UnsubscribedBackends
 
-MIN_SUBSET = 8  # of a sparse proxy: with a few requests per second it cannot learn about more in time
+MIN_SUBSET = 8  # backends; with a few requests per second a sparse proxy cannot learn about more in time
 MIN_SUBSCRIBED = 256  # backends with state; of a sparse proxy twice its subset if that is more
 SUBSCRIBED_SLACK = 64  # backends above the wanted number before some are unsubscribed: the list changes often
 SUBSCRIPTION_DECAY = 0.9  # factor per second on the number of subscribed backends as load falls
@@ -47,9 +47,9 @@
         self._slow_start_budget = slow_start_budget
         self._by_hash: dict[int, list[Backend]] = {}  # two names rarely have the same hash
         self._rank_boundary: Rank = (0, "")  # all active backends up to it are subscribed
-        self._max_subscribed = MIN_SUBSCRIBED  # wanted number, without the slack
+        self._max_subscribed = MIN_SUBSCRIBED  # number of backends to subscribe to, without the slack
         self.by_id: dict[str, Backend] = {}  # the subscribed backends, in any state
-        self.active: list[Backend] = []  # of the subscribed backends
+        self.active: list[Backend] = []  # the subscribed backends that are active
         self.unsubscribed = UnsubscribedBackends(settings.proxy_index)
         self.listed_count = 0  # active backends in the whole list
         self.subset: list[Backend] = []  # the backends that requests are sent to
@@ -62,7 +62,7 @@
         return self._by_hash.get(name_hash, ())
 
     def proxies_per_backend(self) -> float:
-        """Return the mean number of sparse proxies whose subsets share a backend, at least 1."""
+        """Return the mean number of sparse proxies that have the same backend in their subset, at least 1."""
         return max(1.0, self._settings.proxy_count * self.subset_size / max(self.listed_count, 1))
 
     # Updates of the endpoint list
@@ -168,9 +168,9 @@
     def _wanted_subscriptions(self, now: float) -> int:
         """Return the number of backends to subscribe to.
 
-        A sparse proxy wants twice its subset, since at most half of the backends are ejected. A proxy in a
-        dense tier sends requests to all subscribed backends, so it wants more as it has more requests: none
-        should be queued while a backend is idle.
+        A sparse proxy wants twice its subset, as up to half of the backends may be ejected. In a dense tier a
+        proxy sends requests to all subscribed backends, so it wants more as it has more requests: none should
+        be queued while a backend is idle.
         """
         if self._is_sparse:
             return 2 * self.subset_size
@@ -183,7 +183,7 @@
         return len(self.by_id) > self._max_subscribed + SUBSCRIBED_SLACK
 
     def _trim(self) -> None:
-        """Unsubscribe the last backends by rank, except those with requests in flight."""
+        """Drop the draining backends; unsubscribe the last ones by rank that have no request in flight."""
         for backend in [b for b in self.by_id.values() if b.state is not BackendState.ACTIVE]:
             self._remove(backend, BackendState.DRAINING)
         if len(self.by_id) <= self._max_subscribed:
--- a/dunecove/policy/unsubscribed_backends.py
+++ b/dunecove/policy/unsubscribed_backends.py
@@ -13,7 +13,7 @@
 from dunecove.policy.models import BackendInfo, BackendState, DeduplicationScope
 from dunecove.policy.request_rules import Location
 
-BUCKET_SHIFT = 54  # low bits of a rank, below those of its bucket number: about a hundred backends per bucket
+BUCKET_SHIFT = 54  # low bits of a rank that its bucket number omits; a bucket has about a hundred backends
 ENOUGH_SCOPE_MEMBERS = 8  # number of backends in a deduplication scope that is enough for a keyed retry
 _MARSHAL_VERSION = 2
 
@@ -28,7 +28,7 @@
 
 
 def _decode(backend_id: str, data: bytes) -> BackendInfo:
-    """Return the entry that `_encode` has encoded."""
+    """Decode an entry from the bytes that `_encode` has returned."""
     return BackendInfo(backend_id, BackendState.ACTIVE, *loads(data))
 
 
@@ -59,7 +59,7 @@
         self._cell_hints[info.cell] = self._cell_hints.get(info.cell, 0) | bit
 
     def pop(self, backend_id: str) -> BackendInfo | None:
-        """Remove a backend and return its entry; None if it is not unsubscribed."""
+        """Remove a backend and return its entry; None if there is none."""
         if not self.count:
             return None
         number = self._bucket_number(backend_id)
@@ -71,7 +71,7 @@
         return None if data is None else _decode(backend_id, data)
 
     def get(self, backend_id: str) -> BackendInfo | None:
-        """Return a backend's entry; None if it is not unsubscribed."""
+        """Return a backend's entry; None if there is none."""
         if not self.count:
             return None
         data = self._buckets.get(self._bucket_number(backend_id), {}).get(backend_id)
--- a/dunecove/wire/fields.py
+++ b/dunecove/wire/fields.py
@@ -33,21 +33,21 @@
 
 
 def as_number(value: object, key: str) -> float:
-    """Return a number, as a float."""
+    """Return a JSON number as a float."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise InvalidFieldError(f"{key} is not a number: {value!r}")
     return float(value)
 
 
 def as_integer(value: object, key: str) -> int:
-    """Return an integer."""
+    """Return a JSON integer."""
     if isinstance(value, bool) or not isinstance(value, int):
         raise InvalidFieldError(f"{key} is not an integer: {value!r}")
     return value
 
 
 def as_string(value: object, key: str) -> str:
-    """Return a string."""
+    """Return a JSON string."""
     if not isinstance(value, str):
         raise InvalidFieldError(f"{key} is not a string: {value!r}")
     return value
--- a/dunecove/wire/settings.py
+++ b/dunecove/wire/settings.py
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxySettings:
-    """The settings that only the proxy needs, not the simulator: names and connection timeouts.
+    """The settings that the proxy needs besides `Settings`: names, and timeouts of connections.
 
     The names that clients and discovery use are mapped to the indexes in `Settings`, events and actions.
     """
@@ -116,11 +116,11 @@
     kind_indexes: dict[str, int]
     connect_timeout_ms: float
     backend_idle_timeout_ms: float
-    drain_grace_ms: float = inf  # from the notification of a drain until no attempt may be written any more
+    drain_grace_ms: float = inf  # time after the notification of a drain in which attempts may be written
 
 
 def read_proxy_settings(info: JsonObject) -> ProxySettings:
-    """Return the settings for the proxy only; raise MalformedInputError, which names the invalid key."""
+    """Return the proxy's own settings; raise MalformedInputError, which names the invalid key."""
     limits = as_object(info.get("Limits") or {}, "Limits")
     obligations = as_object(info.get("Obligations") or {}, "Obligations")
     classes = as_objects(required(info, "Lanes"), "Lanes")
--- a/tests/policy/test_discovery_polling.py
+++ b/tests/policy/test_discovery_polling.py
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("proxy_index", [0, 342, 684])
 def test_first_poll_of_large_tier_is_within_maximum_interval(proxy_index: int) -> None:
-    """After that a proxy counts as notified of drains that it has not received (incident i7da933)."""
+    """After it a proxy counts as notified of drains that it may not have received (incident i7da933)."""
     driver = Driver(
         make_settings(
             polls_discovery=True, proxy_count=685, proxy_index=proxy_index, max_poll_interval_ms=10_000.0
