--- a/dunecove/policy/admission.py
+++ b/dunecove/policy/admission.py
@@ -18,16 +18,16 @@
 
 # Part of the objective beyond which hinted work is expected to be late even on the fastest kind, and the part
 # of its priority weight that it then earns. Where many proxies share backends, half of such work is late.
-LATE_WORK_FRACTION = 1.0
-LATE_WORK_WEIGHT = 0.4
-SPARSE_LATE_WORK_FRACTION = 0.6
-SPARSE_LATE_WORK_WEIGHT = 0.2
+LATE_WORK_THRESHOLD = 1.0
+LATE_WORK_WEIGHT_FACTOR = 0.4
+SPARSE_LATE_WORK_THRESHOLD = 0.6
+SPARSE_LATE_WORK_WEIGHT_FACTOR = 0.2
 
 # Objectives: a longer release keeps the lowest level out also while nothing waits. After a single overload it
 # is admitted beside an empty queue: rejected there, it would leave backends idle.
-LONG_RELEASE_OBJECTIVES = 1.0
+LONG_READMISSION_OBJECTIVES = 1.0
 LEVEL_3_SHED_RATIO = 3.0  # overload ratio above which level 3 is shed in proportion: all of it at twice this
-MAX_OVERLOAD_SHARE = 0.15  # of outcomes, above which a sparse proxy is overloaded: a few are always long
+MAX_OVERLOAD_FRACTION = 0.15  # of outcomes, above which a sparse proxy is overloaded: a few are always long
 
 
 class Admission:
@@ -42,20 +42,22 @@
         self._latencies = latencies
         self._in_flight = in_flight
         self._over_quota_weight = settings.over_quota_weight
-        self._best_weight = max(request_class.priority_weight for request_class in settings.classes)
-        self._late_work_fraction = SPARSE_LATE_WORK_FRACTION if self._is_sparse else LATE_WORK_FRACTION
-        self._late_work_weight = SPARSE_LATE_WORK_WEIGHT if self._is_sparse else LATE_WORK_WEIGHT
+        self._max_priority_weight = max(request_class.priority_weight for request_class in settings.classes)
+        self._late_work_threshold = SPARSE_LATE_WORK_THRESHOLD if self._is_sparse else LATE_WORK_THRESHOLD
+        self._late_work_weight_factor = (
+            SPARSE_LATE_WORK_WEIGHT_FACTOR if self._is_sparse else LATE_WORK_WEIGHT_FACTOR
+        )
         self._max_retry_after_ms = settings.max_retry_after_ms if settings.sends_retry_after else 0.0
 
     def priority_level(
         self, now: float, request_class: RequestClass, tenant: int, work_hint_ms: float = 0.0
     ) -> int:
         """Return the level of an arrival, 1 the highest, and count it against its tenant's quota."""
-        weight = request_class.priority_weight / self._best_weight
+        weight = request_class.priority_weight / self._max_priority_weight
         fastest_ms = work_hint_ms * self._latencies.fastest_work_rate()
-        if fastest_ms > self._late_work_fraction * request_class.latency_objective_ms:
-            weight *= self._late_work_weight
-        if not self.quotas.take_token(now, tenant):
+        if fastest_ms > self._late_work_threshold * request_class.latency_objective_ms:
+            weight *= self._late_work_weight_factor
+        if not self.quotas.try_consume_token(now, tenant):
             weight *= self._over_quota_weight
         return 1 + sum(weight < least for least in LEVEL_WEIGHTS)
 
@@ -69,14 +71,14 @@
         # Level 4 is shed at once and admitted again by degrees, or it would fill the backends up to the next
         # overload.
         probability = ratio / LEVEL_3_SHED_RATIO - 1
-        long_release = detector.release_objectives > LONG_RELEASE_OBJECTIVES
-        if level == LOWEST_LEVEL and (ratio > 0 or long_release):
-            probability = 1 - detector.released_fraction(now)
+        has_long_readmission = detector.readmission_objectives > LONG_READMISSION_OBJECTIVES
+        if level == LOWEST_LEVEL and (ratio > 0 or has_long_readmission):
+            probability = 1 - detector.readmitted_fraction(now)
         return self._rng.random() < probability
 
     def retry_after_ms(self, queue: RequestQueue) -> float:
         """Return when a client that was shed should retry: as low levels are admitted again."""
-        return min(queue.detector.release_ms, self._max_retry_after_ms)
+        return min(queue.detector.readmission_ms, self._max_retry_after_ms)
 
     def _overload_ratio(self, now: float, queue: RequestQueue) -> float:
         """Return how overloaded a queue is; above 1 it is overloaded."""
@@ -86,4 +88,4 @@
         # Its queue is mostly empty, and few waits are seen: the wait to come counts. And what a sparse proxy
         # has too much of waits inside the backends, where only overload samples show it.
         expected_ratio = self._in_flight.expected_wait_ms(now) / queue.threshold_ms()
-        return max(ratio, expected_ratio, self._in_flight.overload_share / MAX_OVERLOAD_SHARE)
+        return max(ratio, expected_ratio, self._in_flight.overload_fraction / MAX_OVERLOAD_FRACTION)
--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -69,7 +69,7 @@
             settings.step_interval_ms,
         )
         self.queues = list(queue_by_objective.values())
-        self._queue_of_class = [queue_by_objective[c.latency_objective_ms] for c in settings.classes]
+        self._queue_by_class = [queue_by_objective[c.latency_objective_ms] for c in settings.classes]
         self.latencies = LatencyTracker(len(settings.classes), sparse)
         self.in_flight = InFlightLimit(settings.proxy_count, self.queues[0].objective_ms, self.latencies)
         self._slow_start = SlowStart(settings.slow_start_ms)
@@ -94,7 +94,7 @@
         self.polling = DiscoveryPolling(settings, rng)
         self.requests: dict[str, Request] = {}  # those without a final response, or with an open attempt
         self._is_started = False
-        self._slow_tick_at = 0.0  # the last one
+        self._last_slow_tick_at = 0.0  # the last one
         self._actions: list[Action] = []
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
@@ -107,14 +107,14 @@
         if self.pinned_retries.waiting:
             self._actions += self.pinned_retries.dispatch(now)
         self._actions += self._dispatcher.dispatch(now)
-        self._expire(now)
+        self._process_due_requests(now)
         if self._outliers.to_gossip:
             self._actions.append(self._outliers.take_gossip())
         return self._actions
 
     def _start(self, now: float) -> None:
         self._is_started = True
-        self._slow_tick_at = now
+        self._last_slow_tick_at = now
         self._slow_start_budget.start(now)
         self.in_flight.start(now)
         self.admission.quotas.start(now)
@@ -144,24 +144,24 @@
 
     def _on_arrival(self, now: float, event: RequestArrived) -> None:
         request_class = self.settings.classes[event.class_index]
-        queue = self._queue_of_class[event.class_index]
+        queue = self._queue_by_class[event.class_index]
         level = self.admission.priority_level(now, request_class, event.tenant, event.work_hint_ms)
         if not event.is_retry:
-            self.admission.quotas.record_first_try(event.tenant)
+            self.admission.quotas.record_original_request(event.tenant)
         self.retry_policy.record_arrival()
-        waited_ms = self.client_retries.waited_ms(now, event, queue.objective_ms)
-        request = Request(event, request_class, queue, now, now - waited_ms)
+        previous_wait_ms = self.client_retries.previous_wait_ms(now, event, queue.objective_ms)
+        request = Request(event, request_class, queue, now, now - previous_wait_ms)
         self.requests[request.id] = request
         if self.admission.should_shed(now, level, queue):
             self.client_retries.expect_retries()
             retry_after_ms = self.admission.retry_after_ms(queue)
             self._actions.append(Reject(request.id, retry_after_ms, EndReason.LOAD_SHED))
             self._finish(request)
-        elif self._timeouts.is_too_late(now, request):
+        elif self._timeouts.is_deadline_too_close(now, request):
             self._fail(request, EndReason.DEADLINE_TOO_CLOSE)
         else:
             queue.push(request)
-            self._timeouts.start_queued(request)
+            self._timeouts.schedule_queued(request)
 
     def _on_attempt_ended(self, now: float, event: AttemptEnded) -> None:
         request = self.requests.get(event.request_id)
@@ -180,22 +180,22 @@
         if event.request_finished or request.is_finished:
             self._finish(request)
         elif request.open_attempt_count == 0:
-            self._continue(request, self.retry_policy.after_failure(now, request, event.result))
+            self._apply_retry_decision(request, self.retry_policy.after_failure(now, request, event.result))
 
-    def _continue(self, request: Request, decision: Retry | EndReason) -> None:
+    def _apply_retry_decision(self, request: Request, decision: Retry | EndReason) -> None:
         """Carry out what was decided on a request after a failed attempt."""
         if isinstance(decision, EndReason):
             self._fail(request, decision)
         elif decision is Retry.QUEUED:
             request.queue.push_front(request)
-            self._timeouts.start_queued(request)
+            self._timeouts.schedule_queued(request)
         elif decision is Retry.BACKOFF:
             self._timeouts.schedule(request.retry_at, request)
         else:
             executed = first_executed_attempt(request.attempts)
             assert executed is not None  # or any backend might get it
             self.pinned_retries.add(request)
-            self._timeouts.start_pinned(request, executed)
+            self._timeouts.schedule_pinned_retry(request, executed)
 
     def _on_response_started(self, event: ResponseStarted) -> None:
         request = self.requests.get(event.request_id)
@@ -213,14 +213,14 @@
                     self._actions.append(CancelAttempt(request.id, index))
         self._finish(request)
 
-    def _expire(self, now: float) -> None:
+    def _process_due_requests(self, now: float) -> None:
         """Look at the requests whose timers have run out."""
         while (request := self._timeouts.pop_due(now)) is not None:
             if request.is_queued:
-                if not self._timeouts.extend(now, request):
+                if not self._timeouts.try_extend(now, request):
                     self._fail(request, EndReason.QUEUE_TIMEOUT)
             elif request.has_backoff_ended(now):
-                self._continue(request, self.retry_policy.after_backoff(now, request))
+                self._apply_retry_decision(request, self.retry_policy.after_backoff(now, request))
 
     def _fail(self, request: Request, reason: EndReason) -> None:
         """Give the final response to a request that will not be sent again."""
@@ -250,17 +250,17 @@
 
     def _on_tick(self, now: float) -> None:
         self._actions.append(SetTimer(TICK_MS, 0))
-        self._expire(now)  # before dispatch too, so that ended backoffs are sent in this step
+        self._process_due_requests(now)  # before dispatch too, so that ended backoffs are sent in this step
         cold = self.backends.cold_subset
         self._slow_start_budget.refill(now, cold, self.backends.proxies_per_backend() if cold else 1.0)
         if self.polling.take_due(now):
             self._actions.append(PollDiscovery())
-        if now - self._slow_tick_at >= SLOW_TICK_MS:
+        if now - self._last_slow_tick_at >= SLOW_TICK_MS:
             self._on_slow_tick(now)
 
     def _on_slow_tick(self, now: float) -> None:
-        seconds = (now - self._slow_tick_at) / 1000
-        self._slow_tick_at = now
+        seconds = (now - self._last_slow_tick_at) / 1000
+        self._last_slow_tick_at = now
         self.client_retries.decay()
         self.admission.quotas.update_traffic_share(seconds)
         self.backends.shrink_subscriptions()
--- a/dunecove/policy/bandit.py
+++ b/dunecove/policy/bandit.py
@@ -15,12 +15,14 @@
 
 PAYOFF_WEIGHT = 0.1  # of one outcome in a backend's payoff: the last ten or so count
 EXPLORATION_BONUS = 0.2  # payoff added to a backend with few recent outcomes: idle ones are tried again
-OUTCOMES_KEPT = 0.8  # part of the outcome counts kept each second: a verdict lasts ten seconds at most
+OUTCOME_COUNT_DECAY = 0.8  # part of the outcome counts kept each second: a verdict lasts ten seconds at most
 PAYOFF_TIE = 0.1  # payoffs closer than this are equal: one outcome moves a payoff by as much
-SPARSE_RECOVERY = 0.1  # part of the way back to the usual payoff in a second without outcomes
+SPARSE_PAYOFF_RECOVERY = 0.1  # part of the way back to the usual payoff in a second without outcomes
 
-MAX_OBJECTIVE_FRACTION = 0.35  # of the objective that work may usually take on a kind and still be sent there
-WORK_RATE_TIE = 1.15  # times the fastest work rate: kinds this close are as fast
+MAX_WORK_OBJECTIVE_FRACTION = (
+    0.35  # of the objective that work may usually take on a kind and still be sent there
+)
+WORK_RATE_TIE_FACTOR = 1.15  # times the fastest work rate: kinds this close are as fast
 COLD_WORK_RATE_FACTOR = 2.0  # on its kind's work rate, for a cold backend
 MAX_BACKENDS_PER_SUITABLE = 3  # of the subset: where fewer suit, they would be overloaded
 
@@ -50,11 +52,11 @@
 
     def decay(self, active: Sequence[Backend], subset: Sequence[Backend]) -> None:
         """Let outcomes age by a second."""
-        self.outcome_count = 1 + self.outcome_count * OUTCOMES_KEPT
+        self.outcome_count = 1 + self.outcome_count * OUTCOME_COUNT_DECAY
         usual = mean_payoff(subset)
-        recovery = SPARSE_RECOVERY if self._is_sparse else 1
+        recovery = SPARSE_PAYOFF_RECOVERY if self._is_sparse else 1
         for backend in active:
-            backend.outcome_count *= OUTCOMES_KEPT
+            backend.outcome_count *= OUTCOME_COUNT_DECAY
             if backend.outcome_count < 1:  # under light load one that was bad would never be chosen again
                 backend.payoff += max(usual - backend.payoff, 0.0) * recovery
 
@@ -63,16 +65,16 @@
         if request.attempts:
             tried = [attempt.backend for attempt in request.attempts]
             candidates = [backend for backend in candidates if backend not in tried] or candidates
-        candidates = self._suitable(now, request, candidates, subset_size)
+        candidates = self._suitable_candidates(now, request, candidates, subset_size)
         if len(candidates) == 1:
             return candidates[0]
-        first, second = self._draw_two(request, candidates)
+        first, second = self._choose_two(request, candidates)
         difference = self._score(first) - self._score(second)
         if abs(difference) < PAYOFF_TIE:
             return second if second.in_flight < first.in_flight else first
         return first if difference > 0 else second
 
-    def _suitable(
+    def _suitable_candidates(
         self, now: float, request: Request, candidates: list[Backend], subset_size: int
     ) -> list[Backend]:
         """Return those of a kind that usually does such work well inside the objective.
@@ -85,8 +87,8 @@
             return candidates
         fastest = self._latencies.fastest_work_rate()
         highest = max(
-            MAX_OBJECTIVE_FRACTION * request.queue.objective_ms / request.work_hint_ms,
-            WORK_RATE_TIE * fastest,
+            MAX_WORK_OBJECTIVE_FRACTION * request.queue.objective_ms / request.work_hint_ms,
+            WORK_RATE_TIE_FACTOR * fastest,
         )
         suitable = []
         for backend in candidates:
@@ -95,7 +97,7 @@
                 suitable.append(backend)
         return suitable if len(suitable) * MAX_BACKENDS_PER_SUITABLE >= subset_size else candidates
 
-    def _draw_two(self, request: Request, candidates: list[Backend]) -> tuple[Backend, Backend]:
+    def _choose_two(self, request: Request, candidates: list[Backend]) -> tuple[Backend, Backend]:
         key = request.affinity_key
         if self._has_key_affinity and key is not None:
             # Backends do less work for a key that they met lately: every proxy draws the same two for it.
--- a/dunecove/policy/concurrency_limit.py
+++ b/dunecove/policy/concurrency_limit.py
@@ -9,20 +9,20 @@
 from collections.abc import Sequence
 
 from dunecove.policy.settings import MAX_DENSE_PROXIES
-from dunecove.policy.smoothing import LATENCY_WEIGHT, MIN_RESPONSES, moved_toward
+from dunecove.policy.smoothing import LATENCY_WEIGHT, MIN_RESPONSES, ewma
 
 # Requests of all proxies together, in flight at or waiting inside one backend.
 INITIAL_LIMIT = float(MAX_DENSE_PROXIES)  # one request of each
 MIN_LIMIT = 2.0  # one being processed and one to follow, or the backend would idle between two
 RAISE_BELOW_WAITING = 2.0
 TOTAL_RAISE = 2.0  # of all proxies' limits together, in one adjustment
-MAX_RAISE = 1.0  # of one proxy's limit
+MAX_RAISE_PER_PROXY = 1.0  # of one proxy's limit
 REDUCE_ABOVE_WAITING = 4.0
 
 BASE_LATENCY_DRIFT = 1 / 400  # weight of one response: a backend that stays slow is believed in the end
 MAX_SATURATION = 1 / 5  # mean latency as a part of the objective, above which limits are reduced
-SATURATION_FACTOR = 0.75  # on the limit when too many wait there
-FAILURE_FACTOR = 0.8  # on the limit after a rejection or timeout
+SATURATION_REDUCE_FACTOR = 0.75  # on the limit when too many wait there
+FAILURE_REDUCE_FACTOR = 0.8  # on the limit after a rejection or timeout
 MIN_WINDOW_RESPONSES = 8  # between two adjustments
 
 
@@ -61,11 +61,11 @@
         self.response_count += 1
         weight = max(LATENCY_WEIGHT, 1 / self.response_count)
         capped_ms = min(latency_ms, 2 * (self.latency_ms or latency_ms))
-        self.latency_ms = moved_toward(self.latency_ms, capped_ms, weight)
-        self.saturation = moved_toward(self.saturation, saturation, weight)
+        self.latency_ms = ewma(self.latency_ms, capped_ms, weight)
+        self.saturation = ewma(self.saturation, saturation, weight)
         if self.response_count <= MIN_RESPONSES:  # a base from one lucky response would last for long
             self.base_latency_ms = self.latency_ms
-        drifted_ms = moved_toward(self.base_latency_ms, self.latency_ms, BASE_LATENCY_DRIFT)
+        drifted_ms = ewma(self.base_latency_ms, self.latency_ms, BASE_LATENCY_DRIFT)
         self.base_latency_ms = min(drifted_ms, self.latency_ms)
         self.window_responses += 1
         if self.window_responses >= max(MIN_WINDOW_RESPONSES, self.limit):
@@ -75,9 +75,9 @@
         used = min(self.peak_in_flight, self.limit)
         waiting = used * (1 - self.base_latency_ms / self.latency_ms) * self.proxy_count
         if waiting > REDUCE_ABOVE_WAITING or self.saturation > MAX_SATURATION:
-            self.reduce_limit(SATURATION_FACTOR)
+            self.reduce_limit(SATURATION_REDUCE_FACTOR)
         elif waiting < RAISE_BELOW_WAITING and self.peak_in_flight + 1 > self.limit:
-            self.limit += min(MAX_RAISE, TOTAL_RAISE / self.proxy_count)
+            self.limit += min(MAX_RAISE_PER_PROXY, TOTAL_RAISE / self.proxy_count)
         self.window_responses = 0
         self.peak_in_flight = self.in_flight
 
@@ -95,11 +95,11 @@
 
     def record(self, saturation: float, backends: Sequence[LearnedLimit]) -> None:
         """Learn from one backend's response; reduce the limits of all backends if they are saturated."""
-        self._saturation = moved_toward(self._saturation, saturation, LATENCY_WEIGHT)
+        self._saturation = ewma(self._saturation, saturation, LATENCY_WEIGHT)
         self._window_responses += 1
         if self._window_responses < max(MIN_RESPONSES, sum(backend.limit for backend in backends)):
             return
         self._window_responses = 0
         if self._saturation > MAX_SATURATION:
             for backend in backends:
-                backend.reduce_limit(SATURATION_FACTOR)
+                backend.reduce_limit(SATURATION_REDUCE_FACTOR)
--- a/dunecove/policy/dispatcher.py
+++ b/dunecove/policy/dispatcher.py
@@ -17,8 +17,10 @@
 from dunecove.policy.settings import Settings
 from dunecove.policy.subsetting import BackendSet
 
-UNRESPONSIVE_LATENCIES = 2.0  # usual latencies without a response after which a backend may hang
-MIN_LIMIT_LEFT = -1.0  # of a responsive backend: over its limit it takes at most one from the others
+UNRESPONSIVE_AFTER_LATENCIES = 2.0  # usual latencies without a response after which a backend may hang
+MIN_AVAILABLE_CONCURRENCY = (
+    -1.0
+)  # of a responsive backend: over its limit it takes at most one from the others
 MIN_TIMEOUT_MS = 1.0
 
 
@@ -51,10 +53,10 @@
         candidates: list[Backend] | None = None
         while heads := [head for queue in self._queues if (head := queue.head()) is not None]:
             if candidates is None:
-                candidates, sends_left = self._capacity(now)
-            if not candidates or sends_left <= 0:
+                candidates, available_sends = self._capacity(now)
+            if not candidates or available_sends <= 0:
                 break
-            sends_left -= 1
+            available_sends -= 1
             request = max(heads, key=lambda head: (now - head.arrived_at) / head.queue.objective_ms)
             request.queue.pop_head(now)
             forwards.append(self.forward(now, request, candidates))
@@ -86,31 +88,31 @@
             if not candidates:  # nothing waits beside a ready backend
                 warm = [backend for backend in self._backends.active if backend.cold_until <= now]
                 candidates = self._with_capacity(now, warm)
-            return candidates, self._in_flight.sends_left(now)
-        sends_left = self._sum_of_limits_left(now)
+            return candidates, self._in_flight.available_sends(now)
+        available_sends = self._available_concurrency(now)
         if self._backends.unsubscribed.count and (
-            not candidates or sends_left < sum(len(queue) for queue in self._queues)
+            not candidates or available_sends < sum(len(queue) for queue in self._queues)
         ):
             self._backends.choose_subset(now)  # keeps state of more of them under load
             candidates = self._with_capacity(now, self._backends.subset)
-            sends_left = self._sum_of_limits_left(now)
-        return candidates, sends_left
+            available_sends = self._available_concurrency(now)
+        return candidates, available_sends
 
     def _with_capacity(self, now: float, backends: Sequence[Backend]) -> list[Backend]:
         min_limit = self._backends.sparse_backend_limit
         return [backend for backend in backends if backend.has_capacity(now, min_limit)]
 
-    def _sum_of_limits_left(self, now: float) -> float:
+    def _available_concurrency(self, now: float) -> float:
         """Return the sum of what is left of all limits: each below one would else let a request through.
 
         A backend that hangs uses up at most its own limit.
         """
         usual_ms = self._latencies.overall_ms or self._queues[-1].objective_ms
-        unresponsive_since = now - UNRESPONSIVE_LATENCIES * usual_ms
+        unresponsive_since = now - UNRESPONSIVE_AFTER_LATENCIES * usual_ms
         return sum(
             max(
                 backend.limit - backend.in_flight,
-                MIN_LIMIT_LEFT if backend.last_progress_at > unresponsive_since else 0.0,
+                MIN_AVAILABLE_CONCURRENCY if backend.last_progress_at > unresponsive_since else 0.0,
             )
             for backend in self._backends.subset
         )
--- a/dunecove/policy/feedback.py
+++ b/dunecove/policy/feedback.py
@@ -5,7 +5,7 @@
 from dunecove.policy.actions import BackendEjected
 from dunecove.policy.backend import LOAD_FAILURES, Backend
 from dunecove.policy.bandit import Bandit
-from dunecove.policy.concurrency_limit import FAILURE_FACTOR, SharedSaturation
+from dunecove.policy.concurrency_limit import FAILURE_REDUCE_FACTOR, SharedSaturation
 from dunecove.policy.events import AttemptEnded
 from dunecove.policy.in_flight_limit import InFlightLimit
 from dunecove.policy.latency_tracker import MIN_LATENCY_MS, LatencyTracker
@@ -18,7 +18,7 @@
 # This proxy stopped waiting.
 _ABANDONED = (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
 # The doing of this proxy or of the client: says nothing of the backend.
-_NOT_OF_BACKEND = (
+_NOT_CAUSED_BY_BACKEND = (
     AttemptResult.CANCELLED,
     AttemptResult.WITHDRAWN,
     AttemptResult.NO_LOCAL_RESOURCE,
@@ -53,11 +53,11 @@
         result = event.result
         latency_ms = max(event.latency_ms, MIN_LATENCY_MS)
         if result in _ABANDONED:
-            ordinary_max_ms = self._latencies.ordinary_max_ms(request)
+            expected_max_latency_ms = self._latencies.expected_max_latency_ms(request)
             self._latencies.record_abandoned(request, latency_ms)
-            if latency_ms < ordinary_max_ms:  # an ordinary attempt may take as long: says nothing
+            if latency_ms < expected_max_latency_ms:  # an ordinary attempt may take as long: says nothing
                 return None
-        if result in _NOT_OF_BACKEND:
+        if result in _NOT_CAUSED_BY_BACKEND:
             return None
         objective_ms = request.queue.objective_ms
         if self._is_sparse:
@@ -69,9 +69,9 @@
             self._record_response(now, request, backend, latency_ms)
             return None
         if result in LOAD_FAILURES:
-            backend.reduce_limit(FAILURE_FACTOR)
+            backend.reduce_limit(FAILURE_REDUCE_FACTOR)
             if self._is_sparse and request.work_hint_ms > 0 and backend.cold_until <= now:
-                self._latencies.record_work_rate_bound(backend.kind, latency_ms / request.work_hint_ms)
+                self._latencies.record_min_work_rate(backend.kind, latency_ms / request.work_hint_ms)
         return self._outliers.record_failure(now, backend, result)
 
     def _record_response(self, now: float, request: Request, backend: Backend, latency_ms: float) -> None:
--- a/dunecove/policy/latency_tracker.py
+++ b/dunecove/policy/latency_tracker.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from dunecove.policy.request import Request
-from dunecove.policy.smoothing import LATENCY_WEIGHT, moved_toward, smooth
+from dunecove.policy.smoothing import LATENCY_WEIGHT, ewma, latency_ewma
 
-ORDINARY_DEVIATIONS = 3.0  # above the usual latency, up to which an attempt is an ordinary one
+EXPECTED_MAX_DEVIATIONS = 3.0  # above the usual latency, up to which an attempt is an ordinary one
 MIN_LATENCY_MS = 0.001  # less is below the clock's resolution; nothing may be divided by zero
 # Weight of one response in a kind's work rate; a sparse proxy sees few.
 WORK_RATE_WEIGHT = 1 / 32
@@ -25,10 +25,10 @@
         """Learn from a response, or from an abandoned attempt."""
         if self.mean_ms:
             deviation_ms = abs(latency_ms - self.mean_ms)
-            self.deviation_ms = moved_toward(self.deviation_ms, deviation_ms, LATENCY_WEIGHT)
+            self.deviation_ms = ewma(self.deviation_ms, deviation_ms, LATENCY_WEIGHT)
         else:
             self.deviation_ms = latency_ms / 2
-        self.mean_ms = smooth(self.mean_ms, latency_ms)
+        self.mean_ms = latency_ewma(self.mean_ms, latency_ms)
 
 
 class LatencyTracker:
@@ -48,14 +48,14 @@
         """Return the usual latency of a request's class, at most half its objective."""
         return min(self.class_latency_ms(request.class_index), request.queue.objective_ms / 2)
 
-    def ordinary_max_ms(self, request: Request) -> float:
+    def expected_max_latency_ms(self, request: Request) -> float:
         """Return how long an attempt may take and still be an ordinary one.
 
         It is at most half the objective: were the usual latency above the objective, nothing would ever be
         sent again and the latency never be corrected.
         """
         usual = self._by_class[request.class_index]
-        ordinary_ms = usual.mean_ms + ORDINARY_DEVIATIONS * usual.deviation_ms
+        ordinary_ms = usual.mean_ms + EXPECTED_MAX_DEVIATIONS * usual.deviation_ms
         return min(ordinary_ms, request.queue.objective_ms / 2)
 
     def record_response(self, request: Request, latency_ms: float) -> float:
@@ -63,7 +63,7 @@
         request.queue.record_latency(latency_ms)
         class_latency = self._by_class[request.class_index]
         class_latency.record(latency_ms)
-        self.overall_ms = smooth(self.overall_ms, latency_ms)
+        self.overall_ms = latency_ewma(self.overall_ms, latency_ms)
         return class_latency.mean_ms
 
     def record_abandoned(self, request: Request, latency_ms: float) -> None:
@@ -81,7 +81,7 @@
         known = self.work_rates.get(kind, work_rate)
         self.work_rates[kind] = known * (work_rate / known) ** self._work_rate_weight
 
-    def record_work_rate_bound(self, kind: int, work_rate: float) -> None:
+    def record_min_work_rate(self, kind: int, work_rate: float) -> None:
         """Learn that a kind's work rate is at least this, as from a timeout."""
         self.record_work_rate(kind, max(work_rate, self.work_rates.get(kind, 0.0)))
 
--- a/dunecove/policy/queue_timeouts.py
+++ b/dunecove/policy/queue_timeouts.py
@@ -11,7 +11,7 @@
 
 TICK_MS = 25.0  # between two housekeeping ticks: timeouts and recovery need no finer grain
 # Part of its wait after which a request never sent is failed: its client can still try again.
-MAX_UNSENT_FRACTION = 0.45
+MAX_UNSENT_WAIT_FRACTION = 0.45
 
 
 class QueueTimeouts:
@@ -34,36 +34,38 @@
             return heappop(self._timers)[2]
         return None
 
-    def is_too_late(self, now: float, request: Request) -> bool:
+    def is_deadline_too_close(self, now: float, request: Request) -> bool:
         """Whether a request that has just come has to be answered now, since no later step could."""
         return (
             min(request.deadline, request.value_expires_at)
             <= now + ACTION_DELAY_STEPS * self._step_interval_ms
         )
 
-    def start_queued(self, request: Request) -> None:
+    def schedule_queued(self, request: Request) -> None:
         """Set when a request that has just been queued has to be sent at the latest."""
         # An attempt that gets less than an ordinary one's time can't be useful.
-        ordinary_max_ms = self._latencies.ordinary_max_ms(request)
+        expected_max_latency_ms = self._latencies.expected_max_latency_ms(request)
         answer_ms = (
             TICK_MS + ACTION_DELAY_STEPS * self._step_interval_ms
         )  # to answer the client before it leaves
-        request.send_deadline = min(request.value_expires_at - ordinary_max_ms, request.deadline - answer_ms)
+        request.send_deadline = min(
+            request.value_expires_at - expected_max_latency_ms, request.deadline - answer_ms
+        )
         if not request.attempts:
             wait_ms = request.deadline - request.arrived_at
             request.send_deadline = min(
-                request.send_deadline, request.arrived_at + MAX_UNSENT_FRACTION * wait_ms
+                request.send_deadline, request.arrived_at + MAX_UNSENT_WAIT_FRACTION * wait_ms
             )
-        self.schedule(min(request.send_deadline, request.objective_end - ordinary_max_ms), request)
+        self.schedule(min(request.send_deadline, request.objective_end - expected_max_latency_ms), request)
 
-    def start_pinned(self, request: Request, executed: Attempt) -> None:
+    def schedule_pinned_retry(self, request: Request, executed: Attempt) -> None:
         """Set when a retry that waits for its deduplication scope has to be sent at the latest."""
         window_end = dedup_window_end(request.request_class, executed)
         usual_ms = self._latencies.capped_class_latency_ms(request)
         request.send_deadline = min(request.value_expires_at - usual_ms, window_end - TICK_MS)
         self.schedule(request.send_deadline, request)
 
-    def extend(self, now: float, request: Request) -> bool:
+    def try_extend(self, now: float, request: Request) -> bool:
         """Whether a request whose time is up may wait on; if so its timer is set anew.
 
         A late response, if it earns something, is only for times with capacity to spare: under overload it
--- a/dunecove/policy/request_queue.py
+++ b/dunecove/policy/request_queue.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from dunecove.policy.overload_detector import OverloadDetector
-from dunecove.policy.smoothing import smooth
+from dunecove.policy.smoothing import latency_ewma
 
 if TYPE_CHECKING:
     from dunecove.policy.request import Request
@@ -51,7 +51,7 @@
 
     def record_latency(self, latency_ms: float) -> None:
         """Learn from a response to one of its requests."""
-        self.mean_latency_ms = smooth(self.mean_latency_ms, latency_ms)
+        self.mean_latency_ms = latency_ewma(self.mean_latency_ms, latency_ms)
 
     def overload_ratio(self, now: float) -> float:
         """Return how overloaded it is: above 1 it is overloaded, 0 while nothing waits."""
--- a/dunecove/policy/smoothing.py
+++ b/dunecove/policy/smoothing.py
@@ -6,11 +6,11 @@
 MIN_RESPONSES = 1 / LATENCY_WEIGHT  # before a mean smoothed with this weight says anything
 
 
-def moved_toward(mean: float, sample: float, weight: float) -> float:
+def ewma(mean: float, sample: float, weight: float) -> float:
     """Return `mean` after one more sample that counts with `weight`."""
     return mean + (sample - mean) * weight
 
 
-def smooth(mean: float, sample: float) -> float:
+def latency_ewma(mean: float, sample: float) -> float:
     """Return `mean` after one more sample; 0 stands for no mean yet, and the first sample is taken whole."""
     return mean + (sample - mean) * (LATENCY_WEIGHT if mean else 1)
--- a/dunecove/policy/tenant_quotas.py
+++ b/dunecove/policy/tenant_quotas.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from dunecove.policy.settings import Settings
-from dunecove.policy.smoothing import moved_toward
+from dunecove.policy.smoothing import ewma
 
 BURST_S = 1.0  # of quota that a tenant may use at once before it counts as over quota
-MIN_BURST = 5.0  # least requests of such a burst: chance must not look like excess
+MIN_BURST_REQUESTS = 5.0  # least requests of such a burst: chance must not look like excess
 USAGE_WEIGHT = 0.3  # of one second in a tenant's usage: some seconds even out chance
 MIN_QUOTA = 0.001  # requests a second, for usage as a part of it
 
@@ -22,14 +22,14 @@
         self._zone_count = settings.zone_count
         self._tokens = [quota / settings.proxy_count * BURST_S for quota in quotas]
         self._refilled_at = [0.0] * len(quotas)  # ms
-        self._first_tries = [0] * len(quotas)  # in this second
+        self._original_request_counts = [0] * len(quotas)  # in this second
         self._usage = [0.0] * len(quotas)  # smoothed rate of first tries over the quota
 
     def start(self, now: float) -> None:
         """Begin to fill the buckets."""
         self._refilled_at = [now] * len(self._quotas)
 
-    def take_token(self, now: float, tenant: int) -> bool:
+    def try_consume_token(self, now: float, tenant: int) -> bool:
         """Take a token for an arrival of a tenant, for retries too; return False if it is over quota.
 
         An unknown tenant has no quota.
@@ -38,16 +38,16 @@
             return True
         rate = self._quotas[tenant] * self.traffic_share
         tokens = self._tokens[tenant] + (now - self._refilled_at[tenant]) * rate / 1000
-        tokens = min(tokens, max(rate * BURST_S, MIN_BURST))
+        tokens = min(tokens, max(rate * BURST_S, MIN_BURST_REQUESTS))
         self._refilled_at[tenant] = now
         has_token = tokens >= 1
         self._tokens[tenant] = tokens - 1 if has_token else tokens
         return has_token
 
-    def record_first_try(self, tenant: int) -> None:
+    def record_original_request(self, tenant: int) -> None:
         """Count an arrival that its client doesn't mark as a retry."""
-        if tenant < len(self._first_tries):
-            self._first_tries[tenant] += 1
+        if tenant < len(self._original_request_counts):
+            self._original_request_counts[tenant] += 1
 
     def update_traffic_share(self, seconds: float) -> None:
         """Estimate the traffic share from what came in the last seconds.
@@ -56,9 +56,9 @@
         the median tenant is taken to keep its quota, if that makes the share more than one in N.
         """
         for tenant, quota in enumerate(self._quotas):
-            usage = self._first_tries[tenant] / seconds / max(quota, MIN_QUOTA)
-            self._usage[tenant] = moved_toward(self._usage[tenant], usage, USAGE_WEIGHT)
-            self._first_tries[tenant] = 0
+            usage = self._original_request_counts[tenant] / seconds / max(quota, MIN_QUOTA)
+            self._usage[tenant] = ewma(self._usage[tenant], usage, USAGE_WEIGHT)
+            self._original_request_counts[tenant] = 0
         if len(self._usage) <= 1 or self._zone_count <= 1:
             return
         median = sorted(self._usage)[(len(self._usage) - 1) // 2]
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -85,8 +85,8 @@
     )
     for release, rejected in ((0.5, False), (4.0, True)):
         driver = Driver(make_settings(*classes), *make_backends(40))
-        driver.balancer.queues[0].detector.overloaded_at = driver.now
-        driver.balancer.queues[0].detector.release_objectives = release
+        driver.balancer.queues[0].detector.last_overloaded_at = driver.now
+        driver.balancer.queues[0].detector.readmission_objectives = release
         driver.send_request(1)
         assert bool(actions_of_type(Reject, driver.last_actions)) is rejected
 
@@ -99,8 +99,8 @@
     rejected = []
     for since in (1.0, 600.0, 1201.0):
         driver = Driver(make_settings(*classes), *make_backends(40))
-        driver.balancer.queues[0].detector.overloaded_at = driver.now
-        driver.balancer.queues[0].detector.release_objectives = 4.0
+        driver.balancer.queues[0].detector.last_overloaded_at = driver.now
+        driver.balancer.queues[0].detector.readmission_objectives = 4.0
         driver.now += since
         rejected.append(
             sum(
--- a/tests/policy/test_client_retries.py
+++ b/tests/policy/test_client_retries.py
@@ -28,7 +28,7 @@
         driver = Driver(make_settings(RequestClass(80.0, 400.0)), *make_backends(4))
         sent = 0
         for number in range(40):
-            driver.balancer.client_retries.expected = away
+            driver.balancer.client_retries.expected_retries = away
             request = driver.send_request(timeout_ms=45 if number % 4 else 398)
             if request in driver.forwards:
                 sent += number % 4 > 0
--- a/tests/policy/test_overload_detector.py
+++ b/tests/policy/test_overload_detector.py
@@ -51,9 +51,9 @@
         for number in range(times):
             detector.set_overloaded(1e6 + number * every, True)
             detector.set_overloaded(1e6 + number * every + 1, False)
-        return detector.release_objectives
+        return detector.readmission_objectives
 
     assert flags(200.0, 1) == 0.5
     assert flags(200.0, 6) == 4.0
-    detector.overloaded_at = -1e9
+    detector.last_overloaded_at = -1e9
     assert flags(5000.0, 3) == 0.5
