--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -1,10 +1,10 @@
-"""The decisions of one proxy: a batch of events in, the actions to carry out.
+"""The decisions of one proxy: `Balancer.step` takes a batch of events and returns the actions to carry out.
 
-Each rule stands in the module that owns its state; this one passes events on, in this order:
-1. each event by itself: arrivals are admitted or shed, outcomes are learned from and may lead to a retry,
-   list updates move backends, ticks do the housekeeping;
-2. retries that are pinned to their deduplication scope;
-3. dispatch of the queues, and expiry of what waited too long.
+Each rule is in the module that owns its state; this module passes the events on. The order within a step is:
+1. each event: arriving requests are admitted or shed, outcomes of attempts update the estimates and may cause
+   a retry, endpoint list updates change the backends, ticks do the housekeeping;
+2. dispatch of pinned retries, which are restricted to their deduplication scope;
+3. dispatch of the queues, and failure of requests that have waited too long.
 """
 
 from __future__ import annotations
@@ -53,24 +53,27 @@
 from dunecove.policy.slow_start_budget import SlowStartBudget
 from dunecove.policy.subsetting import BackendSet
 
-SLOW_TICK_MS = 1000.0  # between two updates of estimates that age with time
+SLOW_TICK_MS = 1000.0  # minimum interval of updates of the estimates that decay over time
 
 
 class Balancer:
-    """One proxy's decisions. Feed it every event; carry out every action. Times are in ms."""
+    """The decisions of one proxy. It must get every event, and every action must be carried out.
+
+    Times are in ms.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
         self.settings = settings
         rng = Random(seed)
-        sparse = settings.is_sparse_tier
+        is_sparse = settings.is_sparse_tier
         queue_by_objective = create_queues(
             {request_class.latency_objective_ms for request_class in settings.classes},
             settings.step_interval_ms,
         )
         self.queues = list(queue_by_objective.values())
         self._queue_by_class = [queue_by_objective[c.latency_objective_ms] for c in settings.classes]
-        self.latencies = LatencyTracker(len(settings.classes), sparse)
+        self.latencies = LatencyTracker(len(settings.classes), is_sparse)
         self.in_flight = InFlightLimit(settings.proxy_count, self.queues[0].objective_ms, self.latencies)
         self._slow_start = SlowStart(settings.slow_start_ms)
         self._slow_start_budget = SlowStartBudget(settings, rng, self._slow_start)
@@ -92,13 +95,13 @@
         )
         self.pinned_retries = PinnedRetries(self.backends, self._dispatcher)
         self.polling = DiscoveryPolling(settings, rng)
-        self.requests: dict[str, Request] = {}  # those without a final response, or with an open attempt
+        self.requests: dict[str, Request] = {}  # without a final response, or with an open attempt
         self._is_started = False
-        self._last_slow_tick_at = 0.0  # the last one
+        self._last_slow_tick_at = 0.0
         self._actions: list[Action] = []
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
-        """Take a batch of events that happened up to `now`; return the actions in order."""
+        """Process a batch of events that happened up to `now`; return the actions in order."""
         self._actions = []
         if not self._is_started and events:
             self._start(now)
@@ -183,7 +186,7 @@
             self._apply_retry_decision(request, self.retry_policy.after_failure(now, request, event.result))
 
     def _apply_retry_decision(self, request: Request, decision: Retry | EndReason) -> None:
-        """Carry out what was decided on a request after a failed attempt."""
+        """Retry or fail a request, as decided after a failed attempt."""
         if isinstance(decision, EndReason):
             self._fail(request, decision)
         elif decision is Retry.QUEUED:
@@ -193,7 +196,7 @@
             self._timeouts.schedule(request.retry_at, request)
         else:
             executed = first_executed_attempt(request.attempts)
-            assert executed is not None  # or any backend might get it
+            assert executed is not None  # otherwise the retry would not be restricted to a scope
             self.pinned_retries.add(request)
             self._timeouts.schedule_pinned_retry(request, executed)
 
@@ -214,7 +217,7 @@
         self._finish(request)
 
     def _process_due_requests(self, now: float) -> None:
-        """Look at the requests whose timers have run out."""
+        """Check the waiting requests whose timers have expired."""
         while (request := self._timeouts.pop_due(now)) is not None:
             if request.is_queued:
                 if not self._timeouts.try_extend(now, request):
@@ -223,12 +226,12 @@
                 self._apply_retry_decision(request, self.retry_policy.after_backoff(now, request))
 
     def _fail(self, request: Request, reason: EndReason) -> None:
-        """Give the final response to a request that will not be sent again."""
+        """Send a final error response for a request."""
         self._actions.append(Fail(request.id, reason))
         self._finish(request)
 
     def _finish(self, request: Request) -> None:
-        """It has its final response; it is kept only until its open attempts have ended."""
+        """Mark a request as finished, and remove it unless it has open attempts."""
         request.is_finished = True
         request.is_queued = False
         if request.open_attempt_count == 0:
@@ -250,7 +253,7 @@
 
     def _on_tick(self, now: float) -> None:
         self._actions.append(SetTimer(TICK_MS, 0))
-        self._process_due_requests(now)  # before dispatch too, so that ended backoffs are sent in this step
+        self._process_due_requests(now)  # also before dispatch: retries after a backoff are sent in this step
         cold = self.backends.cold_subset
         self._slow_start_budget.refill(now, cold, self.backends.proxies_per_backend() if cold else 1.0)
         if self.polling.take_due(now):
--- a/dunecove/policy/dispatcher.py
+++ b/dunecove/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatch: which queued request is sent next, and whether there is capacity for it."""
+"""Dispatch: which queued request is sent next, and whether a backend has capacity for it."""
 
 from __future__ import annotations
 
@@ -17,10 +17,9 @@
 from dunecove.policy.settings import Settings
 from dunecove.policy.subsetting import BackendSet
 
-UNRESPONSIVE_AFTER_LATENCIES = 2.0  # usual latencies without a response after which a backend may hang
-MIN_AVAILABLE_CONCURRENCY = (
-    -1.0
-)  # of a responsive backend: over its limit it takes at most one from the others
+UNRESPONSIVE_AFTER_LATENCIES = 2.0  # mean latencies without a response after which a backend is unresponsive
+# A responsive backend above its limit reduces the sum of available concurrency by at most 1.
+MIN_AVAILABLE_CONCURRENCY = -1.0
 MIN_TIMEOUT_MS = 1.0
 
 
@@ -45,9 +44,10 @@
         self._bandit = bandit
 
     def dispatch(self, now: float) -> list[Forward]:
-        """Send queued requests, the one first that has waited the largest part of its objective.
+        """Send queued requests, the longest wait as a fraction of the objective first.
 
-        So all queues feel a shortage of backends alike, and each one's detector sheds its own.
+        A lack of capacity thus delays all queues in proportion to their objectives, and the overload detector
+        of each queue responds to it.
         """
         forwards: list[Forward] = []
         candidates: list[Backend] | None = None
@@ -66,7 +66,7 @@
         return forwards
 
     def forward(self, now: float, request: Request, candidates: list[Backend]) -> Forward:
-        """Begin an attempt of a request at one of these backends."""
+        """Start an attempt of a request at one of the candidates."""
         executed = first_executed_attempt(request.attempts)
         backend = self._bandit.pick(now, request, candidates, len(self._backends.subset))
         request.attempts.append(Attempt(backend, now))
@@ -77,15 +77,15 @@
         write_timeout_ms = inf
         request_class = request.request_class
         if executed and request_class.idempotency is Idempotency.KEYED:
-            # Its connection may come up late; by then the key may have been forgotten.
+            # Connecting may take until after the deduplication window.
             write_timeout_ms = dedup_window_end(request_class, executed) - now
         return Forward(request.id, backend.id, max(end - now, MIN_TIMEOUT_MS), write_timeout_ms)
 
     def _capacity(self, now: float) -> tuple[list[Backend], float]:
-        """Return the backends with capacity, and how many requests may be sent."""
+        """Return the backends with capacity, and how many requests may be sent now."""
         candidates = self._with_capacity(now, self._backends.subset)
         if self._is_sparse:
-            if not candidates:  # nothing waits beside a ready backend
+            if not candidates:  # no request waits while a warm backend has capacity
                 warm = [backend for backend in self._backends.active if backend.cold_until <= now]
                 candidates = self._with_capacity(now, warm)
             return candidates, self._in_flight.available_sends(now)
@@ -93,7 +93,7 @@
         if self._backends.unsubscribed.count and (
             not candidates or available_sends < sum(len(queue) for queue in self._queues)
         ):
-            self._backends.choose_subset(now)  # keeps state of more of them under load
+            self._backends.choose_subset(now)  # subscribes to more backends under load
             candidates = self._with_capacity(now, self._backends.subset)
             available_sends = self._available_concurrency(now)
         return candidates, available_sends
@@ -103,12 +103,13 @@
         return [backend for backend in backends if backend.has_capacity(now, min_limit)]
 
     def _available_concurrency(self, now: float) -> float:
-        """Return the sum of what is left of all limits: each below one would else let a request through.
+        """Return the sum over the subset of each backend's limit minus its attempts in flight.
 
-        A backend that hangs uses up at most its own limit.
+        Limits may be below 1, and each backend with a positive limit accepts a request while it has none in
+        flight: only the sum enforces such limits. An unresponsive backend uses up at most its own limit.
         """
-        usual_ms = self._latencies.overall_ms or self._queues[-1].objective_ms
-        unresponsive_since = now - UNRESPONSIVE_AFTER_LATENCIES * usual_ms
+        mean_latency_ms = self._latencies.overall_ms or self._queues[-1].objective_ms
+        unresponsive_since = now - UNRESPONSIVE_AFTER_LATENCIES * mean_latency_ms
         return sum(
             max(
                 backend.limit - backend.in_flight,
--- a/dunecove/policy/feedback.py
+++ b/dunecove/policy/feedback.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt teaches, and to whom."""
+"""Distributes the outcome of an attempt to the components that learn from it."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from dunecove.policy.settings import Settings
 from dunecove.policy.subsetting import BackendSet
 
-# This proxy stopped waiting.
+# Results of attempts that this proxy stopped waiting for.
 _ABANDONED = (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
-# The doing of this proxy or of the client: says nothing of the backend.
+# Results caused by this proxy or the client, which give no information about the backend.
 _NOT_CAUSED_BY_BACKEND = (
     AttemptResult.CANCELLED,
     AttemptResult.WITHDRAWN,
@@ -27,7 +27,7 @@
 
 
 class Feedback:
-    """Passes outcomes on to all that learn from them."""
+    """Passes the outcomes of attempts to the components that learn from them."""
 
     def __init__(
         self,
@@ -49,13 +49,13 @@
     def record(
         self, now: float, request: Request, backend: Backend, event: AttemptEnded
     ) -> BackendEjected | None:
-        """Learn from an outcome; return what to log if the backend is ejected."""
+        """Record the outcome of an attempt; return the action that logs an ejection, or None."""
         result = event.result
         latency_ms = max(event.latency_ms, MIN_LATENCY_MS)
         if result in _ABANDONED:
-            expected_max_latency_ms = self._latencies.expected_max_latency_ms(request)
+            max_latency_ms = self._latencies.expected_max_latency_ms(request)
             self._latencies.record_abandoned(request, latency_ms)
-            if latency_ms < expected_max_latency_ms:  # an ordinary attempt may take as long: says nothing
+            if latency_ms < max_latency_ms:  # a successful attempt may take as long
                 return None
         if result in _NOT_CAUSED_BY_BACKEND:
             return None
@@ -63,7 +63,7 @@
         if self._is_sparse:
             subset = self._backends.subset
             self._in_flight.record_outcome(result, latency_ms, objective_ms, backend, subset)
-        # The objective counts from the send here: the wait in the queue is not the backend's doing.
+        # The latency excludes the wait in the queue, which the backend does not cause.
         self._bandit.record_outcome(backend, result is AttemptResult.OK and latency_ms <= objective_ms)
         if result is AttemptResult.OK:
             self._record_response(now, request, backend, latency_ms)
@@ -83,5 +83,6 @@
         saturation = min(latency_ms / request.queue.objective_ms, 1.0)
         if not self._is_sparse:
             self._saturation.record(saturation, self._backends.active)
-        # Classes differ in work: scaled to the mix, so that a run of long ones doesn't look like waiting.
+        # Classes differ in their mean latency: scaled to the overall mean, a series of requests of a slow
+        # class does not look like requests waiting in the backend.
         backend.record_latency(latency_ms * self._latencies.overall_ms / class_latency_ms, saturation)
--- a/dunecove/policy/latency_tracker.py
+++ b/dunecove/policy/latency_tracker.py
@@ -1,19 +1,19 @@
-"""The usual latency of responses, overall and by class, and the work rate of each kind of hardware."""
+"""Mean latencies, overall and by request class, and the work rate of each kind of hardware."""
 
 from __future__ import annotations
 
 from dunecove.policy.request import Request
 from dunecove.policy.smoothing import LATENCY_WEIGHT, ewma, latency_ewma
 
-EXPECTED_MAX_DEVIATIONS = 3.0  # above the usual latency, up to which an attempt is an ordinary one
-MIN_LATENCY_MS = 0.001  # less is below the clock's resolution; nothing may be divided by zero
-# Weight of one response in a kind's work rate; a sparse proxy sees few.
+EXPECTED_MAX_DEVIATIONS = 3.0  # expected maximum latency = mean + this many mean deviations
+MIN_LATENCY_MS = 0.001  # latencies below the clock's resolution are raised to it, to avoid division by zero
+# Weight of one response in a kind's work rate; higher for a sparse proxy, which has few responses.
 WORK_RATE_WEIGHT = 1 / 32
 SPARSE_WORK_RATE_WEIGHT = 1 / 10
 
 
 class ClassLatency:
-    """The latency of one request class, smoothed, in ms."""
+    """The smoothed latency of one request class and its mean deviation, in ms."""
 
     __slots__ = ("deviation_ms", "mean_ms")
 
@@ -22,7 +22,7 @@
         self.deviation_ms = 0.0
 
     def record(self, latency_ms: float) -> None:
-        """Learn from a response, or from an abandoned attempt."""
+        """Record the latency of a response or of an abandoned attempt."""
         if self.mean_ms:
             deviation_ms = abs(latency_ms - self.mean_ms)
             self.deviation_ms = ewma(self.deviation_ms, deviation_ms, LATENCY_WEIGHT)
@@ -32,34 +32,34 @@
 
 
 class LatencyTracker:
-    """Smoothed latencies of all backends together."""
+    """Smoothed latencies over all backends. Times are in ms."""
 
     def __init__(self, class_count: int, is_sparse: bool) -> None:
-        self.overall_ms = 0.0
+        self.overall_ms = 0.0  # mean latency over all classes; 0 before the first response
         self.work_rates: dict[int, float] = {}  # ms of latency per ms of hinted work, by kind of hardware
         self._by_class = [ClassLatency() for _ in range(class_count)]
         self._work_rate_weight = SPARSE_WORK_RATE_WEIGHT if is_sparse else WORK_RATE_WEIGHT
 
     def class_latency_ms(self, class_index: int) -> float:
-        """Return the usual latency of a class; 0 before its first response."""
+        """Return the mean latency of a class; 0 before its first response."""
         return self._by_class[class_index].mean_ms
 
     def capped_class_latency_ms(self, request: Request) -> float:
-        """Return the usual latency of a request's class, at most half its objective."""
+        """Return the mean latency of a request's class, at most half its objective."""
         return min(self.class_latency_ms(request.class_index), request.queue.objective_ms / 2)
 
     def expected_max_latency_ms(self, request: Request) -> float:
-        """Return how long an attempt may take and still be an ordinary one.
+        """Return the expected maximum latency of an attempt, at most half its objective.
 
-        It is at most half the objective: were the usual latency above the objective, nothing would ever be
-        sent again and the latency never be corrected.
+        Without that bound, a mean latency above the objective would prevent all further attempts, and so
+        would never be corrected.
         """
-        usual = self._by_class[request.class_index]
-        ordinary_ms = usual.mean_ms + EXPECTED_MAX_DEVIATIONS * usual.deviation_ms
-        return min(ordinary_ms, request.queue.objective_ms / 2)
+        class_latency = self._by_class[request.class_index]
+        expected_max_ms = class_latency.mean_ms + EXPECTED_MAX_DEVIATIONS * class_latency.deviation_ms
+        return min(expected_max_ms, request.queue.objective_ms / 2)
 
     def record_response(self, request: Request, latency_ms: float) -> float:
-        """Learn from a response; return its class's usual latency."""
+        """Record a response; return the mean latency of its class."""
         request.queue.record_latency(latency_ms)
         class_latency = self._by_class[request.class_index]
         class_latency.record(latency_ms)
@@ -67,24 +67,26 @@
         return class_latency.mean_ms
 
     def record_abandoned(self, request: Request, latency_ms: float) -> None:
-        """Learn from an abandoned attempt, for its class alone.
+        """Record an abandoned attempt, for its class only.
 
-        Were only responses counted, each abandoned attempt would make the next one look later still.
+        If only responses counted, each abandoned attempt would bias the mean latency low, and the next
+        attempt would seem even slower.
         """
         self._by_class[request.class_index].record(latency_ms)
 
     def record_work_rate(self, kind: int, work_rate: float) -> None:
-        """Learn the work rate of a kind of hardware; of one backend alone there are too few responses.
+        """Update the work rate of a kind of hardware; a single backend has too few responses.
 
-        It is smoothed by its logarithm, since a hint may be tenfold off either way.
+        The logarithm of the work rate is smoothed, since a hint may be too high or too low by a factor of
+        ten.
         """
-        known = self.work_rates.get(kind, work_rate)
-        self.work_rates[kind] = known * (work_rate / known) ** self._work_rate_weight
+        mean = self.work_rates.get(kind, work_rate)
+        self.work_rates[kind] = mean * (work_rate / mean) ** self._work_rate_weight
 
     def record_min_work_rate(self, kind: int, work_rate: float) -> None:
-        """Learn that a kind's work rate is at least this, as from a timeout."""
+        """Update the work rate of a kind with a lower bound, such as from a timeout."""
         self.record_work_rate(kind, max(work_rate, self.work_rates.get(kind, 0.0)))
 
     def fastest_work_rate(self) -> float:
-        """Return the work rate of the fastest kind; 0 if none is known."""
+        """Return the work rate of the fastest kind, which is the lowest rate; 0 if none is known."""
         return min(self.work_rates.values(), default=0.0)
--- a/dunecove/policy/pinned_retries.py
+++ b/dunecove/policy/pinned_retries.py
@@ -1,4 +1,8 @@
-"""Keyed retries of what may have executed: only backends that recognise the repeat may get them."""
+"""Pinned retries: retries of keyed requests that may have executed.
+
+They are restricted to backends that recognise the idempotency key: those in the deduplication scope of the
+earliest attempt that may have executed.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 
 
 class PinnedRetries:
-    """The retries that wait for capacity in their deduplication scope."""
+    """The pinned retries that wait for capacity in their deduplication scope."""
 
     def __init__(self, backends: BackendSet, dispatcher: Dispatcher) -> None:
         self.waiting: list[Request] = []
@@ -20,12 +24,12 @@
         self._dispatcher = dispatcher
 
     def add(self, request: Request) -> None:
-        """Let a retry wait for its scope."""
+        """Add a retry that waits for capacity in its scope."""
         request.is_queued = True
         self.waiting.append(request)
 
     def dispatch(self, now: float) -> list[Forward]:
-        """Send those whose scope has capacity; forget those that have ended."""
+        """Send the retries whose scope has capacity; drop those of ended requests."""
         waiting, self.waiting = self.waiting, []
         forwards: list[Forward] = []
         for request in waiting:
@@ -39,14 +43,14 @@
             ]
             if candidates and now < request.send_deadline:
                 request.is_queued = False
-                # Bounded by the retry budget, so not by the in-flight limit.
+                # The in-flight limit is not applied: the retry budget already limits these attempts.
                 forwards.append(self._dispatcher.forward(now, request, candidates))
             else:
                 self.waiting.append(request)
         return forwards
 
     def _scope_members(self, now: float, request: Request, executed: Attempt) -> list[Backend]:
-        """Return the active backends of its scope; some of them are subscribed to if few are."""
+        """Return the active backends in a request's scope; if they are few, subscribe to more first."""
         scope = request.request_class.dedup_scope
         members = [backend for backend in self._backends.active if in_dedup_scope(scope, backend, executed)]
         unsubscribed = self._backends.unsubscribed
--- a/dunecove/policy/request_queue.py
+++ b/dunecove/policy/request_queue.py
@@ -1,4 +1,4 @@
-"""The first-come queue of the request classes that share one latency objective."""
+"""The FIFO queue of all request classes that share one latency objective."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 
 
 class RequestQueue:
-    """Requests that wait for a backend with capacity, the queue's latency and its overload detector."""
+    """The requests that wait for a backend with capacity, their mean latency and the overload detector."""
 
     def __init__(self, objective_ms: float, step_interval_ms: float) -> None:
         self.objective_ms = objective_ms
         self.detector = OverloadDetector(objective_ms, step_interval_ms)
-        self.mean_latency_ms = 0.0  # smoothed, of responses
+        self.mean_latency_ms = 0.0  # smoothed latency of responses; 0 before the first one
         self._requests: deque[Request] = deque()
 
     def __len__(self) -> int:
-        """Return the number of entries, with those that have ended and were not yet removed."""
+        """Return the number of entries, including ended requests that have not been removed yet."""
         return len(self._requests)
 
     def push(self, request: Request) -> None:
-        """Queue a new request as the last one."""
+        """Append a new request."""
         request.is_queued = True
         self._requests.append(request)
 
     def push_front(self, request: Request) -> None:
-        """Queue a request for its next attempt, ahead of all that were never sent."""
+        """Queue a request for a retry, ahead of all requests without an attempt."""
         request.is_queued = True
         self._requests.appendleft(request)
 
     def head(self) -> Request | None:
-        """Return the request that is next; drop those ahead of it that have ended."""
+        """Return the first request, or None; drop ended requests ahead of it."""
         while self._requests and not self._requests[0].is_queued:
             self._requests.popleft()
         return self._requests[0] if self._requests else None
 
     def pop_head(self, now: float) -> Request:
-        """Remove and return the request that `head` has just returned, to send it."""
+        """Remove and return the request that `head` has just returned, which is about to be sent."""
         request = self._requests.popleft()
         request.is_queued = False
         if not request.attempts:
@@ -50,21 +50,21 @@
         return request
 
     def record_latency(self, latency_ms: float) -> None:
-        """Learn from a response to one of its requests."""
+        """Update the mean latency with a response to a request of this queue."""
         self.mean_latency_ms = latency_ewma(self.mean_latency_ms, latency_ms)
 
     def overload_ratio(self, now: float) -> float:
-        """Return how overloaded it is: above 1 it is overloaded, 0 while nothing waits."""
+        """Return the overload ratio: above 1 if the queue is overloaded, 0 if it is empty."""
         head = self.head()
         if head is None:
-            return 0.0  # whatever an old window says, the next request leaves at once
+            return 0.0  # the next request is sent immediately, whatever the last window's minimum wait was
         return self.detector.wait_ratio(now, head.arrived_at, self.mean_latency_ms)
 
     def threshold_ms(self) -> float:
-        """Return the minimum wait above which it is overloaded."""
+        """Return the threshold of the minimum wait above which the queue is overloaded."""
         return self.detector.threshold_ms(self.mean_latency_ms)
 
 
 def create_queues(objectives_ms: set[float], step_interval_ms: float) -> dict[float, RequestQueue]:
-    """Return a queue for each objective, the shortest first."""
+    """Return the queues by objective, in ascending order."""
     return {objective: RequestQueue(objective, step_interval_ms) for objective in sorted(objectives_ms)}
--- a/dunecove/policy/request_rules.py
+++ b/dunecove/policy/request_rules.py
@@ -1,11 +1,12 @@
-"""The rules on attempts, retries, rejections and closes that depend on a request and its class.
+"""The rules that decide whether an attempt, a retry, a rejection or the close of a connection is allowed.
 
-Whether the client has gone, the backend was removed or a deadline has passed is checked by `RequestLifecycle`
-and `ConnectionPool`; `Denial` names these reasons too.
+They depend on a request and its class. Whether the client has disconnected, the backend was removed or a
+deadline has passed is checked by `RequestLifecycle` and `ConnectionPool`; `Denial` includes these reasons
+too.
 
-This module has no sockets and no clock: the caller brings the time, in milliseconds. The balancer asks
-before it decides, and the network code asks again just before the first byte of an attempt is written, since
-the endpoint list, the client or the time may have moved between the two.
+This module uses no sockets and no clock: the caller passes the time, in milliseconds. The balancer applies
+the rules when it decides, and the network code applies them again just before the first byte of an attempt is
+written, since the endpoint list, the client's connection or the time may have changed in between.
 """
 
 from __future__ import annotations
@@ -19,22 +20,22 @@
 
 
 class Denial(Enum):
-    """Why something may not be done now."""
+    """Why an attempt is not allowed now."""
 
     CLIENT_DISCONNECTED = "client_disconnected"
-    ANSWERED = "answered"  # the request has its final answer
-    BACKEND_REMOVED = "backend_removed"  # or it drains
-    DEADLINE_EXCEEDED = "deadline_exceeded"  # the attempt's or the request's
-    SHUTTING_DOWN = "shutting_down"  # the program could not answer it any more
-    DEDUP_WINDOW_OVER = "dedup_window_over"  # backends have forgotten the key
+    ANSWERED = "answered"  # the request has its final response
+    BACKEND_REMOVED = "backend_removed"  # or it is draining
+    DEADLINE_EXCEEDED = "deadline_exceeded"  # of the attempt or the request
+    SHUTTING_DOWN = "shutting_down"  # the proxy could no longer send the response
+    DEDUP_WINDOW_OVER = "dedup_window_over"  # backends no longer recognise the idempotency key
     TOO_MANY_ATTEMPTS = "too_many_attempts"
-    CONCURRENT_ATTEMPT = "concurrent_attempt"  # another attempt is open
-    MAY_HAVE_EXECUTED = "may_have_executed"
-    OUTSIDE_DEDUP_SCOPE = "outside_dedup_scope"  # the backend does not know the key
+    CONCURRENT_ATTEMPT = "concurrent_attempt"  # another attempt is open, and hedging is not allowed
+    MAY_HAVE_EXECUTED = "may_have_executed"  # an earlier attempt, and the request is not idempotent
+    OUTSIDE_DEDUP_SCOPE = "outside_dedup_scope"  # the backend does not recognise the idempotency key
 
 
-# Those that may come about between a decision and its first byte. The others mean that the decision itself
-# broke a rule, and are counted as violations.
+# Denials whose cause may arise between the decision and the first byte of an attempt. Any other denial means
+# that the decision itself broke a rule, and is counted as a violation.
 EXPECTED_DENIALS = frozenset(
     (
         Denial.CLIENT_DISCONNECTED,
@@ -48,27 +49,27 @@
 
 
 class Violation(Enum):
-    """A rule that was broken, or would have been without a check here."""
+    """A rule that was broken, or would have been broken without a check."""
 
-    FORBIDDEN_ATTEMPT = "forbidden_attempt"  # decided, but denied
-    FORBIDDEN_REJECTION = "forbidden_rejection"  # of what may have executed
+    FORBIDDEN_ATTEMPT = "forbidden_attempt"  # an attempt that was decided on, and then denied
+    FORBIDDEN_REJECTION = "forbidden_rejection"  # a rejection of a request that may have executed
     LATE_RESPONSE = "late_response"  # more than `RESPONSE_GRACE_MS` after the deadline
-    UNANSWERED = "unanswered"  # the program ended, or closed a connection, with a request open
+    UNANSWERED = "unanswered"  # the process exited, or closed a connection, without a final response
 
 
-RESPONSE_GRACE_MS = 500.0  # after the deadline: a response earns nothing any more, but still counts as given
+RESPONSE_GRACE_MS = 500.0  # a response up to this time after the deadline has no value, but is no violation
 
 
 class Location(Protocol):
-    """Where a backend is."""
+    """The location of a backend."""
 
     @property
     def zone(self) -> int:
-        """Its zone."""
+        """The zone."""
 
     @property
     def cell(self) -> int:
-        """Its rack."""
+        """The cell: a rack."""
 
 
 class PreviousAttempt(Location, Protocol):
@@ -76,7 +77,7 @@
 
     @property
     def sent_at(self) -> float:
-        """When its first byte was written, or earlier."""
+        """A time at or before which its first byte was written, in ms."""
 
     @property
     def is_open(self) -> bool:
@@ -91,12 +92,15 @@
 
 
 def first_executed_attempt(attempts: Sequence[AnyAttempt]) -> AnyAttempt | None:
-    """Return the earliest attempt that may have executed; what a class allows counts from it."""
+    """Return the earliest attempt that may have executed, or None.
+
+    The deduplication scope and window of a keyed request count from this attempt.
+    """
     return next((attempt for attempt in attempts if attempt.may_have_executed), None)
 
 
 def in_dedup_scope(scope: DeduplicationScope, location: Location, executed: Location) -> bool:
-    """Whether a backend at `location` recognises a repeat of what was executed at the other location."""
+    """Whether a backend at `location` recognises the key of a request that was executed at `executed`."""
     if scope is DeduplicationScope.ALL:
         return True
     if scope is DeduplicationScope.ZONE:
@@ -105,16 +109,19 @@
 
 
 def dedup_window_end(request_class: RequestClass, executed: PreviousAttempt) -> float:
-    """Return when backends forget the key of a request that `executed` may have executed, in ms."""
+    """Return the time in ms when the deduplication window of a request ends.
+
+    `executed` is the earliest attempt of the request that may have executed.
+    """
     return executed.sent_at + request_class.dedup_window_ms
 
 
 def retry_denial(
     settings: Settings, request_class: RequestClass, previous: Sequence[PreviousAttempt], now: float
 ) -> Denial | None:
-    """Return why a request may not be sent now, to whichever backend; None if it may.
+    """Return why a request must not be sent to any backend now; None if it may be sent.
 
-    The first attempt, without previous ones, may always be sent.
+    A request without previous attempts may always be sent.
     """
     if not previous:
         return None
@@ -137,7 +144,7 @@
     location: Location,
     now: float,
 ) -> Denial | None:
-    """Return why a request may not be sent to a backend at this location now; None if it may."""
+    """Return why a request must not be sent to a backend at this location now; None if it may be sent."""
     denial = retry_denial(settings, request_class, previous, now)
     executed = first_executed_attempt(previous)
     if denial is not None or executed is None or request_class.idempotency is not Idempotency.KEYED:
@@ -148,12 +155,12 @@
 
 
 def may_close_connection(has_open_requests: bool, has_unread_bytes: bool) -> bool:
-    """Whether this proxy may end a client's connection; unread bytes of the client may be a request."""
+    """Whether this proxy may close a client's connection; unread bytes may contain a request."""
     return not has_open_requests and not has_unread_bytes
 
 
 def may_reject(request_class: RequestClass, attempts: Sequence[PreviousAttempt]) -> bool:
-    """Whether a request may get a rejection, which promises that a retry is safe."""
+    """Whether a request may be rejected; a rejection promises that a retry is safe."""
     if request_class.idempotency is Idempotency.IDEMPOTENT or first_executed_attempt(attempts) is None:
         return True
     return (
--- a/dunecove/policy/retry_policy.py
+++ b/dunecove/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether and how a request whose attempt failed is sent again."""
+"""Whether and how a request is retried after a failed attempt."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from dunecove.policy.request_rules import first_executed_attempt, retry_denial
 from dunecove.policy.settings import ACTION_DELAY_STEPS, Settings
 
-# Retries of what may have executed, per arrival: they can't add more than this to any load.
+# Retries of requests that may have executed, per arriving request: they add at most this fraction to a load.
 BUDGET_PER_ARRIVAL = 0.1
-MAX_BUDGET = 10.0  # retries saved up
-# ms before a request with a second local failure is sent again, doubled at each further one: else its
-# attempts are used up at once.
+MAX_BUDGET = 10.0  # retries
+# Backoff after a request's second local failure, doubled at each further one: without it a request would use
+# up its attempts at once. The first local failure is retried without a delay.
 LOCAL_FAILURE_BACKOFF_MS = 50.0
 
 
 class Retry(Enum):
-    """How a request goes on after a failed attempt."""
+    """How a request is retried after a failed attempt."""
 
     QUEUED = "queued"  # at the head of its queue, for any backend
-    PINNED = "pinned"  # for a backend that recognises a repeat of what may have executed
-    BACKOFF = "backoff"  # at `Request.retry_at`
+    PINNED = "pinned"  # restricted to the backends that recognise its idempotency key
+    BACKOFF = "backoff"  # not before `Request.retry_at`
 
 
 class RetryPolicy:
@@ -36,11 +36,14 @@
         self._latencies = latencies
 
     def record_arrival(self) -> None:
-        """Add an arrival's part to the budget."""
+        """Credit the budget for an arriving request."""
         self.budget = min(MAX_BUDGET, self.budget + BUDGET_PER_ARRIVAL)
 
     def after_failure(self, now: float, request: Request, result: AttemptResult) -> Retry | EndReason:
-        """Decide on a request that has no open attempt and whose last one ended so."""
+        """Return how to retry a request without open attempts, or why it fails.
+
+        `result` is that of its last attempt.
+        """
         if result is AttemptResult.WITHDRAWN:
             return EndReason.ATTEMPT_WITHDRAWN
         if result is AttemptResult.BAD_REQUEST:
@@ -56,12 +59,12 @@
         return self._spend_budget(request)
 
     def after_backoff(self, now: float, request: Request) -> Retry | EndReason:
-        """Decide on a request whose backoff has ended."""
+        """Return how to retry a request whose backoff has ended, or why it fails."""
         request.retry_at = 0.0
         return self._spend_budget(request) if self._may_retry(now, request) else EndReason.RETRY_NOT_ALLOWED
 
     def _may_retry(self, now: float, request: Request) -> bool:
-        """Whether another attempt is allowed, and of use at its class's usual latency."""
+        """Whether another attempt is allowed and, at the mean latency of its class, would respond in time."""
         sent_at = now + ACTION_DELAY_STEPS * self._settings.step_interval_ms
         denial = retry_denial(self._settings, request.request_class, request.attempts, sent_at)
         response_at = now + self._latencies.capped_class_latency_ms(request)
--- a/dunecove/policy/tenant_quotas.py
+++ b/dunecove/policy/tenant_quotas.py
@@ -1,18 +1,18 @@
-"""Tenants' quotas, and the share of the deployment's traffic that comes to this proxy."""
+"""Tenant quotas, and this proxy's share of the traffic of all proxies."""
 
 from __future__ import annotations
 
 from dunecove.policy.settings import Settings
 from dunecove.policy.smoothing import ewma
 
-BURST_S = 1.0  # of quota that a tenant may use at once before it counts as over quota
-MIN_BURST_REQUESTS = 5.0  # least requests of such a burst: chance must not look like excess
-USAGE_WEIGHT = 0.3  # of one second in a tenant's usage: some seconds even out chance
-MIN_QUOTA = 0.001  # requests a second, for usage as a part of it
+BURST_S = 1.0  # capacity of a token bucket, in seconds of quota
+MIN_BURST_REQUESTS = 5.0  # minimum capacity of a token bucket: random clustering must not exceed the quota
+USAGE_WEIGHT = 0.3  # weight of one second in a tenant's smoothed usage, to average out random variation
+MIN_QUOTA = 0.001  # requests per second; a lower quota is raised to it, to avoid division by zero
 
 
 class TenantQuotas:
-    """A token bucket for each tenant. Quotas are requests a second over all proxies together."""
+    """A token bucket for each tenant. Quotas are in requests per second over all proxies."""
 
     def __init__(self, settings: Settings) -> None:
         quotas = settings.tenant_quotas
@@ -21,18 +21,18 @@
         self._min_share = 1 / settings.proxy_count
         self._zone_count = settings.zone_count
         self._tokens = [quota / settings.proxy_count * BURST_S for quota in quotas]
-        self._refilled_at = [0.0] * len(quotas)  # ms
-        self._original_request_counts = [0] * len(quotas)  # in this second
-        self._usage = [0.0] * len(quotas)  # smoothed rate of first tries over the quota
+        self._refilled_at = [0.0] * len(quotas)  # times of the last refill, in ms
+        self._original_request_counts = [0] * len(quotas)  # since the last update of the traffic share
+        self._usage = [0.0] * len(quotas)  # smoothed rate of original requests as a fraction of the quota
 
     def start(self, now: float) -> None:
-        """Begin to fill the buckets."""
+        """Start refilling the buckets at `now`."""
         self._refilled_at = [now] * len(self._quotas)
 
     def try_consume_token(self, now: float, tenant: int) -> bool:
-        """Take a token for an arrival of a tenant, for retries too; return False if it is over quota.
+        """Consume a token for an arriving request or retry; return False if its tenant is over quota.
 
-        An unknown tenant has no quota.
+        An unknown tenant has no quota and is never over quota.
         """
         if tenant >= len(self._quotas):
             return True
@@ -45,15 +45,16 @@
         return has_token
 
     def record_original_request(self, tenant: int) -> None:
-        """Count an arrival that its client doesn't mark as a retry."""
+        """Count an arriving request that its client has not marked as a retry."""
         if tenant < len(self._original_request_counts):
             self._original_request_counts[tenant] += 1
 
     def update_traffic_share(self, seconds: float) -> None:
-        """Estimate the traffic share from what came in the last seconds.
+        """Estimate the traffic share from the original requests of the last `seconds`.
 
-        Traffic is seldom split evenly: a proxy alone in its zone would take all tenants for over quota. So
-        the median tenant is taken to keep its quota, if that makes the share more than one in N.
+        Traffic is seldom split evenly over the proxies: with a share of 1/N, the only proxy of a zone would
+        treat all tenants as over quota. The median tenant is therefore assumed to use its quota in full, and
+        its usage is the estimate if it is above 1/N.
         """
         for tenant, quota in enumerate(self._quotas):
             usage = self._original_request_counts[tenant] / seconds / max(quota, MIN_QUOTA)
@@ -62,5 +63,5 @@
         if len(self._usage) <= 1 or self._zone_count <= 1:
             return
         median = sorted(self._usage)[(len(self._usage) - 1) // 2]
-        # No more than a whole zone's: in a flood all are over quota, the median tenant too.
+        # The share is at most that of a whole zone: in a flood even the median tenant is over quota.
         self.traffic_share = max(min(median, 1 / self._zone_count), self._min_share)
