--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,12 +1,10 @@
-"""Priority levels, and which of them are shed under overload."""
+"""Tests of priority levels, and of load shedding under overload."""
 
 from __future__ import annotations
 
 import pytest
 
-from dunecove.policy.actions import (
-    Reject,
-)
+from dunecove.policy.actions import Reject
 from dunecove.policy.balancer import Balancer
 from dunecove.policy.settings import RequestClass
 from tests.policy.helpers import (
@@ -19,30 +17,35 @@
 from tests.support import Driver, actions_of_type, make_backends, make_settings
 
 
-def test_levels_come_from_priority_weight_and_quota() -> None:
-    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (12.0, 7.0, 4.0, 1.0))
+def test_priority_level_depends_on_priority_weight_and_tenant_quota() -> None:
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=weight) for weight in (12.0, 7.0, 4.0, 1.0))
     balancer = Balancer(
         make_settings(*classes, tenant_quotas=(2.0,), over_quota_weight=0.05, proxy_count=2), 1
     )
-    assert [balancer.admission.priority_level(0.0, c, 5) for c in classes] == [1, 2, 3, 4]
+    assert [balancer.admission.priority_level(0.0, request_class, 5) for request_class in classes] == [
+        1,
+        2,
+        3,
+        4,
+    ]
     assert [balancer.admission.priority_level(1.0, classes[0], 0) for _ in range(3)] == [1, 4, 4]
-    assert balancer.admission.priority_level(2001.0, classes[0], 0) == 1  # a second's quota has come in
+    assert balancer.admission.priority_level(2001.0, classes[0], 0) == 1  # refilled with a second's quota
 
 
-@pytest.mark.parametrize(("cls", "answer"), [(0, None), (1, None), (3, Reject)])
-def test_under_overload_only_low_levels_are_shed(cls: int, answer: type | None) -> None:
-    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (12.0, 7.0, 4.0, 1.0))
+@pytest.mark.parametrize(("class_index", "expected_action"), [(0, None), (1, None), (3, Reject)])
+def test_overload_sheds_only_low_priority_levels(class_index: int, expected_action: type | None) -> None:
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=weight) for weight in (12.0, 7.0, 4.0, 1.0))
     driver = driver_with_queued_request(*classes, sends_retry_after=True, max_retry_after_ms=500)
-    driver.now += 160  # stuck for longer than a window
-    driver.send_request(cls)
+    driver.now += 160  # no request was sent for longer than the window
+    driver.send_request(class_index)
     rejected = actions_of_type(Reject, driver.last_actions)
-    assert bool(rejected) == (answer is Reject)
+    assert bool(rejected) == (expected_action is Reject)
     if rejected:
         assert 0 < rejected[0].retry_after_ms <= 500
 
 
 def rejections_after_waits(classes: tuple[RequestClass, ...], class_index: int, wait_ms: float) -> int:
-    """Return how many of 20 arrivals of a class are rejected while all requests wait as long."""
+    """Return how many of 20 requests of a class are rejected while all requests wait for `wait_ms`."""
     driver = driver_with_queued_request(*classes)
     detector = driver.balancer.queues[0].detector
     for _ in range(9):
@@ -55,19 +58,23 @@
     )
 
 
-def test_level_three_is_shed_less_readily_than_four() -> None:
-    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (12.0, 4.0, 1.0))
-    counts = {cls: rejections_after_waits(classes, cls, 1.5 * 0.08 * 300) for cls in (1, 2)}
+def test_level_three_is_shed_at_a_higher_overload_ratio_than_level_four() -> None:
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=weight) for weight in (12.0, 4.0, 1.0))
+    counts = {
+        class_index: rejections_after_waits(classes, class_index, 1.5 * 0.08 * 300) for class_index in (1, 2)
+    }
     assert counts == {1: 0, 2: 20}
 
 
-def test_half_the_best_weight_is_shed_under_a_long_wait_and_the_best_is_not() -> None:
-    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (10.0, 5.0))
-    counts = {cls: rejections_after_waits(classes, cls, 6.5 * 0.08 * 300) for cls in (0, 1)}
+def test_long_wait_sheds_half_the_highest_weight_but_not_the_highest() -> None:
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=weight) for weight in (10.0, 5.0))
+    counts = {
+        class_index: rejections_after_waits(classes, class_index, 6.5 * 0.08 * 300) for class_index in (0, 1)
+    }
     assert counts == {0: 0, 1: 20}
 
 
-def test_overload_of_one_queue_sheds_nothing_of_another() -> None:
+def test_overload_of_one_queue_does_not_shed_requests_of_another() -> None:
     classes = (
         RequestClass(300.0, 900.0, priority_weight=12.0),
         RequestClass(500.0, 900.0, priority_weight=1.0),
@@ -78,7 +85,7 @@
     assert not actions_of_type(Reject, driver.last_actions)
 
 
-def test_level_four_is_admitted_to_an_empty_queue_unless_overload_keeps_returning() -> None:
+def test_level_four_is_admitted_to_an_empty_queue_unless_overload_recurs() -> None:
     classes = (
         RequestClass(300.0, 900.0, priority_weight=12.0),
         RequestClass(300.0, 900.0, priority_weight=1.0),
@@ -91,17 +98,17 @@
         assert bool(actions_of_type(Reject, driver.last_actions)) is rejected
 
 
-def test_level_four_is_admitted_again_by_degrees_after_overload() -> None:
+def test_level_four_is_readmitted_gradually_after_overload() -> None:
     classes = (
         RequestClass(300.0, 900.0, priority_weight=12.0),
         RequestClass(300.0, 900.0, priority_weight=1.0),
     )
     rejected = []
-    for since in (1.0, 600.0, 1201.0):
+    for elapsed_ms in (1.0, 600.0, 1201.0):
         driver = Driver(make_settings(*classes), *make_backends(40))
         driver.balancer.queues[0].detector.last_overloaded_at = driver.now
         driver.balancer.queues[0].detector.readmission_objectives = 4.0
-        driver.now += since
+        driver.now += elapsed_ms
         rejected.append(
             sum(
                 bool(actions_of_type(Reject, driver.last_actions))
@@ -112,12 +119,12 @@
     assert rejected[0] >= 38 and 8 < rejected[1] < 32 and rejected[2] == 0
 
 
-def test_work_that_is_late_even_on_the_fastest_kind_is_of_a_lower_level() -> None:
-    classes = tuple(RequestClass(300.0, 900.0, priority_weight=w) for w in (10.0, 5.0))
+def test_work_expected_late_on_the_fastest_kind_has_a_lower_priority_level() -> None:
+    classes = tuple(RequestClass(300.0, 900.0, priority_weight=weight) for weight in (10.0, 5.0))
     balancer = Balancer(make_settings(*classes), 1)
 
     def levels(work: float) -> list[int]:
-        return [balancer.admission.priority_level(0.0, spec, 0, work) for spec in classes]
+        return [balancer.admission.priority_level(0.0, request_class, 0, work) for request_class in classes]
 
     assert levels(5000.0) == [1, 3]  # before any kind's work rate is known
     balancer.latencies.work_rates = {0: 1.5, 1: 3.0}
@@ -127,9 +134,12 @@
 
 
 @pytest.mark.parametrize(("weight", "level"), [(5.0, 4), (10.0, 4)])
-def test_after_many_timeouts_work_that_will_be_late_is_shed_first(weight: float, level: int) -> None:
-    """A sparse proxy's queue is empty while the backends that all proxies share are full: work that none of
-    them could finish in time went on being sent, and kept others from finishing."""
+def test_sparse_proxy_sheds_work_expected_late_after_many_timeouts(weight: float, level: int) -> None:
+    """Guards against late work that delays other requests.
+
+    A sparse proxy's queue is empty while the backends that all proxies share are overloaded. Work that none
+    of them could finish in time was still sent.
+    """
     classes = (
         RequestClass(300.0, 2000.0, priority_weight=weight),
         RequestClass(300.0, 2000.0, priority_weight=10.0),
@@ -137,14 +147,14 @@
     driver = Driver(make_settings(*classes, **SPARSE_TIER), *make_backends(40))
     run_successful_requests(driver, 20, 10.0, 2.0)
     assert driver.balancer.admission.priority_level(driver.now, classes[0], 0, 400.0) == level
-    assert send_request_with_hint(driver, 400.0) in driver.forwards  # no overload: why not try
+    assert send_request_with_hint(driver, 400.0) in driver.forwards  # without overload it is admitted
     run_timed_out_requests(driver, 8, 10.0)
     late = send_request_with_hint(driver, 400.0)
     assert late not in driver.forwards and actions_of_type(Reject, driver.last_actions)
     assert send_request_with_hint(driver, 10.0) in driver.forwards
 
 
-def test_overload_is_over_once_responses_are_in_time_again() -> None:
+def test_sparse_proxy_overload_ends_when_responses_meet_the_objective_again() -> None:
     driver = Driver(make_settings(RequestClass(300.0, 2000.0), **SPARSE_TIER), *make_backends(40))
     run_successful_requests(driver, 20, 10.0, 2.0)
     run_timed_out_requests(driver, 8, 10.0)
@@ -152,10 +162,10 @@
     assert send_request_with_hint(driver, 400.0) in driver.forwards
 
 
-def test_work_that_takes_most_of_its_objective_counts_as_late_at_a_sparse_proxy_only() -> None:
-    spec = RequestClass(300.0, 2000.0)
-    for proxies, level in ((300, 4), (3, 1)):
-        driver = Driver(make_settings(spec, proxy_count=proxies), *make_backends(40))
+def test_work_near_its_objective_is_expected_late_only_at_a_sparse_proxy() -> None:
+    request_class = RequestClass(300.0, 2000.0)
+    for proxy_count, level in ((300, 4), (3, 1)):
+        driver = Driver(make_settings(request_class, proxy_count=proxy_count), *make_backends(40))
         run_successful_requests(driver, 60, 40.0, 1.0)
-        assert driver.balancer.admission.priority_level(driver.now, spec, 0, 220.0) == level
-        assert driver.balancer.admission.priority_level(driver.now, spec, 0, 120.0) == 1
+        assert driver.balancer.admission.priority_level(driver.now, request_class, 0, 220.0) == level
+        assert driver.balancer.admission.priority_level(driver.now, request_class, 0, 120.0) == 1
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""What holds for the balancer as a whole, and ends of requests."""
+"""Tests of the balancer as a whole, and of how requests end."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     assert runs[0] == runs[1]
 
 
-def test_an_outcome_of_an_unknown_request_is_ignored() -> None:
+def test_outcome_of_an_unknown_request_is_ignored() -> None:
     driver = Driver(make_settings(), *make_backends(1))
     request = driver.send_request()
     driver.end_attempt(request)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "fields",
     [
         {"classes": ()},
         {"classes": (RequestClass(-1.0, 100.0),)},
@@ -54,20 +54,20 @@
         {"classes": (RequestClass(1.0, float("nan")),)},
     ],
 )
-def test_impossible_classes_are_named(bad: dict[str, object]) -> None:
+def test_invalid_request_class_is_named_in_the_error(fields: dict[str, object]) -> None:
     with pytest.raises(
         ValueError,
         match=r"^(class 0: (latency_objective|deadline|priority_weight|idempotency|dedup_scope)"
         r"|classes|priority_weight)",
     ):
-        Balancer(Settings(**bad), 1)  # type: ignore[arg-type]
+        Balancer(Settings(**fields), 1)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
     ("name", "value"),
     [
-        (n, 0)
-        for n in (
+        (field, 0)
+        for field in (
             "proxy_count",
             "max_attempts",
             "zone_count",
@@ -83,27 +83,28 @@
         ("proxy_index", -1),
     ],
 )
-def test_impossible_settings_are_named(name: str, value: object) -> None:
+def test_invalid_setting_is_named_in_the_error(name: str, value: object) -> None:
     with pytest.raises(ValueError, match=f"^{name} must"):
         Balancer(make_settings(**{name: value}), 1)
 
 
-def test_a_timeout_at_the_deadline_is_answered_in_the_same_step() -> None:
+def test_request_fails_in_the_same_step_as_its_timeout() -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(1))
     request = driver.send_request()
     assert [
-        f.request_id for f in actions_of_type(Fail, driver.end_attempt(request, AttemptResult.TIMEOUT, 299.0))
+        fail.request_id
+        for fail in actions_of_type(Fail, driver.end_attempt(request, AttemptResult.TIMEOUT, 299.0))
     ] == [request]
 
 
-def test_a_client_that_leaves_in_the_same_batch_as_the_end_is_ignored() -> None:
+def test_client_disconnect_in_the_same_batch_as_the_response_is_ignored() -> None:
     driver = Driver(make_settings(), *make_backends(1))
     request = driver.send_request()
     actions = driver.step(AttemptEnded(request, 0, AttemptResult.OK, 9.0, True), ClientDisconnected(request))
     assert not actions_of_type(Fail, actions) and not actions_of_type(CancelAttempt, actions)
 
 
-def test_a_queued_request_whose_client_left_is_not_forwarded() -> None:
+def test_queued_request_of_a_disconnected_client_is_not_forwarded() -> None:
     driver = Driver(make_settings(proxy_count=4), *make_backends(1))
     first, queued = driver.send_request(), driver.send_request()
     assert not actions_of_type(
@@ -111,14 +112,14 @@
     )
 
 
-def test_attempts_of_a_client_that_left_are_cancelled_where_permitted() -> None:
-    for allowed in (True, False):
-        driver = Driver(make_settings(may_cancel=allowed), *make_backends(1))
+def test_attempts_of_a_disconnected_client_are_cancelled_if_allowed() -> None:
+    for may_cancel in (True, False):
+        driver = Driver(make_settings(may_cancel=may_cancel), *make_backends(1))
         request = driver.send_request()
-        assert bool(actions_of_type(CancelAttempt, driver.step(ClientDisconnected(request)))) is allowed
+        assert bool(actions_of_type(CancelAttempt, driver.step(ClientDisconnected(request)))) is may_cancel
 
 
-def test_a_started_stream_is_left_alone() -> None:
+def test_request_with_a_started_response_is_not_cancelled_or_failed() -> None:
     driver = Driver(make_settings(RequestClass(100.0, 1000.0, streams_response=True)), *make_backends(2))
     request = driver.send_request()
     driver.step(ResponseStarted(request, 0, 5.0))
@@ -127,14 +128,14 @@
     )
 
 
-def test_an_attempt_given_up_is_no_longer_in_flight() -> None:
-    # Its work stops as its connection closes: counted for longer, it would limit what no socket holds.
+def test_timed_out_attempt_is_no_longer_in_flight() -> None:
+    # The backend stops the work when its connection closes: counting it any longer would waste the limit.
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(1))
     driver.end_attempt(driver.send_request(), AttemptResult.TIMEOUT, elapsed_ms=200)
     assert driver.balancer.backends.active[0].in_flight == 0
 
 
-def test_nothing_is_forwarded_after_the_end() -> None:
+def test_finished_request_is_not_forwarded() -> None:
     driver = Driver(make_settings(), *make_backends(2))
     request = driver.send_request()
     driver.end_attempt(request, AttemptResult.ERROR)
@@ -143,8 +144,8 @@
     assert driver.balancer.requests == {}
 
 
-def test_a_balancer_that_is_replaced_is_freed_without_the_garbage_collector() -> None:
-    # The program keeps the first list's objects from the collector: in a reference cycle they would stay.
+def test_replaced_balancer_is_freed_without_the_garbage_collector() -> None:
+    # The program excludes startup objects from garbage collection, so a reference cycle would leak them.
     driver = Driver(make_settings(proxy_count=300), *make_backends(40))
     driver.end_attempt(driver.send_request())
     driver.send_request()
--- a/tests/policy/test_feedback.py
+++ b/tests/policy/test_feedback.py
@@ -1,4 +1,4 @@
-"""Outcomes that say nothing of a backend."""
+"""Tests of outcomes that give no information about a backend."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.support import Driver, make_backends, make_settings
 
 
-def test_a_timeout_shorter_than_usual_says_nothing_of_the_backend() -> None:
+def test_timeout_below_the_expected_maximum_latency_does_not_affect_the_backend() -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(1))
     for _ in range(40):
         driver.end_attempt(driver.send_request(), elapsed_ms=50)
@@ -20,10 +20,16 @@
 
 
 @pytest.mark.parametrize("result", [AttemptResult.NO_LOCAL_RESOURCE, AttemptResult.BAD_REQUEST])
-def test_what_is_not_the_backends_doing_says_nothing_of_it(result: AttemptResult) -> None:
-    # Our own lack of descriptors, or a request at fault itself, must not take a healthy backend out.
+def test_result_not_caused_by_the_backend_does_not_affect_it(result: AttemptResult) -> None:
+    # A lack of file descriptors at the proxy, or an invalid request, must not eject a healthy backend.
     driver = Driver(make_settings(), *make_backends(2))
-    before = [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.backends.active]
+    before = [
+        (backend.payoff, backend.consecutive_failures, backend.limit)
+        for backend in driver.balancer.backends.active
+    ]
     for _ in range(6):
         driver.end_attempt(driver.send_request(), result, request_finished=True)
-    assert [(s.payoff, s.consecutive_failures, s.limit) for s in driver.balancer.backends.active] == before
+    assert [
+        (backend.payoff, backend.consecutive_failures, backend.limit)
+        for backend in driver.balancer.backends.active
+    ] == before
--- a/tests/policy/test_overload_detector.py
+++ b/tests/policy/test_overload_detector.py
@@ -1,4 +1,4 @@
-"""The verdict on a queue by the minimum wait of a window."""
+"""Tests of overload detection by the minimum wait over a time window."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
     return queue, now
 
 
-def test_the_ratio_follows_the_minimum_wait_of_the_window() -> None:
+def test_overload_ratio_follows_the_minimum_wait_of_the_window() -> None:
     queue, now = queue_with_waits(*[60.0] * 20)
     assert queue.overload_ratio(now) > 1
-    queue.detector.record_send(now + 1, 0.0)  # one immediate send is enough: no standing queue
+    queue.detector.record_send(now + 1, 0.0)  # one request without a wait disproves a standing queue
     assert queue.overload_ratio(now + 1) == 0
 
 
-def test_a_window_of_few_sends_does_not_change_the_verdict() -> None:
+def test_window_with_few_samples_does_not_cause_overload() -> None:
     queue, now = queue_with_waits(0.0, 60.0, 60.0)
     assert queue.overload_ratio(now) < 1
 
 
-def test_a_stuck_queue_counts_by_the_age_of_its_head() -> None:
+def test_overload_ratio_of_a_stuck_queue_follows_the_wait_of_its_head() -> None:
     queue, now = queue_with_waits(*[0.0] * 20)
     assert queue.overload_ratio(now + 200) > 1
 
 
-def test_an_empty_queue_is_not_overloaded_whatever_an_old_window_says() -> None:
+def test_empty_queue_is_not_overloaded_after_a_window_of_long_waits() -> None:
     queue, now = queue_with_waits(*[60.0] * 20)
     head = queue.head()
     assert head is not None
@@ -43,17 +43,17 @@
     assert queue.overload_ratio(now + 5) == 0
 
 
-def test_the_release_is_longer_only_where_overload_returns_soon() -> None:
-    # After each short spike it was shed for four objectives, and backends stood idle meanwhile.
+def test_readmission_period_grows_only_if_overload_recurs_soon() -> None:
+    # Guards against a long readmission period after each short load peak, which left backends idle.
     detector = OverloadDetector(300.0, 1.0)
 
-    def flags(every: float, times: int) -> float:
-        for number in range(times):
-            detector.set_overloaded(1e6 + number * every, True)
-            detector.set_overloaded(1e6 + number * every + 1, False)
+    def readmission_objectives_after(interval_ms: float, overload_count: int) -> float:
+        for number in range(overload_count):
+            detector.set_overloaded(1e6 + number * interval_ms, True)
+            detector.set_overloaded(1e6 + number * interval_ms + 1, False)
         return detector.readmission_objectives
 
-    assert flags(200.0, 1) == 0.5
-    assert flags(200.0, 6) == 4.0
+    assert readmission_objectives_after(200.0, 1) == 0.5
+    assert readmission_objectives_after(200.0, 6) == 4.0
     detector.last_overloaded_at = -1e9
-    assert flags(5000.0, 3) == 0.5
+    assert readmission_objectives_after(5000.0, 3) == 0.5
--- a/tests/policy/test_pinned_retries.py
+++ b/tests/policy/test_pinned_retries.py
@@ -1,4 +1,4 @@
-"""Keyed retries that only their deduplication scope may get."""
+"""Tests of keyed retries, which are pinned to their deduplication scope."""
 
 from __future__ import annotations
 
@@ -25,60 +25,62 @@
 
 
 def three_cells() -> list[BackendInfo]:
-    return [BackendInfo(f"10.0.{c}.{i}:80", cell=c, zone=c) for c in range(3) for i in range(2)]
+    return [BackendInfo(f"10.0.{cell}.{i}:80", cell=cell, zone=cell) for cell in range(3) for i in range(2)]
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.CELL, DeduplicationScope.ZONE])
-def test_a_keyed_retry_stays_in_its_deduplication_scope(scope: DeduplicationScope) -> None:
-    spec = RequestClass(
+def test_keyed_retry_stays_in_its_deduplication_scope(scope: DeduplicationScope) -> None:
+    request_class = RequestClass(
         300.0, 1000.0, idempotency=Idempotency.KEYED, dedup_scope=scope, dedup_window_ms=200.0
     )
     for seed in range(10):
-        driver = Driver(make_settings(spec), *three_cells(), seed=seed)
+        driver = Driver(make_settings(request_class), *three_cells(), seed=seed)
         request = driver.send_request()
         assert len(actions_of_type(Forward, driver.end_attempt(request, AttemptResult.ERROR))) == 1
         one, two = driver.forwards[request]
         assert one.split(".")[2] == two.split(".")[2] and one != two
 
 
-def test_a_keyed_retry_ends_with_the_deduplication_window() -> None:
+def test_keyed_request_fails_after_its_deduplication_window() -> None:
     driver = Driver(make_settings(KEYED), *three_cells())
     actions = driver.end_attempt(driver.send_request(), AttemptResult.ERROR, elapsed_ms=201)
     assert actions_of_type(Fail, actions) and not actions_of_type(Forward, actions)
 
 
 @pytest.mark.parametrize(
-    ("effect", "within"), [(Idempotency.KEYED, 200.0 - 20.0), (Idempotency.IDEMPOTENT, inf)]
+    ("idempotency", "write_timeout_ms"), [(Idempotency.KEYED, 200.0 - 20.0), (Idempotency.IDEMPOTENT, inf)]
 )
-def test_a_keyed_retry_is_written_within_its_window_or_not_at_all(effect: Idempotency, within: float) -> None:
-    """Its connection may take longer to come up than is left of the window."""
-    driver = Driver(make_settings(replace(KEYED, idempotency=effect)), *three_cells())
+def test_write_timeout_of_a_keyed_retry_is_the_rest_of_its_window(
+    idempotency: Idempotency, write_timeout_ms: float
+) -> None:
+    """Connecting may take longer than the rest of the window."""
+    driver = Driver(make_settings(replace(KEYED, idempotency=idempotency)), *three_cells())
     request = driver.send_request()
     (first,) = actions_of_type(Forward, driver.last_actions)
-    (again,) = actions_of_type(Forward, driver.end_attempt(request, AttemptResult.ERROR, elapsed_ms=20.0))
-    assert (first.write_timeout_ms, again.write_timeout_ms) == (inf, within)
+    (retry,) = actions_of_type(Forward, driver.end_attempt(request, AttemptResult.ERROR, elapsed_ms=20.0))
+    assert (first.write_timeout_ms, retry.write_timeout_ms) == (inf, write_timeout_ms)
 
 
-def test_without_capacity_in_its_scope_a_keyed_retry_fails_rather_than_leave_it() -> None:
+def test_keyed_retry_without_capacity_in_its_scope_fails() -> None:
     driver = Driver(make_settings(KEYED), *three_cells())
     request = driver.send_request()
-    home = driver.forwards[request][0].split(".")[2]
+    cell = driver.forwards[request][0].split(".")[2]
     for backend in driver.balancer.backends.active:
-        if str(backend.cell) == home:
+        if str(backend.cell) == cell:
             backend.ejected_until = driver.now + 10_000
     driver.end_attempt(request, AttemptResult.ERROR)
     actions = driver.run_ticks(250)
     assert actions_of_type(Fail, actions) and not actions_of_type(Forward, actions)
 
 
-def test_a_keyed_retry_waits_for_capacity_in_its_scope_within_its_window() -> None:
-    # Now or never, it failed although a backend of its scope had capacity a moment later.
+def test_keyed_retry_waits_for_capacity_in_its_scope_until_its_window_ends() -> None:
+    # Guards against an immediate failure although a backend in the scope soon has capacity again.
     for ejected_ms, sent in ((60.0, True), (190.0, False)):
         driver = Driver(make_settings(KEYED), *three_cells())
         request = driver.send_request()
-        home = driver.forwards[request][0].split(".")[2]
+        cell = driver.forwards[request][0].split(".")[2]
         for backend in driver.balancer.backends.active:
-            if str(backend.cell) == home:
+            if str(backend.cell) == cell:
                 backend.ejected_until = driver.now + ejected_ms
         driver.end_attempt(request, AttemptResult.ERROR)
         assert len(driver.forwards[request]) == 1
@@ -87,35 +89,36 @@
             bool(actions_of_type(Forward, actions)) is sent
             and bool(actions_of_type(Fail, actions)) is not sent
         )
-        assert {name.split(".")[2] for name in driver.forwards[request]} == {home}
+        assert {backend_id.split(".")[2] for backend_id in driver.forwards[request]} == {cell}
         assert not driver.balancer.pinned_retries.waiting
 
 
-def test_a_keyed_retry_for_any_backend_does_not_outlive_its_window() -> None:
-    spec = RequestClass(
+def test_keyed_retry_with_scope_all_is_not_sent_after_its_window() -> None:
+    request_class = RequestClass(
         300.0,
         1000.0,
         idempotency=Idempotency.KEYED,
         dedup_scope=DeduplicationScope.ALL,
         dedup_window_ms=100.0,
     )
-    driver = Driver(make_settings(spec, proxy_count=4), *make_backends(1))
+    driver = Driver(make_settings(request_class, proxy_count=4), *make_backends(1))
     request = driver.send_request()
     driver.balancer.backends.active[0].ejected_until = driver.now + 150
     driver.end_attempt(request, AttemptResult.ERROR)
     assert not actions_of_type(Forward, driver.run_ticks(250))
 
 
-def test_a_keyed_retry_goes_to_the_cell_of_its_first_attempt_though_the_backend_moves() -> None:
-    keyed = RequestClass(300.0, 900.0, Idempotency.KEYED, DeduplicationScope.CELL, dedup_window_ms=800.0)
+def test_keyed_retry_goes_to_the_cell_of_its_first_attempt_after_the_backend_has_moved() -> None:
+    request_class = RequestClass(
+        300.0, 900.0, Idempotency.KEYED, DeduplicationScope.CELL, dedup_window_ms=800.0
+    )
     first, second = (BackendInfo(f"10.0.0.{i}:80", cell=i) for i in range(2))
-    driver = Driver(make_settings(keyed), first)
+    driver = Driver(make_settings(request_class), first)
     request = driver.send_request()
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, (first._replace(cell=1), second)))
     driver.end_attempt(request, AttemptResult.ERROR)
     driver.run_ticks(100)
-    assert driver.forwards[request] == [
-        first.backend_id
-    ]  # its cell has no backend left; cell 1 never saw the key
+    # The attempt's cell has no backend any more, and cell 1 has never received the key.
+    assert driver.forwards[request] == [first.backend_id]
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, (second._replace(cell=0),)))
     assert driver.forwards[request] == [first.backend_id, second.backend_id]
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -1,4 +1,4 @@
-"""After a fault ends, what was learned from it wears off: limits, payoffs, ejections and verdicts."""
+"""Tests of recovery after a fault: of limits, payoffs, ejections and overload states."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from dunecove.policy.settings import RequestClass
 from tests.support import Driver, actions_of_type, make_backends, make_settings
 
-RECOVERY_MS = 12_000  # the longest ejection (8 s and a quarter), then its trial
-STEP_MS = 10  # one arrival each
-USUAL_MS = 20.0
+RECOVERY_MS = 12_000  # the longest ejection (8 s plus 25% jitter), and its trial request
+STEP_MS = 10  # one request arrives in each step
+NORMAL_LATENCY_MS = 20.0
 
 
 class Script:
-    """Feeds one arrival each step and ends each attempt as set for its backend; nothing is modelled."""
+    """Sends one request per step, and ends each attempt with the outcome set for its backend."""
 
     def __init__(self, backends: int) -> None:
         classes = (
@@ -31,47 +31,53 @@
         self.attempts: Counter[str] = Counter()
         self.forwards: Counter[str] = Counter()
 
-    def run(self, ms: int, outcomes: dict[str, tuple[AttemptResult, float]]) -> None:
-        """`outcomes` by backend, others as usual; counts forwards by backend of this run."""
+    def run(self, duration_ms: int, outcomes: dict[str, tuple[AttemptResult, float]]) -> None:
+        """Run for `duration_ms` and count this run's forwards by backend.
+
+        `outcomes` are the result and latency by backend; other backends respond normally.
+        """
         self.forwards.clear()
         driver = self.driver
-        for n in range(ms // STEP_MS):
+        for step in range(duration_ms // STEP_MS):
             self.schedule_ends(
-                driver.tick(STEP_MS) if n % 3 == 0 else driver.step(elapsed_ms=STEP_MS), outcomes
+                driver.tick(STEP_MS) if step % 3 == 0 else driver.step(elapsed_ms=STEP_MS), outcomes
             )
             while self.ends and self.ends[0][0] <= driver.now:
-                _, request, attempt, result, delay = heappop(self.ends)
+                _, request, attempt, result, latency_ms = heappop(self.ends)
                 self.schedule_ends(
-                    driver.step(AttemptEnded(request, attempt, result, delay, result is AttemptResult.OK)),
+                    driver.step(
+                        AttemptEnded(request, attempt, result, latency_ms, result is AttemptResult.OK)
+                    ),
                     outcomes,
                 )
-            driver.send_request(n % 2)
+            driver.send_request(step % 2)
             self.schedule_ends(driver.last_actions, outcomes)
 
     def schedule_ends(self, actions: list[Action], outcomes: dict[str, tuple[AttemptResult, float]]) -> None:
         now = self.driver.now
         for forward in actions_of_type(Forward, actions):
             self.forwards[forward.backend_id] += 1
-            result, delay = outcomes.get(forward.backend_id, (AttemptResult.OK, USUAL_MS))
-            if delay > forward.timeout_ms:
-                result, delay = AttemptResult.TIMEOUT, forward.timeout_ms
+            result, latency_ms = outcomes.get(forward.backend_id, (AttemptResult.OK, NORMAL_LATENCY_MS))
+            if latency_ms > forward.timeout_ms:
+                result, latency_ms = AttemptResult.TIMEOUT, forward.timeout_ms
             heappush(
-                self.ends, (now + delay, forward.request_id, self.attempts[forward.request_id], result, delay)
+                self.ends,
+                (now + latency_ms, forward.request_id, self.attempts[forward.request_id], result, latency_ms),
             )
             self.attempts[forward.request_id] += 1
 
 
-def all_of(backends: int, result: AttemptResult, delay: float) -> dict[str, tuple[AttemptResult, float]]:
-    return {s.backend_id: (result, delay) for s in make_backends(backends)}
+def all_of(backends: int, result: AttemptResult, latency_ms: float) -> dict[str, tuple[AttemptResult, float]]:
+    return {backend.backend_id: (result, latency_ms) for backend in make_backends(backends)}
 
 
 FAULTS = {
     "all slow": all_of(4, AttemptResult.OK, 290.0),
-    "all beyond the objective": all_of(4, AttemptResult.OK, 600.0),
-    "all full": all_of(4, AttemptResult.REJECTED, 2.0),
+    "all late": all_of(4, AttemptResult.OK, 600.0),
+    "all reject": all_of(4, AttemptResult.REJECTED, 2.0),
     "all fail": all_of(4, AttemptResult.ERROR, 5.0),
-    "none outcomes": all_of(4, AttemptResult.OK, 1e6),
-    "one refuses": {"10.0.0.0:80": (AttemptResult.CONNECT_FAILED, 1.0)},
+    "all hang": all_of(4, AttemptResult.OK, 1e6),
+    "one refuses connections": {"10.0.0.0:80": (AttemptResult.CONNECT_FAILED, 1.0)},
     "one hangs": {"10.0.0.0:80": (AttemptResult.OK, 1e6)},
     "one slow": {"10.0.0.0:80": (AttemptResult.OK, 250.0)},
     "one fails quickly": {"10.0.0.0:80": (AttemptResult.ERROR, 1.0)},
@@ -79,39 +85,38 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_what_a_fault_taught_wears_off(name: str) -> None:
+def test_state_recovers_after_a_fault(name: str) -> None:
     script = Script(4)
     script.run(5_000, {})
     script.run(8_000, FAULTS[name])
     script.run(RECOVERY_MS, {})
     script.run(2_000, {})
     balancer = script.driver.balancer
-    assert [e.overload_ratio(script.driver.now) for e in balancer.queues] == [0.0]
-    assert (
-        sum(script.forwards.values()) >= 0.98 * 2_000 / STEP_MS
-    )  # level 4 is admitted again, nothing is queued
-    fair = sum(script.forwards.values()) / 4
+    assert [queue.overload_ratio(script.driver.now) for queue in balancer.queues] == [0.0]
+    # Level 4 is readmitted, and no request is queued.
+    assert sum(script.forwards.values()) >= 0.98 * 2_000 / STEP_MS
+    fair_share = sum(script.forwards.values()) / 4
     for backend in balancer.backends.active:
         assert backend.consecutive_failures == 0 and backend.ejected_until <= script.driver.now
         assert backend.payoff > 0.9, backend.id
-        # Room for all of the traffic at the usual latency, and its part of it.
-        assert backend.limit >= 2 and script.forwards[backend.id] > fair / 2, (
+        # Each backend could take all traffic at the normal latency, and gets over half its fair share of it.
+        assert backend.limit >= 2 and script.forwards[backend.id] > fair_share / 2, (
             backend.id,
             backend.limit,
             script.forwards,
         )
 
 
-def test_backends_that_were_away_are_used_as_before() -> None:
+def test_backends_are_used_again_after_they_return_to_the_list() -> None:
     script = Script(4)
     script.run(5_000, {})
-    gone = make_backends(4, state=BackendState.REMOVED)
-    script.driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(gone)))
+    removed = make_backends(4, state=BackendState.REMOVED)
+    script.driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(removed)))
     script.run(3_000, {})
     assert not script.forwards
     script.schedule_ends(
         script.driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(make_backends(4)))), {}
     )
-    script.run(3_000, {})  # level 4 comes back over four aims
+    script.run(3_000, {})  # level 4 is readmitted over four latency objectives
     script.run(3_000, {})
     assert len(script.forwards) == 4 and sum(script.forwards.values()) >= 290
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether and how a request is retried."""
+"""Tests of whether and how a request is retried."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from tests.support import Driver, actions_of_type, make_backends, make_settings
 
 
-def test_a_withdrawn_attempt_ends_in_a_failure() -> None:
+def test_withdrawn_attempt_fails_the_request() -> None:
     driver = Driver(make_settings(), *make_backends(1))
     assert actions_of_type(Fail, driver.end_attempt(driver.send_request(), AttemptResult.WITHDRAWN, 0.0))
 
 
 @pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.TIMEOUT])
-def test_non_idempotent_that_may_have_executed_is_never_retried_or_rejected(
+def test_non_idempotent_request_that_may_have_executed_fails_without_retry_or_rejection(
     result: AttemptResult,
 ) -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(3))
@@ -35,37 +35,39 @@
 
 
 @pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED])
-def test_non_idempotent_that_never_executed_goes_to_another_backend(result: AttemptResult) -> None:
+def test_non_idempotent_request_that_never_executed_is_retried_at_another_backend(
+    result: AttemptResult,
+) -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(3))
     request = driver.send_request()
-    again = actions_of_type(Forward, driver.end_attempt(request, result))
-    assert len(again) == 1 and again[0].backend_id != driver.forwards[request][0]
+    retries = actions_of_type(Forward, driver.end_attempt(request, result))
+    assert len(retries) == 1 and retries[0].backend_id != driver.forwards[request][0]
 
 
-def test_attempts_are_limited() -> None:
+def test_request_fails_after_its_maximum_number_of_attempts() -> None:
     driver = Driver(make_settings(max_attempts=2), *make_backends(4))
     request = driver.send_request()
     driver.end_attempt(request, AttemptResult.REJECTED)
     assert actions_of_type(Fail, driver.end_attempt(request, AttemptResult.REJECTED))
 
 
-def test_retries_of_what_may_have_executed_are_budgeted() -> None:
+def test_retry_budget_limits_retries_of_requests_that_may_have_executed() -> None:
     driver = Driver(make_settings(), *make_backends(40))
-    resent = sum(
+    retry_count = sum(
         len(actions_of_type(Forward, driver.end_attempt(driver.send_request(), AttemptResult.ERROR)))
         for _ in range(100)
     )
-    assert resent <= 10 + 0.1 * 100 + 1
+    assert retry_count <= 10 + 0.1 * 100 + 1
 
 
-def test_a_late_attempt_is_neither_cancelled_nor_hedged() -> None:
-    """Backends go on with cancelled work: a second attempt adds load where there is least capacity."""
+def test_slow_attempt_is_neither_cancelled_nor_hedged() -> None:
+    """Backends may continue cancelled work, so a second attempt would add load where capacity is lowest."""
     driver = Driver(make_settings(), *make_backends(2))
     request = driver.send_request()
     assert not actions_of_type(CancelAttempt, driver.run_ticks(275)) and len(driver.forwards[request]) == 1
 
 
-def test_a_bad_request_is_not_retried() -> None:
+def test_bad_request_is_not_retried() -> None:
     driver = Driver(make_settings(), *make_backends(2))
     request = driver.send_request()
     assert (
@@ -74,28 +76,28 @@
     )
 
 
-def test_a_request_that_found_no_connection_is_retried_whatever_its_class() -> None:
+def test_non_idempotent_request_is_retried_after_a_local_failure() -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(2))
     request = driver.send_request()
     driver.end_attempt(request, AttemptResult.NO_LOCAL_RESOURCE)
     assert len(driver.forwards[request]) == 2
 
 
-@pytest.mark.parametrize("effect", list(Idempotency))
-def test_a_short_lack_of_connections_does_not_use_up_the_attempts(effect: Idempotency) -> None:
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+def test_brief_series_of_local_failures_does_not_exhaust_the_attempts(idempotency: Idempotency) -> None:
     driver = Driver(
-        make_settings(RequestClass(1000.0, 3000.0, effect, dedup_window_ms=1000.0), max_attempts=5),
+        make_settings(RequestClass(1000.0, 3000.0, idempotency, dedup_window_ms=1000.0), max_attempts=5),
         *make_backends(5),
     )
-    request, begun = driver.send_request(timeout_ms=3000.0), driver.now
-    tried = 0
-    while driver.now < begun + 200.0:
+    request, started_at = driver.send_request(timeout_ms=3000.0), driver.now
+    attempt_count = 0
+    while driver.now < started_at + 200.0:
         actions = driver.step()
-        if len(driver.forwards[request]) > tried:
-            tried += 1
+        if len(driver.forwards[request]) > attempt_count:
+            attempt_count += 1
             actions += driver.end_attempt(request, AttemptResult.NO_LOCAL_RESOURCE, elapsed_ms=0.1)
         actions += driver.tick()
         assert actions_of_type(Fail, actions) == []
     driver.run_ticks(500.0)
-    assert len(driver.forwards[request]) == tried + 1
+    assert len(driver.forwards[request]) == attempt_count + 1
     assert actions_of_type(Fail, driver.end_attempt(request)) == []
--- a/tests/policy/test_tenant_quotas.py
+++ b/tests/policy/test_tenant_quotas.py
@@ -1,34 +1,32 @@
-"""Tenants' quotas and this proxy's share of the traffic."""
+"""Tests of tenant quotas and of the proxy's traffic share."""
 
 from __future__ import annotations
 
 import pytest
 
-from dunecove.policy.events import (
-    RequestArrived,
-)
+from dunecove.policy.events import RequestArrived
 from tests.support import Driver, make_backends, make_settings
 
 
-def test_a_proxy_with_a_large_traffic_share_does_not_take_all_for_over_quota() -> None:
+def test_proxy_with_a_large_traffic_share_does_not_treat_all_tenants_as_over_quota() -> None:
     config = make_settings(
         tenant_quotas=(40.0, 10.0, 10.0, 10.0), over_quota_weight=0.05, proxy_count=4, zone_count=2
     )
     driver = Driver(config, *make_backends(9))
-    for second in range(12):  # this proxy gets half of all traffic; tenant 0 asks for three times its share
+    for second in range(12):  # half of all traffic; tenant 0 sends three times its share
         for slot in range(80):
             tenant = 0 if slot < 60 else 1 + slot % 3
             driver.step(RequestArrived(f"{second}.{slot}", 0, tenant, None, driver.now + 900))
             driver.tick(elapsed_ms=12.5)
-    balancer, spec = driver.balancer, config.classes[0]
+    balancer, request_class = driver.balancer, config.classes[0]
     assert balancer.admission.quotas.traffic_share > 0.4
     driver.now += 1000
-    assert [balancer.admission.priority_level(driver.now, spec, 1) for _ in range(4)] == [1] * 4
-    levels = [balancer.admission.priority_level(driver.now, spec, 0) for _ in range(60)]
+    assert [balancer.admission.priority_level(driver.now, request_class, 1) for _ in range(4)] == [1] * 4
+    levels = [balancer.admission.priority_level(driver.now, request_class, 0) for _ in range(60)]
     assert 10 < levels.count(1) < 40
 
 
-def test_in_a_flood_of_all_tenants_the_traffic_share_is_at_most_a_zone() -> None:
+def test_traffic_share_is_at_most_that_of_a_zone_when_all_tenants_are_over_quota() -> None:
     config = make_settings(
         tenant_quotas=(10.0, 10.0, 10.0), over_quota_weight=0.05, proxy_count=4, zone_count=3
     )
@@ -39,7 +37,7 @@
     assert driver.balancer.admission.quotas.traffic_share == pytest.approx(1 / 3)
 
 
-def test_without_other_tenants_to_compare_the_traffic_share_is_one_in_n() -> None:
+def test_traffic_share_with_a_single_tenant_is_one_in_n() -> None:
     driver = Driver(
         make_settings(tenant_quotas=(10.0,), over_quota_weight=0.05, proxy_count=4), *make_backends(9)
     )
@@ -49,7 +47,7 @@
     assert driver.balancer.admission.quotas.traffic_share == 0.25
 
 
-def test_chance_does_not_put_a_tenant_with_little_traffic_over_quota() -> None:
+def test_tenant_with_little_traffic_may_send_a_minimum_burst() -> None:
     driver = Driver(
         make_settings(tenant_quotas=(300.0,), over_quota_weight=0.1, proxy_count=300), *make_backends(9)
     )
