--- a/dunecove/policy/client_retries.py
+++ b/dunecove/policy/client_retries.py
@@ -4,8 +4,8 @@
 
 from dunecove.policy.events import RequestArrived
 
-# A request is a retry only if its client has waited longer than this fraction of the latency objective: the
-# network may take as much of an original request's time.
+# An unmarked request is taken for a retry only if its client has waited longer than this fraction of the
+# latency objective: the network may take as much of an original request's time.
 MIN_WAIT_FRACTION = 0.1
 RETRIES_PER_REJECTION = 2.0  # expected retries for each rejection or disconnect, at this proxy or another one
 MAX_EXPECTED_RETRIES = 200.0
--- a/dunecove/policy/in_flight_limit.py
+++ b/dunecove/policy/in_flight_limit.py
@@ -26,8 +26,8 @@
 # Maximum time charged to the budget for one attempt, in mean latencies: a longer attempt hangs because of its
 # own backend, not because of the load.
 MAX_CHARGED_LATENCIES = 4.0
-# A response that takes more than this fraction of the objective is an overload sample: too little time is
-# left for the client's network.
+# Overload samples are rejections, timeouts and responses that take more than this fraction of the objective,
+# which leave too little time for the client's network.
 OVERLOAD_OBJECTIVE_FRACTION = 0.85
 INITIAL_LATENCY_FRACTION = 1 / 4  # of the shortest objective: the mean latency assumed before any response
 # The limit is raised only while it is below this factor times (attempts in flight + 1): a larger limit is not
@@ -104,7 +104,9 @@
         is_overload = result in LOAD_FAILURES or latency_ms > OVERLOAD_OBJECTIVE_FRACTION * objective_ms
         self.overload_fraction = ewma(self.overload_fraction, is_overload, LATENCY_WEIGHT)
         if is_overload:
-            if backend.payoff > mean_payoff(subset) / 2:  # a failing backend is no sign of general overload
+            if (
+                backend.payoff > mean_payoff(subset) / 2
+            ):  # a bad backend gives no information about the others
                 self.limit = max(MIN_IN_FLIGHT_LIMIT, self.limit * (1 - REDUCE_FRACTION))
         elif result is AttemptResult.OK and self.limit < MAX_LIMIT_TO_IN_FLIGHT_RATIO * (self.count + 1):
             self.limit += RAISE_STEP * sqrt(self.limit)
--- a/dunecove/policy/latency_tracker.py
+++ b/dunecove/policy/latency_tracker.py
@@ -77,8 +77,7 @@
     def record_work_rate(self, kind: int, work_rate: float) -> None:
         """Update the work rate of a kind of hardware; a single backend has too few responses.
 
-        The logarithm of the work rate is smoothed, since a hint may be too high or too low by a factor of
-        ten.
+        The logarithm of the work rate is smoothed, since hints may be off by a factor of ten either way.
         """
         mean = self.work_rates.get(kind, work_rate)
         self.work_rates[kind] = mean * (work_rate / mean) ** self._work_rate_weight
--- a/dunecove/policy/overload_detector.py
+++ b/dunecove/policy/overload_detector.py
@@ -14,8 +14,8 @@
 # in latency objectives.
 MIN_READMISSION_OBJECTIVES = 0.5
 MAX_READMISSION_OBJECTIVES = 4.0
-# An overload within RECURRENCE_FACTOR * (readmission_objectives + 1) objectives after the previous one
-# doubles the readmission period.
+# An overload that begins within RECURRENCE_FACTOR * (readmission_objectives + 1) latency objectives after the
+# end of the previous one doubles the readmission period.
 RECURRENCE_FACTOR = 0.5
 
 
--- a/dunecove/policy/request_rules.py
+++ b/dunecove/policy/request_rules.py
@@ -1,8 +1,7 @@
 """The rules that decide whether an attempt, a retry, a rejection or the close of a connection is allowed.
 
-They depend on a request and its class. Whether the client has disconnected, the backend was removed or a
-deadline has passed is checked by `RequestLifecycle` and `ConnectionPool`; `Denial` includes these reasons
-too.
+They depend on a request and its class. `RequestLifecycle` and `ConnectionPool` check whether the client has
+disconnected, the backend was removed or a deadline has passed; `Denial` includes these reasons too.
 
 This module uses no sockets and no clock: the caller passes the time, in milliseconds. The balancer applies
 the rules when it decides, and the network code applies them again just before the first byte of an attempt is
--- a/dunecove/policy/retry_policy.py
+++ b/dunecove/policy/retry_policy.py
@@ -71,6 +71,7 @@
         return denial is None and response_at <= request.value_expires_at
 
     def _spend_budget(self, request: Request) -> Retry | EndReason:
+        """Choose how to retry a request; charge the budget if an earlier attempt may have executed."""
         if first_executed_attempt(request.attempts) is None:
             return Retry.QUEUED
         if self.budget < 1:
