--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -149,8 +149,8 @@
     assert driver.balancer.admission.priority_level(driver.now, classes[0], 0, 400.0) == level
     assert send_request_with_hint(driver, 400.0) in driver.forwards  # without overload it is admitted
     run_timed_out_requests(driver, 8, 10.0)
-    late = send_request_with_hint(driver, 400.0)
-    assert late not in driver.forwards and actions_of_type(Reject, driver.last_actions)
+    late_request = send_request_with_hint(driver, 400.0)
+    assert late_request not in driver.forwards and actions_of_type(Reject, driver.last_actions)
     assert send_request_with_hint(driver, 10.0) in driver.forwards
 
 
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -39,7 +39,7 @@
     request = driver.send_request()
     driver.end_attempt(request)
     assert driver.step(AttemptEnded(request, 0, AttemptResult.OK, 1.0, True)) == []
-    assert driver.step(AttemptEnded("nobody", 3, AttemptResult.OK, 1.0, True)) == []
+    assert driver.step(AttemptEnded("unknown", 3, AttemptResult.OK, 1.0, True)) == []
 
 
 @pytest.mark.parametrize(
@@ -149,10 +149,10 @@
     driver = Driver(make_settings(proxy_count=300), *make_backends(40))
     driver.end_attempt(driver.send_request())
     driver.send_request()
-    old = ref(driver.balancer)
+    replaced = ref(driver.balancer)
     gc.disable()
     try:
         driver.balancer = Balancer(make_settings(), 1)
-        assert old() is None
+        assert replaced() is None
     finally:
         gc.enable()
--- a/tests/policy/test_bandit.py
+++ b/tests/policy/test_bandit.py
@@ -62,7 +62,7 @@
 def fraction_sent_to_slow_kind(
     driver: Driver, kinds: dict[str, int], work_hint_ms: float, count: int = 60
 ) -> float:
-    """The part of requests with this hint that goes to kind 1, the slow one."""
+    """Return the fraction of requests with this hint that are sent to kind 1, the slow one."""
     slow_count = 0
     for _ in range(count):
         request = f"h{next(driver.request_ids)}"
