--- a/dunecove/__main__.py
+++ b/dunecove/__main__.py
@@ -14,8 +14,8 @@
 from dunecove.retry import retry_transient_errors
 from dunecove.server import run
 
-EXIT_CANNOT_START = 2
-START_RETRIES_S = 5.0  # well within the time in which a proxy has to be ready
+EXIT_STARTUP_FAILED = 2
+STARTUP_RETRY_PERIOD_S = 5.0  # well within the time in which a proxy has to be ready
 
 
 def main() -> int:
@@ -24,13 +24,13 @@
         signal.signal(early_signal, signal.SIG_IGN)
     gc.disable()  # until all is made: next to nothing of it is to be thrown away
     handle_library_logs()
-    retry_until_s = time.monotonic() + START_RETRIES_S
+    retry_deadline_s = time.monotonic() + STARTUP_RETRY_PERIOD_S
     try:
-        config = retry_transient_errors(lambda: read_config(os.environ), retry_until_s)
-        retry_transient_errors(lambda: run(config), retry_until_s)
+        config = retry_transient_errors(lambda: read_config(os.environ), retry_deadline_s)
+        retry_transient_errors(lambda: run(config), retry_deadline_s)
     except (ConfigurationError, OSError) as error:
         log(str(error))
-        return EXIT_CANNOT_START
+        return EXIT_STARTUP_FAILED
     return 0
 
 
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -75,7 +75,7 @@
 
     # What happens outside
 
-    def on_list(self, update: EndpointListUpdate, kind: ListUpdateKind | None = None) -> None:
+    def on_list_update(self, update: EndpointListUpdate, kind: ListUpdateKind | None = None) -> None:
         """Take over an endpoint list, as what it is or as `kind`."""
         # The pool hears of a drain here and now, before anything else of this turn can be written.
         self.connection_pool.update(update.endpoints, update.is_snapshot)
@@ -146,7 +146,7 @@
     def _step(self) -> None:
         self._next_step = None
         batch = self._take_events()
-        ended = self.requests.take_ended()
+        ended = self.requests.pop_ended()
         try:
             self._step_time = now_ms()
             actions = self.balancer.step(self._step_time, batch)
@@ -158,7 +158,7 @@
                 self._execute(action)
             except Exception:  # the other actions of the batch, the next tick among them, must not go with it
                 log(f"bug: {action} was not carried out\n{traceback.format_exc()}")
-        self.requests.forget(ended)
+        self.requests.remove_ended(ended)
 
     def _take_events(self) -> list[Event]:
         """Return the events of this step, updates of the list first."""
--- a/dunecove/proxy/request_lifecycle.py
+++ b/dunecove/proxy/request_lifecycle.py
@@ -95,16 +95,16 @@
         self._finish(request)
         self._abandon(request)
 
-    def shorten_deadline(self, request_id: str, respond_by: float) -> None:
+    def shorten_deadline(self, request_id: str, response_deadline: float) -> None:
         """Answer a request by that time: pipelined ones behind it can't be answered before it."""
         request = self.open.get(request_id)
         if request is None or request.is_finished or request.deadline_timer is None:
             return
-        if respond_by >= request.respond_by:
+        if response_deadline >= request.response_deadline:
             return
-        request.respond_by = respond_by
+        request.response_deadline = response_deadline
         request.deadline_timer.cancel()
-        remaining_s = max(respond_by - now_ms(), 0.0) / 1000
+        remaining_s = max(response_deadline - now_ms(), 0.0) / 1000
         request.deadline_timer = self._loop.call_later(remaining_s, self._on_deadline, request)
 
     # From the balancer
@@ -143,13 +143,13 @@
         if request is not None and not request.is_finished:
             self._respond(request, self._final_response(request, action), action.reason)
 
-    def take_ended(self) -> list[OpenRequest]:
+    def pop_ended(self) -> list[OpenRequest]:
         """Return the requests that ended since the last call; the balancer is about to hear of their end."""
         ended = self._ended
         self._ended = []
         return ended
 
-    def forget(self, ended: Iterable[OpenRequest]) -> None:
+    def remove_ended(self, ended: Iterable[OpenRequest]) -> None:
         """Forget requests of whose end the balancer has heard.
 
         Not earlier: it may have forwarded one again in the step that told it of the end, and each attempt is
@@ -194,7 +194,7 @@
         """The balancer let the client's time run out; the client gets its one answer all the same."""
         if request.is_finished:
             return
-        is_shortened = request.respond_by < request.deadline
+        is_shortened = request.response_deadline < request.deadline
         reason = ResponseReason.PIPELINE_DEADLINE if is_shortened else ResponseReason.DEADLINE
         self._respond(request, ClientResponse(504), reason)
         self._abandon(request)
--- a/dunecove/proxy/request_registry.py
+++ b/dunecove/proxy/request_registry.py
@@ -19,7 +19,7 @@
         """Begin now: the client's budget runs from here on."""
         self.parsed = parsed
         self.deadline = now_ms() + parsed.budget_ms  # when its client stops waiting
-        self.respond_by = self.deadline  # earlier where a pipelined request behind it has less time
+        self.response_deadline = self.deadline  # earlier where a pipelined request behind it has less time
         self.attempts: list[Attempt] = []
         self.is_finished = False  # answered, or nobody waits for the answer
         self.deadline_timer: asyncio.TimerHandle | None = None
--- a/dunecove/retry.py
+++ b/dunecove/retry.py
@@ -17,13 +17,13 @@
 _Result = TypeVar("_Result")
 
 
-def retry_transient_errors(operation: Callable[[], _Result], until_s: float) -> _Result:
-    """Return what `operation` returns; it is retried after a transient error, up to `until_s` of
+def retry_transient_errors(operation: Callable[[], _Result], deadline_s: float) -> _Result:
+    """Return what `operation` returns; it is retried after a transient error, up to `deadline_s` of
     `time.monotonic`. Any other error, and the last one, is raised."""
     while True:
         try:
             return operation()
         except (OSError, UnreadableFileError) as error:
-            if error.errno not in TRANSIENT_ERRNOS or time.monotonic() >= until_s:
+            if error.errno not in TRANSIENT_ERRNOS or time.monotonic() >= deadline_s:
                 raise
         time.sleep(RETRY_INTERVAL_S)
--- a/dunecove/server.py
+++ b/dunecove/server.py
@@ -25,7 +25,7 @@
 # After SIGTERM connections still come for half a second; and a little more for a busy machine.
 ACCEPT_AFTER_SIGTERM_S = 0.55
 # The longest deadline that the platform counts: 0.7 s after it a stopping proxy is ended by force.
-MAX_SHUTDOWN_S = 3.0
+MAX_SHUTDOWN_DEADLINE_S = 3.0
 GOSSIP_RETRY_S = 1.0
 COUNTERS_INTERVAL_S = 60.0  # between reports; SIGUSR1 asks for one at once
 
@@ -46,7 +46,7 @@
         config.discovery_address,
         config.proxy_settings,
         config.cached_list.revision,
-        engine.on_list,
+        engine.on_list_update,
         engine.on_list_failure,
         pushed=not config.settings.polls_discovery,
         memory_mb=config.memory_mb,
@@ -137,4 +137,4 @@
     listener.begin_shutdown()
     await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
     max_deadline_s = max(request_class.deadline_ms for request_class in settings.classes) / 1000
-    await listener.finish_shutdown(min(max_deadline_s, MAX_SHUTDOWN_S))
+    await listener.finish_shutdown(min(max_deadline_s, MAX_SHUTDOWN_DEADLINE_S))
--- a/scale/memory_child.py
+++ b/scale/memory_child.py
@@ -50,7 +50,7 @@
     update = read_list_update(
         orjson.loads(synthetic.snapshot_body(1, count)), read_proxy_settings(proxy_settings)
     )
-    engine.on_list(update, ListUpdateKind.SNAPSHOT)
+    engine.on_list_update(update, ListUpdateKind.SNAPSHOT)
     return engine
 
 
@@ -83,7 +83,9 @@
     backend_address = os.environ[BACKEND_ADDRESS_VARIABLE]
     entries = [synthetic.list_entry(number, address=backend_address) for number in range(CONNECTION_BACKENDS)]
     wire = read_proxy_settings(proxy_settings)
-    engine.on_list(read_list_update(synthetic.endpoint_list(1, entries), wire), ListUpdateKind.SNAPSHOT)
+    engine.on_list_update(
+        read_list_update(synthetic.endpoint_list(1, entries), wire), ListUpdateKind.SNAPSHOT
+    )
     listener = Listener(engine, RequestValidator(read_settings(proxy_settings), wire), CLIENT_SLOTS)
     listener.listen("127.0.0.1:0")
     clients_connected = asyncio.Event()
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -184,7 +184,7 @@
 def test_long_list_opens_no_pools_and_reaches_the_balancer_in_slices() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(
+            p.engine.on_list_update(
                 EndpointListUpdate(2, True, endpoints(10 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             assert (
@@ -202,11 +202,11 @@
 def test_update_takes_effect_while_a_long_list_is_being_notified() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(
+            p.engine.on_list_update(
                 EndpointListUpdate(2, True, endpoints(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             last = endpoints(1, 5 * ENDPOINTS_PER_SLICE - 1, BackendState.DRAINING)
-            p.engine.on_list(EndpointListUpdate(3, False, (*last, *endpoints(1, 9999))))
+            p.engine.on_list_update(EndpointListUpdate(3, False, (*last, *endpoints(1, 9999))))
             assert p.engine.connection_pool.active_count() == 5 * ENDPOINTS_PER_SLICE
             await turns_until_notified(p)
             assert names(p) == set(p.engine.connection_pool.endpoints) and last[0].backend_id not in names(p)
@@ -221,7 +221,7 @@
 def test_new_balancer_is_notified_of_the_whole_long_list() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(
+            p.engine.on_list_update(
                 EndpointListUpdate(2, True, endpoints(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             await asyncio.sleep(0)
