--- a/dunecove/__main__.py
+++ b/dunecove/__main__.py
@@ -1,4 +1,4 @@
-"""Begins the proxy: reads its configuration and serves until it is told to end."""
+"""Starts the proxy: reads its configuration and serves until it is stopped by a signal."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from dunecove.server import run
 
 EXIT_STARTUP_FAILED = 2
-STARTUP_RETRY_PERIOD_S = 5.0  # well within the time in which a proxy has to be ready
+STARTUP_RETRY_PERIOD_S = 5.0  # well below the time within which a proxy must become ready
 
 
 def main() -> int:
     """Run the proxy; return the exit code."""
-    for early_signal in (signal.SIGHUP, signal.SIGUSR1):  # until the loop has its handlers
-        signal.signal(early_signal, signal.SIG_IGN)
-    gc.disable()  # until all is made: next to nothing of it is to be thrown away
+    for signal_number in (signal.SIGHUP, signal.SIGUSR1):  # ignored until the event loop handles them
+        signal.signal(signal_number, signal.SIG_IGN)
+    gc.disable()  # until startup is complete, since almost all objects created by then are long-lived
     handle_library_logs()
     retry_deadline_s = time.monotonic() + STARTUP_RETRY_PERIOD_S
     try:
--- a/dunecove/proxy/cached_list_feed.py
+++ b/dunecove/proxy/cached_list_feed.py
@@ -1,4 +1,4 @@
-"""Feeds the proxy's endpoint list to a new balancer, a slice in each step."""
+"""Feeds the proxy's endpoint list to a new balancer, one slice per step."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class CachedListFeed:
-    """The backends that the balancer has still to hear of.
+    """The backends that have not been passed to the balancer yet.
 
-    A long list in one step would hold up requests.
+    Passing a long list in one step would delay requests.
     """
 
     def __init__(self, connection_pool: ConnectionPool) -> None:
-        """Read the backends' present entries from `connection_pool` as each slice is fed."""
+        """Create an empty feed, which reads the current entries from `connection_pool` for each slice."""
         self._connection_pool = connection_pool
-        self._pending: list[str] = []  # ids, the next one last
+        self._pending: list[str] = []  # backend ids, the next one last
 
     @property
     def is_done(self) -> bool:
-        """The balancer has heard of all."""
+        """Whether all backends have been passed to the balancer."""
         return not self._pending
 
     def start(self, backend_ids: Iterable[str]) -> BackendListUpdate:
-        """Begin anew with these backends, in their order; return the first update."""
+        """Restart the feed with these backends, in the given order, and return the first update."""
         self._pending = list(backend_ids)[::-1]
         return BackendListUpdate(ListUpdateKind.CACHED, self._next_slice())
 
     def next_update(self) -> BackendListUpdate:
-        """Return the next update, while the feed is not done."""
+        """Return the next update. Call this only while the feed is not done."""
         return BackendListUpdate(ListUpdateKind.CACHED_CONTINUED, self._next_slice())
 
     def _next_slice(self) -> tuple[BackendInfo, ...]:
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -1,4 +1,4 @@
-"""Between the balancer and the sockets: one turn of the event loop is one step of the balancer."""
+"""The engine: connects the balancer to the sockets, with one balancer step per event loop iteration."""
 
 from __future__ import annotations
 
@@ -42,17 +42,17 @@
 from dunecove.proxy.telemetry import CounterName, Telemetry
 from dunecove.wire.settings import ProxySettings
 
-RESTART_DELAY_S = 0.1  # from a failed balancer to the first step of the next
+RESTART_DELAY_S = 0.1  # between the failure of a balancer and the first step of its replacement
 HEALTH_CHECK_HEAD = b"GET /stats HTTP/1.1\r\nhost: backend.local\r\n"
 
 
 class Engine:
-    """Collects events, gives them to the balancer in one step a turn, and executes its actions."""
+    """Collects events, passes them to the balancer once per loop iteration, and executes its actions."""
 
     def __init__(
         self, settings: Settings, proxy_settings: ProxySettings, seed: int, max_backend_connections: int
     ) -> None:
-        """Begin without backends, in a running loop."""
+        """Create an engine without backends; requires a running event loop."""
         self.telemetry = Telemetry()
         self.balancer = Balancer(settings, seed)
         self.connection_pool = ConnectionPool(
@@ -66,18 +66,18 @@
         self._settings = settings
         self._seed = seed
         self._health_check_timeout_ms = proxy_settings.connect_timeout_ms
-        self._list_updates: list[BackendListUpdate] = []  # the balancer hears of these before other events
+        self._list_updates: list[BackendListUpdate] = []  # delivered before all other events
         self._events: list[Event] = []
         self._next_step: asyncio.Handle | None = None
-        self._step_time = 0.0  # of the last step, in ms: the durations of its actions count from then
-        self._incarnation = 0  # of the balancer; a new one begins after it failed
+        self._step_time = 0.0  # start of the last step, in ms; the durations in its actions count from it
+        self._incarnation = 0  # number of times that the balancer has been replaced after a failure
         self._loop = asyncio.get_running_loop()
 
-    # What happens outside
+    # Input from discovery, gossip and signals
 
     def on_list_update(self, update: EndpointListUpdate, kind: ListUpdateKind | None = None) -> None:
-        """Take over an endpoint list, as what it is or as `kind`."""
-        # The pool hears of a drain here and now, before anything else of this turn can be written.
+        """Apply an endpoint list update. `kind` defaults to snapshot or delta, as the update is."""
+        # The pool is updated at once, so that nothing is written to a draining backend in this iteration.
         self.connection_pool.update(update.endpoints, update.is_snapshot)
         kind = kind or (ListUpdateKind.SNAPSHOT if update.is_snapshot else ListUpdateKind.DELTA)
         self.telemetry.count(CounterName.LIST_UPDATE, kind.value)
@@ -89,37 +89,37 @@
         self._schedule_step()
 
     def load_cached_list(self, cached_list: CachedEndpointList) -> None:
-        """Begin with a list from before this process; its table is the pool's from now on."""
+        """Load an endpoint list from before this process started; the pool takes over its table."""
         self.connection_pool.endpoints = cached_list.table
         self._feed_cached_list(cached_list.backend_ids)
         self._schedule_step()
 
     def on_list_failure(self, reason: str) -> None:
-        """Tell the balancer that the watch on the endpoint list has ended."""
+        """Notify the balancer that the watch on the endpoint list has ended with an error."""
         self._list_updates.append(BackendListUpdate(ListUpdateKind.FAILED))
         self._schedule_step()
         self.telemetry.count(CounterName.LIST_UPDATE, ListUpdateKind.FAILED.value)
-        log(f"list: {reason}")
+        log(f"discovery poll failed: {reason}; the current endpoint list stays in use")
 
     def on_gossip(self, sender_index: int, payload: bytes) -> None:
-        """Tell the balancer of another proxy's message."""
+        """Pass a gossip message from another proxy to the balancer."""
         self._raise_event(GossipReceived(sender_index, payload))
 
     def move_discovery(self, address: str) -> None:
-        """Poll another discovery service from now on; the list stands until that has answered."""
+        """Poll discovery at `address` from now on; the current list stays in use until it responds."""
         if self.discovery is not None and self.discovery.move_to(address):
             self.telemetry.count(CounterName.DISCOVERY_MOVED)
-            log(f"list: now from {address}")
+            log(f"discovery address changed to {address}")
             self._raise_event(DiscoveryMoved())
 
     def close(self) -> None:
-        """Close all but the clients' connections."""
+        """Close everything except client connections, and report unanswered requests."""
         self.is_closed = True
         self.requests.report_unanswered()
         self.connection_pool.close()
         if self.discovery is not None:
             self.discovery.close()
-            self.discovery = None  # a signal or a step that comes yet must not open a watch again
+            self.discovery = None  # a later signal or step must not open a new watch
         if self.gossip is not None:
             self.gossip.close()
 
@@ -130,7 +130,7 @@
         if incarnation == self._incarnation:
             self._raise_event(TimerFired(token))
 
-    # One turn of the loop, one step
+    # Balancer steps
 
     def _feed_cached_list(self, backend_ids: list[str]) -> None:
         self._list_updates = [self.cached_list_feed.start(backend_ids)]
@@ -145,7 +145,7 @@
 
     def _step(self) -> None:
         self._next_step = None
-        batch = self._take_events()
+        batch = self._pop_events()
         ended = self.requests.pop_ended()
         try:
             self._step_time = now_ms()
@@ -156,12 +156,12 @@
         for action in actions:
             try:
                 self._execute(action)
-            except Exception:  # the other actions of the batch, the next tick among them, must not go with it
-                log(f"bug: {action} was not carried out\n{traceback.format_exc()}")
+            except Exception:  # must not prevent the other actions, which include the timer of the next tick
+                log(f"internal error: action {action} failed\n{traceback.format_exc()}")
         self.requests.remove_ended(ended)
 
-    def _take_events(self) -> list[Event]:
-        """Return the events of this step, updates of the list first."""
+    def _pop_events(self) -> list[Event]:
+        """Return and clear the pending events, list updates first."""
         batch: list[Event] = [*self._list_updates, *self._events]
         self._list_updates = []
         self._events = []
@@ -171,23 +171,23 @@
         return batch
 
     def _restart_balancer(self) -> None:
-        """Begin with a new balancer: what a failed one knows can't be trusted, and its requests fail."""
-        log(f"the balancer failed\n{traceback.format_exc()}")
+        """Replace a balancer whose step raised, as its state can't be trusted, and fail its requests."""
+        log(f"the balancer failed; replacing it and failing all open requests\n{traceback.format_exc()}")
         self._incarnation += 1
         self.balancer = Balancer(self._settings, self._seed + self._incarnation)
         self._feed_cached_list(list(self.connection_pool.endpoints))
         self._events = []
         if self._next_step is not None:
             self._next_step.cancel()
-        # One that fails at once, again and again, must leave time for answering.
+        # The delay leaves time to respond to clients if each new balancer fails in its first step.
         self._next_step = self._loop.call_later(RESTART_DELAY_S, self._step)
         if self.discovery is not None and not self._settings.polls_discovery:
-            # Word that the watch ended may have gone with the old balancer. A pushed list is read at all
-            # times; one that must be polled the new balancer polls by itself.
+            # The event that the watch had ended may have been lost with the old balancer. With a pushed list
+            # a watch must always be open; otherwise the new balancer starts polling by itself.
             self.discovery.watch()
         self.requests.fail_all()
 
-    # Actions
+    # Execution of actions
 
     def _execute(self, action: Action) -> None:
         match action:
--- a/dunecove/proxy/log_writer.py
+++ b/dunecove/proxy/log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines to standard error: a limited number a second, and never one that waits or raises."""
+"""Logging to standard error. It is rate-limited, and writing a line never blocks or raises."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from dunecove.proxy.clock import now_ms
 
 STDERR = 2
-MAX_LINES_PER_S = 20  # whatever floods the log must not keep the proxy from its work
-MAX_WRITE_BYTES = 4096  # a pipe that is ready for writing takes so many without waiting
+MAX_LINES_PER_S = 20  # a flood of log lines must not keep the proxy from serving requests
+MAX_WRITE_BYTES = 4096  # PIPE_BUF on Linux: a pipe that is ready for writing accepts them without blocking
 
 
 class LogWriter:
-    """Writes lines; how many were dropped is told in the next one."""
+    """Writes log lines; the next line written after dropped ones states their number."""
 
     def __init__(self) -> None:
-        """Begin with nothing written."""
-        self.line_count = 0  # in the present second
+        """Create a writer that has not written or dropped any line."""
+        self.line_count = 0  # lines logged in the current second, dropped ones included
         self._second = 0
         self._dropped_count = 0
-        self._is_cut = False  # the last line was written in part
+        self._is_line_truncated = False  # whether the last line was written only partially
 
     def __call__(self, message: str) -> None:
-        """Write a line, or drop it if there are too many or standard error takes no more."""
+        """Write a line, or drop it if the rate limit is exceeded or standard error is not writable."""
         second = int(now_ms() / 1000)
         if second != self._second:
             self._second = second
@@ -33,22 +33,21 @@
         if self.line_count > MAX_LINES_PER_S:
             self._dropped_count += 1
             return
-        dropped = f" ({self._dropped_count} lines before it left out)" if self._dropped_count else ""
-        start = "\n" if self._is_cut else ""
+        dropped = f" ({self._dropped_count} earlier lines dropped)" if self._dropped_count else ""
+        start = "\n" if self._is_line_truncated else ""
         line = f"{start}dunecove: {message}{dropped}\n"
-        if _write_without_waiting(line.encode(errors="backslashreplace")):
+        if _write_nonblocking(line.encode(errors="backslashreplace")):
             self._dropped_count = 0
-            self._is_cut = False
+            self._is_line_truncated = False
         else:
             self._dropped_count += 1
-            self._is_cut = True
+            self._is_line_truncated = True
 
 
-def _write_without_waiting(data: bytes) -> bool:
-    """Write as much as standard error takes at once; return whether that was all.
+def _write_nonblocking(data: bytes) -> bool:
+    """Write as much as standard error accepts without blocking; return whether all was written.
 
-    A disk without room, a reader that has gone and one that does not read must not end the proxy's work or
-    hold it up.
+    A full disk, a closed pipe or a reader that does not read must neither stop nor block the proxy.
     """
     poll = select.poll()
     poll.register(STDERR, select.POLLOUT)
@@ -67,13 +66,13 @@
 
 
 class LibraryLogHandler(logging.Handler):
-    """Writes what libraries log: their own handler would wait for a pipe that nobody reads."""
+    """Writes the log records of libraries; the standard handler would block on a pipe that nobody reads."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record of a library."""
+        """Write a log record."""
         log(f"{record.name}: {record.getMessage()}")
 
 
 def handle_library_logs() -> None:
-    """Send what libraries log to `log`; once, at the start of the program."""
+    """Route the log records of libraries to `log`. Call this once, at startup."""
     logging.basicConfig(handlers=[LibraryLogHandler()], level=logging.WARNING)
--- a/dunecove/proxy/request_lifecycle.py
+++ b/dunecove/proxy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The way of each request: its arrival, deadline, attempts, its one answer, and its end."""
+"""The request lifecycle: arrival, deadline, attempts, the one final response, and removal."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from dunecove.proxy.request_registry import OpenRequest, RecentIds
 from dunecove.proxy.telemetry import CounterName, RequestStage, ResponseReason, Telemetry
 
-# What a client needs to read a body; all else is between the proxy and the backend.
+# Headers that a client needs to read a body; all others concern only the proxy and the backend.
 _FORWARDED_RESPONSE_HEADERS = (b"content-type", b"content-encoding", b"content-language")
 
 
 class RequestLifecycle:
-    """All open requests. Each client gets one answer, by its deadline."""
+    """The open requests. Each gets exactly one response, by its deadline."""
 
     def __init__(
         self,
@@ -39,24 +39,24 @@
         telemetry: Telemetry,
         raise_event: Callable[[Event], None],
     ) -> None:
-        """Begin without requests; `raise_event` takes what the balancer has to hear of."""
-        self.open: dict[str, OpenRequest] = {}
+        """Create a registry without requests; `raise_event` queues an event for the balancer."""
+        self.open: dict[str, OpenRequest] = {}  # by request id
         self.max_deadline_ms = max(request_class.deadline_ms for request_class in settings.classes)
         self.recent_ids = RecentIds(self.max_deadline_ms)
         self._settings = settings
         self._connection_pool = connection_pool
         self._telemetry = telemetry
         self._raise_event = raise_event
-        self._ended: list[OpenRequest] = []  # to be forgotten once the balancer has heard of their end
-        self._is_shutting_down = False  # no new request could be answered in time any more
+        self._ended: list[OpenRequest] = []  # to be removed once the balancer has been notified of their end
+        self._is_shutting_down = False  # whether new requests are rejected, since no time is left for them
         self._loop = asyncio.get_running_loop()
 
-    # From the client
+    # Input from the client
 
     def accept(self, parsed: ParsedRequest) -> bool:
-        """Begin with a request.
+        """Register a request and pass it to the balancer.
 
-        False if its id is in use or was used of late: an id names one request.
+        Return False if its id is in use or was used recently, since an id must identify one request.
         """
         self.recent_ids.expire()
         request_id = parsed.request_id
@@ -64,7 +64,7 @@
             self._telemetry.count(CounterName.DUPLICATE_REQUEST_ID)
             return False
         self.recent_ids.add(request_id)
-        # No client waits longer than its class allows: a larger budget would skew what the balancer learns.
+        # Capped by the deadline of the class: a larger budget would skew the state that the balancer learns.
         budget_ms = min(parsed.budget_ms, self._settings.classes[parsed.class_index].deadline_ms)
         request = OpenRequest(parsed)
         self.open[request_id] = request
@@ -87,7 +87,7 @@
         return True
 
     def client_disconnected(self, request_id: str) -> None:
-        """End a request whose client has left."""
+        """End a request whose client has disconnected."""
         request = self.open.get(request_id)
         if request is None or request.is_finished:
             return
@@ -96,7 +96,10 @@
         self._abandon(request)
 
     def shorten_deadline(self, request_id: str, response_deadline: float) -> None:
-        """Answer a request by that time: pipelined ones behind it can't be answered before it."""
+        """Bring the response deadline of a request forward, in ms of `now_ms`.
+
+        Pipelined requests behind it can't be answered before it is.
+        """
         request = self.open.get(request_id)
         if request is None or request.is_finished or request.deadline_timer is None:
             return
@@ -107,10 +110,10 @@
         remaining_s = max(response_deadline - now_ms(), 0.0) / 1000
         request.deadline_timer = self._loop.call_later(remaining_s, self._on_deadline, request)
 
-    # From the balancer
+    # Actions of the balancer
 
     def forward(self, action: Forward, decided_at: float) -> None:
-        """Begin an attempt. The action's durations count from `decided_at`, a time in ms."""
+        """Start an attempt. The durations in the action count from `decided_at`, in ms of `now_ms`."""
         request = self.open.get(action.request_id)
         if request is None:
             return
@@ -132,40 +135,40 @@
         self._connection_pool.start(attempt)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
-        """Give up an open attempt."""
+        """Cancel an open attempt."""
         request = self.open.get(action.request_id)
         if request is not None and action.attempt_index < len(request.attempts):
             self._connection_pool.cancel(request.attempts[action.attempt_index])
 
     def send_final_response(self, action: Reject | Fail) -> None:
-        """Send the final response that the balancer decided on, unless the request has had one."""
+        """Send the final response that the balancer decided on, unless the request is already finished."""
         request = self.open.get(action.request_id)
         if request is not None and not request.is_finished:
             self._respond(request, self._final_response(request, action), action.reason)
 
     def pop_ended(self) -> list[OpenRequest]:
-        """Return the requests that ended since the last call; the balancer is about to hear of their end."""
+        """Return the requests that ended since the last call, as the balancer is notified of their end."""
         ended = self._ended
         self._ended = []
         return ended
 
     def remove_ended(self, ended: Iterable[OpenRequest]) -> None:
-        """Forget requests of whose end the balancer has heard.
+        """Remove requests after the step that notified the balancer of their end.
 
-        Not earlier: it may have forwarded one again in the step that told it of the end, and each attempt is
-        owed its result.
+        They are kept during that step because it may forward one of them again, and the result of each
+        attempt must be reported.
         """
         for request in ended:
             request_id = request.parsed.request_id
             if self.open.get(request_id) is request and not request.has_open_attempts():
                 del self.open[request_id]
 
-    # The end of the balancer, and that of the program
+    # Failure of the balancer, and shutdown
 
     def fail_all(self) -> None:
-        """Answer all open requests with an error, and forget them: their balancer has failed."""
+        """Fail and remove all open requests, because their balancer has failed."""
         self._ended = []
-        # An answer may bring the next request of its connection, which is the new balancer's.
+        # Responding may accept the next request of a connection, which belongs to the new balancer.
         failed = self.open
         self.open = {}
         for request in failed.values():
@@ -175,23 +178,25 @@
                 self._respond(request, ClientResponse(500), ResponseReason.BALANCER_FAILED)
 
     def expire_all(self) -> None:
-        """Answer now whoever still waits, pipelined requests too, and reject what comes from now on."""
+        """Fail all unanswered requests now, pipelined ones included, and reject new requests."""
         self._is_shutting_down = True
         while waiting := [request for request in self.open.values() if not request.is_finished]:
             for request in waiting:
                 self._on_deadline(request)
 
     def report_unanswered(self) -> None:
-        """Count the requests that the end of the program leaves without an answer."""
+        """Report each request that is still unanswered as the process shuts down."""
         for request in self.open.values():
             if not request.is_finished:
                 request_id = request.parsed.request_id
-                self._telemetry.report_violation(Violation.UNANSWERED, request_id, "the program ends")
+                self._telemetry.report_violation(
+                    Violation.UNANSWERED, request_id, "the process is shutting down"
+                )
 
-    # One request
+    # State changes of a request
 
     def _on_deadline(self, request: OpenRequest) -> None:
-        """The balancer let the client's time run out; the client gets its one answer all the same."""
+        """Send an error response, since the balancer did not end the request in time."""
         if request.is_finished:
             return
         is_shortened = request.response_deadline < request.deadline
@@ -205,8 +210,11 @@
             self.open.pop(request.parsed.request_id, None)
 
     def _abandon(self, request: OpenRequest) -> None:
-        """Nobody waits for it any more. Whether attempts in flight may be cancelled is for the balancer to
-        decide; one that is not written whole is withdrawn here."""
+        """Notify the balancer that no client waits for the response any more.
+
+        The balancer decides whether attempts in flight may be cancelled. Those whose request has not been
+        completely written are withdrawn here.
+        """
         self._raise_event(ClientDisconnected(request.parsed.request_id))
         for attempt in request.attempts:
             self._connection_pool.withdraw(attempt)
@@ -228,10 +236,11 @@
         self._note_end(request)
 
     def _record_denial(self, request: OpenRequest, attempt_index: int) -> Denial | None:
-        """Return why an attempt may not be written now, recorded and, if unexpected, reported; or None.
+        """Return why an attempt may not be written now, or None if it may.
 
-        That its client has left may wait for its turn of the loop, or lie behind what isn't read for now, so
-        the kernel is asked.
+        A denial is recorded and, if unexpected, reported as a violation. Whether the client has disconnected
+        is queried from the kernel: the event loop may not have processed the close yet, or reading from the
+        connection may be paused.
         """
         denial: Denial | None
         if request.is_finished:
@@ -270,7 +279,7 @@
         self._telemetry.record(request_id, RequestStage.ANSWERED, reason.value)
         late_ms = now_ms() - request.deadline
         if late_ms > RESPONSE_GRACE_MS:
-            detail = f"{late_ms:.0f} ms, {reason.value}"
+            detail = f"{late_ms:.0f} ms late, {reason.value}"
             self._telemetry.report_violation(Violation.LATE_RESPONSE, request_id, detail)
         self._finish(request)
         request.parsed.respond(response)
@@ -287,7 +296,7 @@
 
 
 def _client_response(response: Response) -> ClientResponse:
-    """Return what a client gets of a backend's response."""
+    """Return the response to the client for a response from a backend."""
     headers = [pair for pair in response.headers if pair[0] in _FORWARDED_RESPONSE_HEADERS]
     return ClientResponse(200, b"".join(b"%b: %b\r\n" % pair for pair in headers), response.body)
 
--- a/dunecove/proxy/sharded_table.py
+++ b/dunecove/proxy/sharded_table.py
@@ -1,4 +1,4 @@
-"""A table of all backends by id that stays cheap to grow."""
+"""A table of backends by id that grows without long pauses."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class ShardedTable:
-    """A mapping from backend ids to encoded entries that is made of many small ones.
+    """A mapping from backend ids to encoded entries, split into many small dicts.
 
-    A single dict of so many entries copies all of them at once as it grows, which holds up requests. The
-    values are bytes, which the garbage collector does not traverse.
+    A single large dict copies all its entries at once when it grows, which delays requests. The values are
+    bytes because the garbage collector does not traverse them.
     """
 
     def __init__(self) -> None:
         self.shards: list[dict[str, bytes]] = [{} for _ in range(SHARD_COUNT)]
 
     def shard_of(self, backend_id: str) -> dict[str, bytes]:
-        """The shard that has, or would have, the entry of this backend."""
+        """Return the shard that holds, or would hold, the entry of a backend."""
         return self.shards[crc32(backend_id.encode()) % SHARD_COUNT]
 
     def get(self, backend_id: str) -> bytes | None:
-        """The entry of this backend; None if there is none."""
+        """Return the entry of a backend, or None if there is none."""
         return self.shards[crc32(backend_id.encode()) % SHARD_COUNT].get(backend_id)
 
     def __iter__(self) -> Iterator[str]:
--- a/dunecove/retry.py
+++ b/dunecove/retry.py
@@ -1,4 +1,4 @@
-"""Retries of what fails at the start of the program because something is lacking for a moment."""
+"""Retries of startup operations that fail because of a temporary lack of resources."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from dunecove.errors import UnreadableFileError
 from dunecove.proxy.connection_pool import LOCAL_RESOURCE_ERRNOS
 
-# What a system call may lack for a moment, as Linux documents it.
+# Errors of system calls that may be temporary, according to the Linux manual pages.
 TRANSIENT_ERRNOS = LOCAL_RESOURCE_ERRNOS | {errno.EAGAIN, errno.EINTR, errno.EIO}
 RETRY_INTERVAL_S = 0.05
 
@@ -18,8 +18,11 @@
 
 
 def retry_transient_errors(operation: Callable[[], _Result], deadline_s: float) -> _Result:
-    """Return what `operation` returns; it is retried after a transient error, up to `deadline_s` of
-    `time.monotonic`. Any other error, and the last one, is raised."""
+    """Return the result of `operation`, retrying after transient errors until `deadline_s`.
+
+    `deadline_s` is a time of `time.monotonic`. Any other error, and a transient one after the deadline, is
+    raised.
+    """
     while True:
         try:
             return operation()
--- a/dunecove/server.py
+++ b/dunecove/server.py
@@ -1,4 +1,4 @@
-"""One proxy on real sockets, from its start to its end: signals, and how it stops."""
+"""The proxy process on real sockets: startup, signal handling and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 from dunecove.proxy.telemetry import Telemetry
 from dunecove.reload import Reloader
 
-# After SIGTERM connections still come for half a second; and a little more for a busy machine.
+# New connections still arrive for 0.5 s after SIGTERM; the rest is a margin for a busy machine.
 ACCEPT_AFTER_SIGTERM_S = 0.55
-# The longest deadline that the platform counts: 0.7 s after it a stopping proxy is ended by force.
+# The longest deadline that the platform takes into account: it kills a stopping proxy 0.7 s after it.
 MAX_SHUTDOWN_DEADLINE_S = 3.0
 GOSSIP_RETRY_S = 1.0
-COUNTERS_INTERVAL_S = 60.0  # between reports; SIGUSR1 asks for one at once
+COUNTERS_INTERVAL_S = 60.0  # between reports; SIGUSR1 triggers one immediately
 
 
 class RunningProxy(NamedTuple):
-    """The two sides of a proxy that serves clients."""
+    """The engine and the listener of a proxy that serves clients."""
 
     engine: Engine
     listener: Listener
 
 
 def start(config: Config) -> RunningProxy:
-    """Wire the parts; from here on clients are served."""
+    """Create and connect the components, and start to serve clients."""
     limits = connection_limits(config.max_descriptors)
     engine = Engine(config.settings, config.proxy_settings, config.seed, limits.backends)
     engine.load_cached_list(config.cached_list)
@@ -55,31 +55,33 @@
     if config.peer_addresses is not None:
         _open_gossip(engine, config.peer_addresses)
     listener = Listener(engine, RequestValidator(config.settings, config.proxy_settings), limits.clients)
-    listener.listen(config.listen_address)  # before discovery is polled: this may end the program
+    listener.listen(
+        config.listen_address
+    )  # before discovery is polled, since this may fail and end the process
     if not config.settings.polls_discovery:
-        # A pushed list comes as far as the agent on this machine; from there it has to be read, from now on.
+        # A pushed list only reaches the agent on this machine; the proxy must read it from there.
         engine.discovery.watch()
     return RunningProxy(engine, listener)
 
 
 def _open_gossip(engine: Engine, addresses: PeerAddresses) -> None:
-    """Open the channel, or retry later: clients are served without it until the address is to be had."""
+    """Open the gossip channel, or retry later if its address is unavailable; clients are served meanwhile."""
     if engine.is_closed:
         return
     try:
         engine.gossip = GossipChannel(addresses, engine.on_gossip)
     except OSError as error:
-        log(f"peers: {error}")
+        log(f"opening the gossip channel failed: {error}; serving without gossip and retrying")
         asyncio.get_running_loop().call_later(GOSSIP_RETRY_S, _open_gossip, engine, addresses)
 
 
 def run(config: Config) -> None:
-    """Serve in an event loop until the program is told to end; OSError if it can't start."""
+    """Run the proxy in a new event loop until it is stopped; raise OSError if it can't start."""
     runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
     try:
         runner.run(serve(config))
     except OSError:
-        # A loop that could not even be set up takes itself for running, and can't be closed.
+        # An event loop whose setup failed considers itself running and can't be closed.
         with suppress(RuntimeError):
             runner.close()
         raise
@@ -87,35 +89,35 @@
 
 
 async def serve(config: Config) -> None:
-    """Serve until SIGTERM or SIGINT; OSError if the proxy can't start."""
+    """Serve until SIGTERM or SIGINT; raise OSError if the proxy can't start."""
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(_log_bug)
+    loop.set_exception_handler(_log_internal_error)
     stop = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop.set)
     engine, listener = start(config)
-    # In the same turn as the start: no client can have seen the proxy ready before.
+    # In the same loop iteration as `start`, so that signals are handled before a client can see it ready.
     reloader = Reloader(engine, dict(os.environ))
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     loop.add_signal_handler(signal.SIGUSR1, engine.telemetry.report)
-    reporting = loop.create_task(_report_counters(engine.telemetry))
+    report_task = loop.create_task(_report_counters(engine.telemetry))
     log(f"{config.name} listens on {listener.address}")
     await _freeze_startup_objects()
     await stop.wait()
-    log("stopping")
+    log("stopping: waiting for open requests to finish")
     await _finish_requests(listener, config.settings)
     engine.close()
     reloader.close()
-    reporting.cancel()
+    report_task.cancel()
     engine.telemetry.report()
-    # The loop's handlers go with the loop: a signal in the last moment must not end the program in its way.
+    # Closing the loop removes its signal handlers: a signal after that must not kill the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
     log("stopped")
 
 
-def _log_bug(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """A bug in the code of one connection ends that connection, not the program."""
-    log(f"bug: {context.get('message')}: {context.get('exception')!r}")
+def _log_internal_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Log an unexpected exception, which ends the connection whose code raised it, but not the process."""
+    log(f"internal error in the event loop: {context.get('message')}: {context.get('exception')!r}")
 
 
 async def _report_counters(telemetry: Telemetry) -> None:
@@ -125,15 +127,15 @@
 
 
 async def _freeze_startup_objects() -> None:
-    """Keep from the collector what stays for good: it need not walk that in the middle of a request."""
-    await asyncio.sleep(0)  # the balancer's first step, which takes over the cached list
+    """Exclude long-lived objects from garbage collection: traversing them would delay requests."""
+    await asyncio.sleep(0)  # runs the first step of the balancer, which loads the cached list
     gc.collect()
     gc.freeze()
     gc.enable()
 
 
 async def _finish_requests(listener: Listener, settings: Settings) -> None:
-    """Serve on for a moment, then wait until all requests are answered."""
+    """Accept connections for `ACCEPT_AFTER_SIGTERM_S`, then wait until all requests are answered."""
     listener.begin_shutdown()
     await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
     max_deadline_s = max(request_class.deadline_ms for request_class in settings.classes) / 1000
--- a/soak/rules.py
+++ b/soak/rules.py
@@ -217,7 +217,11 @@
     if incarnation.ended_at is not None and incarnation.killed_at is None:
         yield from check_shutdown(record, incarnation, incarnation.ended_at)
     for line in incarnation.log:
-        if "violation" in line.split("counters", 1)[0] or "bug:" in line or "balancer failed" in line:
+        if (
+            "violation" in line.split("counters", 1)[0]
+            or "internal error" in line
+            or "balancer failed" in line
+        ):
             yield Violation(Rule.SELF_REPORTED, incarnation.name, line)
 
 
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -768,7 +768,7 @@
             assert (await (await p.client()).exchange()).status == 504
 
     run(test())
-    assert "was not carried out" in capfd.readouterr().err
+    assert "internal error: action SendHealthCheck" in capfd.readouterr().err
 
 
 def test_a_flood_of_log_lines_is_cut_and_reported(capfd: pytest.CaptureFixture[str]) -> None:
@@ -778,7 +778,7 @@
     log._second -= 1  # the next second
     log("later")
     lines = capfd.readouterr().err.splitlines()
-    assert len(lines) < 3 * log_writer_module.MAX_LINES_PER_S and "left out" in lines[-1]
+    assert len(lines) < 3 * log_writer_module.MAX_LINES_PER_S and "earlier lines dropped" in lines[-1]
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_system_call_faults.py
+++ b/tests/proxy/test_system_call_faults.py
@@ -180,9 +180,11 @@
             write_configuration(tmp_path, configuration(second.address, target("s", "127.0.0.1:1")))
             process.send_signal(signal.SIGHUP)
             asked = asyncio.ensure_future(second.requests.get())
-            refused = asyncio.ensure_future(process.stderr.readuntil(b"going on as before\n"))
-            await asyncio.wait((asked, refused), return_when=asyncio.FIRST_COMPLETED)
-            await refused
+            failed = asyncio.ensure_future(
+                process.stderr.readuntil(b"keeping the current configuration and retrying\n")
+            )
+            await asyncio.wait((asked, failed), return_when=asyncio.FIRST_COMPLETED)
+            await failed
             assert (await asyncio.wait_for(asked, RELOAD_S)).request_line.startswith(
                 "GET /registry/instances"
             )
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -322,7 +322,7 @@
             assert (await client.read_response()).body == b"from the saved list"
             client.close()
             program.send_signal(signal.SIGTERM)
-            assert "bug" not in (await program.stderr.read()).decode()
+            assert "internal error" not in (await program.stderr.read()).decode()
             assert await program.wait() == 0
         backend.close()
 
@@ -377,7 +377,7 @@
         late.close()
         rest = (await program.stderr.read()).decode()
         assert await program.wait() == 0
-        assert "bug" not in rest and "still open" not in rest
+        assert "internal error" not in rest and "still open" not in rest
         backend.close()
 
     run(test())
@@ -414,8 +414,8 @@
         assert (await client.read_response()).body == b"by the new one"
         write_configuration(tmp_path, "{")
         program.send_signal(signal.SIGHUP)
-        while "reload: " not in (line := (await program.stderr.readline()).decode()):
-            assert "going on" not in line and "bug" not in line
+        while "configuration reload failed: " not in (line := (await program.stderr.readline()).decode()):
+            assert "keeping the current configuration" not in line and "internal error" not in line
         assert (await client.exchange("/health/ready", "GET")).status == 200
         program.send_signal(signal.SIGTERM)
         while "stopping" not in (await program.stderr.readline()).decode():
@@ -424,7 +424,7 @@
         program.send_signal(signal.SIGHUP)
         assert (await first.requests.get()).request_line == "GET /registry/instances HTTP/1.1"
         client.close()
-        assert "bug" not in (await program.stderr.read()).decode()
+        assert "internal error" not in (await program.stderr.read()).decode()
         assert await program.wait() == 0
         for peer in (first, second, old, new):
             peer.close()
@@ -459,13 +459,13 @@
             shown(program, "stopping")
             path.unlink()  # the file can't be read: one line, and the stop goes on
             program.send_signal(signal.SIGHUP)
-            shown(program, "going on as before")
+            shown(program, "keeping the current configuration")
             program.send_signal(signal.SIGTERM)
             client.settimeout(TEST_TIMEOUT_S)
             assert client.recv(1000).startswith(b"HTTP/1.1 504 ")
     rest = program.stderr.read()
     assert program.wait() == 0
-    assert "bug" not in rest and "Traceback" not in rest
+    assert "internal error" not in rest and "Traceback" not in rest
 
 
 def shown(program: subprocess.Popen[str], words: str) -> None:
