--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine with a balancer that the test scripts: steps, final answers, and a balancer that breaks."""
+"""The engine with a scripted balancer: steps, final responses, and a balancer that raises."""
 
 from __future__ import annotations
 
@@ -46,44 +46,50 @@
 Step = Callable[[list[Any]], list[Action]]
 
 
-class Script:
-    """Stands in for the balancer: keeps each batch and answers by `act`."""
+class ScriptedBalancer:
+    """A stub of the balancer that records each batch of events and returns the actions of `act`."""
 
     act: Step
     batches: list[list[Any]]
     incarnations: int
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        Script.incarnations += 1
+        ScriptedBalancer.incarnations += 1
 
     def step(self, now: float, events: list[Any]) -> list[Action]:
-        Script.batches.append(events)
-        return Script.act(events)
+        ScriptedBalancer.batches.append(events)
+        return ScriptedBalancer.act(events)
 
 
 @pytest.fixture
-def script(monkeypatch: pytest.MonkeyPatch) -> type[Script]:
-    Script.act, Script.batches, Script.incarnations = staticmethod(lambda events: []), [], 0
-    monkeypatch.setattr(engine_module, "Balancer", Script)
-    # So many lines a second are for one program: what tests before this one wrote must not use them up.
+def balancer(monkeypatch: pytest.MonkeyPatch) -> type[ScriptedBalancer]:
+    ScriptedBalancer.act, ScriptedBalancer.batches, ScriptedBalancer.incarnations = (
+        staticmethod(lambda batch: []),
+        [],
+        0,
+    )
+    monkeypatch.setattr(engine_module, "Balancer", ScriptedBalancer)
+    # Earlier tests in the same second must not use up the rate limit of the log.
     monkeypatch.setattr(log_writer_module.log, "line_count", 0)
-    return Script
+    return ScriptedBalancer
 
 
-def each(kind: type[Any], act: Callable[[Any], list[Action]]) -> Step:
-    return staticmethod(lambda events: [a for e in events if isinstance(e, kind) for a in act(e)])
+def for_each(event_type: type[Any], act: Callable[[Any], list[Action]]) -> Step:
+    """Return a step that calls `act` for each event of a type."""
+    return staticmethod(lambda batch: [a for e in batch if isinstance(e, event_type) for a in act(e)])
 
 
-def events(kind: type[Any]) -> list[Any]:
-    return [e for batch in Script.batches for e in batch if isinstance(e, kind)]
+def events(event_type: type[Any]) -> list[Any]:
+    """Return all events of a type that the balancer has received."""
+    return [e for batch in ScriptedBalancer.batches for e in batch if isinstance(e, event_type)]
 
 
-def test_the_cached_list_comes_first(script: type[Script]) -> None:
+def test_cached_list_is_the_first_event(balancer: type[ScriptedBalancer]) -> None:
     async def test() -> None:
         async with proxy(backends=2):
-            await until(lambda: script.batches)
-            (saved,) = script.batches[0]
-            assert (saved.kind, [e.backend_id for e in saved.entries]) == (
+            await until(lambda: balancer.batches)
+            (cached,) = balancer.batches[0]
+            assert (cached.kind, [e.backend_id for e in cached.entries]) == (
                 ListUpdateKind.CACHED,
                 ["s0", "s1"],
             )
@@ -91,8 +97,8 @@
     run(test())
 
 
-def test_what_a_client_asks_reaches_the_balancer(script: type[Script]) -> None:
-    script.act = each(RequestArrived, lambda e: [Fail(e.request_id)])
+def test_request_headers_are_passed_to_the_balancer(balancer: type[ScriptedBalancer]) -> None:
+    balancer.act = for_each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
         async with proxy() as p:
@@ -111,9 +117,10 @@
     run(test())
 
 
-def test_a_client_waits_no_longer_than_its_class_allows(script: type[Script]) -> None:
-    # The balancer takes the longest wait of a class for that of a first try: one client must not stretch it.
-    script.act = each(RequestArrived, lambda e: [Fail(e.request_id)])
+def test_deadline_is_capped_by_the_request_class(balancer: type[ScriptedBalancer]) -> None:
+    # The balancer takes the longest budget seen in a class for the one of first tries; one client must not
+    # extend it.
+    balancer.act = for_each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
         async with proxy() as p:
@@ -123,8 +130,8 @@
     run(test())
 
 
-def test_rejections_and_failures_go_out_at_once(script: type[Script]) -> None:
-    script.act = each(
+def test_rejections_and_failures_are_sent_without_an_attempt(balancer: type[ScriptedBalancer]) -> None:
+    balancer.act = for_each(
         RequestArrived,
         lambda e: (
             [Fail(e.request_id)]
@@ -146,7 +153,7 @@
     run(test())
 
 
-def test_a_request_that_the_balancer_forgets_is_answered_by_its_deadline(script: type[Script]) -> None:
+def test_request_without_a_decision_fails_at_its_deadline(balancer: type[ScriptedBalancer]) -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -156,25 +163,27 @@
     run(test())
 
 
-def test_events_of_one_turn_go_to_one_step_and_lists_go_first(script: type[Script]) -> None:
+def test_events_of_one_loop_iteration_share_a_step_with_list_updates_first(
+    balancer: type[ScriptedBalancer],
+) -> None:
     async def test() -> None:
         async with proxy() as p:
-            await until(lambda: script.batches)
-            script.batches.clear()
-            p.engine.requests.client_disconnected("nobody")  # no longer held: no event
+            await until(lambda: balancer.batches)
+            balancer.batches.clear()
+            p.engine.requests.client_disconnected("nobody")  # not an open request: no event
             p.engine._on_timer(7, p.engine._incarnation)
             p.engine.on_list_failure("test")
             p.engine._on_timer(8, p.engine._incarnation)
-            await until(lambda: script.batches)
-            assert script.batches == [
+            await until(lambda: balancer.batches)
+            assert balancer.batches == [
                 [BackendListUpdate(ListUpdateKind.FAILED), TimerFired(7), TimerFired(8)]
             ]
 
     run(test())
 
 
-def test_events_raised_by_actions_come_in_a_later_step(script: type[Script]) -> None:
-    script.act = each(
+def test_events_raised_by_actions_are_delivered_in_a_later_step(balancer: type[ScriptedBalancer]) -> None:
+    balancer.act = for_each(
         RequestArrived, lambda e: [Forward(e.request_id, "unknown", 1000.0), BackendEjected("s0", 3)]
     )
 
@@ -185,7 +194,7 @@
             await until(lambda: events(AttemptEnded))
             assert not any(
                 isinstance(e, AttemptEnded)
-                for b in script.batches
+                for b in balancer.batches
                 for e in b
                 if RequestArrived in map(type, b)
             )
@@ -194,8 +203,10 @@
     run(test())
 
 
-def test_an_attempt_after_the_end_is_not_sent_and_gets_its_result(script: type[Script]) -> None:
-    script.act = each(RequestArrived, lambda e: [Fail(e.request_id), Forward(e.request_id, "s0", 1000.0)])
+def test_attempt_of_a_finished_request_is_withdrawn_and_reported(balancer: type[ScriptedBalancer]) -> None:
+    balancer.act = for_each(
+        RequestArrived, lambda e: [Fail(e.request_id), Forward(e.request_id, "s0", 1000.0)]
+    )
 
     async def test() -> None:
         async with proxy() as p:
@@ -211,8 +222,11 @@
     run(test())
 
 
-def test_a_client_that_leaves_as_its_request_is_retried_gets_nothing_sent(script: type[Script]) -> None:
-    # The balancer hears of the outcome and of the client's leaving in one step, and has sent again between.
+def test_retry_is_not_sent_if_the_client_disconnects_in_the_same_step(
+    balancer: type[ScriptedBalancer],
+) -> None:
+    # The result of the attempt and the disconnect are delivered in one step, in which the request is
+    # forwarded again.
     def act(batch: list[Any]) -> list[Action]:
         actions: list[Action] = [
             Forward(e.request_id, "s0", 9000.0) for e in batch if isinstance(e, RequestArrived)
@@ -222,7 +236,7 @@
                 actions += [Forward(event.request_id, "s0", 9000.0), CancelAttempt(event.request_id, 1)]
         return actions
 
-    script.act = staticmethod(act)
+    balancer.act = staticmethod(act)
 
     async def test() -> None:
         async with proxy() as p:
@@ -243,8 +257,8 @@
     run(test())
 
 
-def sent_ahead(client: Client, *ids: str) -> None:
-    """And behind them so much that the proxy reads no further."""
+def send_pipelined(client: Client, *ids: str) -> None:
+    """Send requests with these ids, followed by enough input that the proxy pauses reading."""
     for name in ids:
         client.send(x_call_id=name)
     for number in range(2):
@@ -253,12 +267,12 @@
         )
 
 
-def test_a_client_that_leaves_is_noticed_while_its_connection_is_not_read(script: type[Script]) -> None:
-    # It sent so much ahead that nothing more is read, not even the end: its first request waits here.
+def test_disconnect_is_detected_while_reading_is_paused(balancer: type[ScriptedBalancer]) -> None:
+    # The client has sent so much pipelined input that reading is paused, so the close is not read either.
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            sent_ahead(client, "c1", "c2", "c3")
+            send_pipelined(client, "c1", "c2", "c3")
             await until(lambda: p.listener.disconnects.paused)
             client.close()
             await until(lambda: events(ClientDisconnected))
@@ -269,13 +283,13 @@
     run(test())
 
 
-def test_hundreds_of_connections_that_are_not_read_cost_one_system_call(
-    script: type[Script], monkeypatch: pytest.MonkeyPatch
+def test_hundreds_of_paused_connections_are_polled_with_one_system_call(
+    balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watcher_module, "DISCONNECT_POLL_S", 1000.0)  # the test gives the word
+    monkeypatch.setattr(watcher_module, "DISCONNECT_POLL_S", 1000.0)  # the test triggers the poll
     polls, poll = [], select.poll
 
-    def counted() -> Any:
+    def counting_poll() -> Any:
         polls.append(poll())
         return polls[-1]
 
@@ -283,18 +297,22 @@
         async with proxy() as p:
             clients = [await p.client() for _ in range(300)]
             for number, client in enumerate(clients):
-                sent_ahead(client, f"{number}-1", f"{number}-2", f"{number}-3")
+                send_pipelined(client, f"{number}-1", f"{number}-2", f"{number}-3")
             await until(lambda: len(p.listener.disconnects.paused) == len(clients))
             for client in clients[::3]:
                 client.writer.transport.abort()
-            inside = list(p.listener.disconnects.paused)
-            await until(lambda: sum(is_closed_by_peer(one.transport) for one in inside) == 100)
+            server_connections = list(p.listener.disconnects.paused)
+            await until(
+                lambda: (
+                    sum(is_closed_by_peer(connection.transport) for connection in server_connections) == 100
+                )
+            )
             with monkeypatch.context() as patch:
-                patch.setattr(select, "poll", counted)
+                patch.setattr(select, "poll", counting_poll)
                 p.listener.disconnects.poll()
             assert len(polls) == 1
             await until(lambda: len(p.listener.slots.connections) == 200)
-            await until(lambda: not p.engine._events)  # the balancer hears of them a turn later
+            await until(lambda: not p.engine._events)  # delivered in the next loop iteration
             assert {e.request_id for e in events(ClientDisconnected)} == {f"{n}-1" for n in range(0, 300, 3)}
             assert len(p.listener.disconnects.paused) == 200 and p.listener.disconnects.poll_timer is not None
             p.listener.disconnects.poll_timer.cancel()
@@ -302,23 +320,23 @@
     run(test())
 
 
-def test_request_behind_another_is_not_accepted_once_its_client_has_left(
-    script: type[Script], monkeypatch: pytest.MonkeyPatch
+def test_pipelined_request_is_not_accepted_after_its_client_disconnected(
+    balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
         watcher_module, "DISCONNECT_POLL_S", 1000.0
-    )  # this test is about the moment of taking
-    script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
+    )  # the close must be found when the request is accepted
+    balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            sent_ahead(client, "c1", "c2", "c3")
+            send_pipelined(client, "c1", "c2", "c3")
             call = await p.backends[0].requests.get()
             await until(lambda: p.listener.disconnects.paused)
-            (inside,) = p.listener.slots.connections
+            (server_connection,) = p.listener.slots.connections
             client.close()
-            await until(lambda: is_closed_by_peer(inside.transport))
+            await until(lambda: is_closed_by_peer(server_connection.transport))
             call.respond()
             await until(lambda: not p.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
@@ -327,17 +345,17 @@
     run(test())
 
 
-def test_a_client_that_leaves_with_responses_unread_is_closed_at_once(script: type[Script]) -> None:
-    # Its connection is not lost before what waits to be written is out, which nobody reads.
+def test_disconnect_is_reported_at_once_while_responses_are_unread(balancer: type[ScriptedBalancer]) -> None:
+    # connection_lost is not called before the write buffer is flushed, and the client does not read it.
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send()
             await until(lambda: events(RequestArrived))
-            (inside,) = p.listener.slots.connections
+            (server_connection,) = p.listener.slots.connections
             size = 0
-            while inside.transport.get_write_buffer_size() == 0 or size < 8_000_000:
-                inside.transport.write(b"x" * 1_000_000)
+            while server_connection.transport.get_write_buffer_size() == 0 or size < 8_000_000:
+                server_connection.transport.write(b"x" * 1_000_000)
                 size += 1_000_000
             client.writer.write_eof()
             await until(lambda: events(ClientDisconnected))
@@ -346,15 +364,17 @@
     run(test())
 
 
-def test_a_client_that_leaves_in_the_turn_of_its_arrival_gets_nothing_sent(script: type[Script]) -> None:
-    script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
+def test_nothing_is_sent_for_a_client_that_disconnects_in_the_iteration_of_its_arrival(
+    balancer: type[ScriptedBalancer],
+) -> None:
+    balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
         async with proxy() as p:
             host, port = p.listener.address.split(":")
             with socket.create_connection((host, int(port))) as client:
                 client.sendall(request())
-            # No turn of the loop has been since: it finds the connection, its request and its end at once.
+            # The loop has not run since, so it finds the connection, the request and the close together.
             other = await p.client()
             other.send(x_call_id="other")
             call = await p.backends[0].requests.get()
@@ -368,34 +388,34 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-@pytest.mark.parametrize("why", ["client leaves", "time is up"])
-def test_nothing_goes_out_on_a_connection_that_comes_up_when_nobody_waits(
-    script: type[Script], may_cancel: bool, why: str
+@pytest.mark.parametrize("cause", ["disconnect", "deadline"])
+def test_nothing_is_sent_on_a_connection_established_after_its_request_ended(
+    balancer: type[ScriptedBalancer], may_cancel: bool, cause: str
 ) -> None:
-    """Whether attempts may be called off or not: one that has not gone out is none yet."""
+    """Whether attempts may be cancelled or not: one that has not been written may always be withdrawn."""
 
     def act(batch: list[Any]) -> list[Action]:
         actions: list[Action] = [
             Forward(e.request_id, "s0", 9000.0) for e in batch if isinstance(e, RequestArrived)
         ]
-        gone = [e for e in batch if isinstance(e, ClientDisconnected) and may_cancel]
-        return actions + [CancelAttempt(e.request_id, 0) for e in gone]
+        disconnects = [e for e in batch if isinstance(e, ClientDisconnected) and may_cancel]
+        return actions + [CancelAttempt(e.request_id, 0) for e in disconnects]
 
-    script.act = staticmethod(act)
+    balancer.act = staticmethod(act)
 
     async def test() -> None:
         async with proxy(MayCancel=may_cancel) as p:
             gate = ConnectGate.of(p.engine.connection_pool)
             client, other = await p.client(), await p.client()
-            client.send(x_budget_ms="20000" if why == "client leaves" else "50")
-            comes_up = await gate.attempts.get()
-            if why == "client leaves":
+            client.send(x_budget_ms="20000" if cause == "disconnect" else "50")
+            connect_released = await gate.attempts.get()
+            if cause == "disconnect":
                 client.close()
             else:
                 assert (await client.read_response()).status == 504
             await until(lambda: events(AttemptEnded))
             assert events(AttemptEnded)[0].result in (AttemptResult.WITHDRAWN, AttemptResult.CANCELLED)
-            comes_up.set()
+            connect_released.set()
             other.send(x_call_id="other")
             (await gate.attempts.get()).set()
             call = await p.backends[0].requests.get()
@@ -406,45 +426,45 @@
     run(test())
 
 
-async def leave_unseen(p: Proxy, client: Client, how: str) -> None:
-    """The client leaves, and the loop has not noticed: as if it had been too busy to come to it since."""
-    (inside,) = p.listener.slots.connections
-    inside.transport.pause_reading()
-    if how == "half-close":
+async def disconnect_unnoticed(p: Proxy, client: Client, close_mode: str) -> None:
+    """Disconnect a client without the event loop noticing it, as if the loop had been too busy."""
+    (server_connection,) = p.listener.slots.connections
+    server_connection.transport.pause_reading()
+    if close_mode == "half-close":
         client.writer.write_eof()
-    elif how == "reset":
+    elif close_mode == "reset":
         reset(client.writer)
     else:
         client.writer.transport.abort()
-    await until(lambda: is_closed_by_peer(inside.transport))
+    await until(lambda: is_closed_by_peer(server_connection.transport))
     assert not events(ClientDisconnected)
 
 
-@pytest.mark.parametrize("how", ["close", "half-close", "reset"])
-@pytest.mark.parametrize("further", [False, True])
-def test_nothing_is_sent_for_a_client_that_left_while_the_loop_was_busy(
-    script: type[Script], how: str, further: bool
+@pytest.mark.parametrize("close_mode", ["close", "half-close", "reset"])
+@pytest.mark.parametrize("is_retry", [False, True])
+def test_nothing_is_sent_for_a_client_that_disconnected_while_the_loop_was_busy(
+    balancer: type[ScriptedBalancer], close_mode: str, is_retry: bool
 ) -> None:
-    """Nor sent again: an attempt more than 0.1 s after the close is a violation, however late the loop is."""
+    """An attempt or retry over 0.1 s after the close is a violation, however late the loop is."""
 
     def act(batch: list[Any]) -> list[Action]:
-        kinds = (TimerFired, RequestArrived) if further else TimerFired
+        kinds = (TimerFired, RequestArrived) if is_retry else TimerFired
         return [Forward("c1", "s0", 9000.0) for e in batch if isinstance(e, kinds)]
 
-    script.act = staticmethod(act)
+    balancer.act = staticmethod(act)
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
             client.send()
             await until(lambda: events(RequestArrived))
-            if further:
+            if is_retry:
                 (await p.backends[0].requests.get()).respond(status=500)
                 await until(lambda: events(AttemptEnded))
-            await leave_unseen(p, client, how)
+            await disconnect_unnoticed(p, client, close_mode)
             p.engine._on_timer(7, p.engine._incarnation)
-            await until(lambda: len(events(AttemptEnded)) == 1 + further)
-            assert events(AttemptEnded)[-1][:3] == ("c1", int(further), AttemptResult.WITHDRAWN)
+            await until(lambda: len(events(AttemptEnded)) == 1 + is_retry)
+            assert events(AttemptEnded)[-1][:3] == ("c1", int(is_retry), AttemptResult.WITHDRAWN)
             await until(
                 lambda: (
                     events(ClientDisconnected)
@@ -453,25 +473,25 @@
                 )
             )
             assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].requests.empty()
-            assert p.backends[0].connection_count == int(further)
+            assert p.backends[0].connection_count == int(is_retry)
 
     run(test())
 
 
-@pytest.mark.parametrize("how", ["close", "half-close", "reset"])
-def test_a_connection_that_comes_up_for_a_client_that_left_unseen_carries_nothing(
-    script: type[Script], how: str
+@pytest.mark.parametrize("close_mode", ["close", "half-close", "reset"])
+def test_nothing_is_sent_on_a_new_connection_after_an_unnoticed_disconnect(
+    balancer: type[ScriptedBalancer], close_mode: str
 ) -> None:
-    script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
+    balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
         async with proxy() as p:
             gate = ConnectGate.of(p.engine.connection_pool)
             client = await p.client()
             client.send()
-            comes_up = await gate.attempts.get()
-            await leave_unseen(p, client, how)
-            comes_up.set()
+            connect_released = await gate.attempts.get()
+            await disconnect_unnoticed(p, client, close_mode)
+            connect_released.set()
             await until(lambda: events(AttemptEnded))
             assert [e[:3] for e in events(AttemptEnded)] == [("c1", 0, AttemptResult.WITHDRAWN)]
             await until(lambda: not p.engine.requests.open and not p.engine.connection_pool.connections)
@@ -480,56 +500,59 @@
     run(test())
 
 
-@pytest.mark.parametrize("pooled", [False, True])
-@pytest.mark.parametrize("over", ["within", "limit", "neither"])
-def test_the_time_that_a_step_took_counts_against_its_attempts(
-    script: type[Script], over: str, pooled: bool
+@pytest.mark.parametrize("reuses_connection", [False, True])
+@pytest.mark.parametrize("exceeded", ["write_timeout", "timeout", "neither"])
+def test_step_duration_counts_towards_attempt_timeouts(
+    balancer: type[ScriptedBalancer], exceeded: str, reuses_connection: bool
 ) -> None:
-    """Times count from the start of the step; a long step, or many attempts in it, may outlast a window."""
-    limit, within = 500_000.0 if over == "limit" else 9e6, 500_000.0 if over == "within" else 8e6
+    """Durations count from the start of the step; a long step, or one with many attempts, may exceed them."""
+    timeout, write_timeout = (
+        500_000.0 if exceeded == "timeout" else 9e6,
+        500_000.0 if exceeded == "write_timeout" else 8e6,
+    )
 
     def act(batch: list[Any]) -> list[Action]:
         arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
-        if "late" in arrivals:  # as if this step had begun so long ago
+        if "late" in arrivals:  # as if this step had started 1000 s ago
             engines[0]._step_time = now_ms() - 1_000_000.0
-            return [Forward("late", "s0", limit, within)]
+            return [Forward("late", "s0", timeout, write_timeout)]
         return [Forward(request, "s0", 9000.0) for request in arrivals]
 
     engines: list[Any] = []
-    script.act = staticmethod(act)
+    balancer.act = staticmethod(act)
 
     async def test() -> None:
         async with proxy() as p:
             engines.append(p.engine)
             client = await p.client()
-            if pooled:
+            if reuses_connection:
                 client.send(x_call_id="first")
                 (await p.backends[0].requests.get()).respond()
                 assert (await client.read_response()).status == 200
                 idle = p.engine.connection_pool.connections_by_backend["s0"].idle
-                idle[0].idle_since -= 1000.0  # it may be lent again
+                idle[0].idle_since -= 1000.0  # idle long enough to be reused
             client.send(x_call_id="late")
-            if over == "neither":
+            if exceeded == "neither":
                 call = await p.backends[0].requests.get()
                 assert int(call.headers["x-budget-ms"]) <= 8_000_000
                 call.respond()
                 assert (await client.read_response()).status == 200
                 return
-            await until(lambda: len(events(AttemptEnded)) == 1 + pooled)
+            await until(lambda: len(events(AttemptEnded)) == 1 + reuses_connection)
             assert events(AttemptEnded)[-1][:3] == (
                 "late",
                 0,
                 AttemptResult.NO_LOCAL_RESOURCE,
-            )  # no blame on the backend
-            assert p.backends[0].requests.empty() and p.backends[0].connection_count == int(pooled)
+            )  # does not count as a failure of the backend
+            assert p.backends[0].requests.empty() and p.backends[0].connection_count == int(reuses_connection)
 
     run(test())
 
 
-def test_pipelined_requests_have_their_time_from_when_they_were_sent(
-    script: type[Script], monkeypatch: pytest.MonkeyPatch
+def test_budget_of_pipelined_requests_starts_when_they_arrive(
+    balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """However many lie before them: one that is parsed only when another has ended waited all that time."""
+    """A request that is parsed only after earlier ones have ended has waited since it arrived."""
     monkeypatch.setattr(connection_module, "PARSE_CHUNK_BYTES", 100)
 
     async def test() -> None:
@@ -540,30 +563,32 @@
             for _ in sent:
                 assert (await client.read_response()).status == 504
             first, *others = [arrival.deadline for arrival in events(RequestArrived)]
-            assert len(others) == 5 and all(abs(give_up - first) < 100.0 for give_up in others)
+            assert len(others) == 5 and all(abs(deadline - first) < 100.0 for deadline in others)
 
     run(test())
 
 
-def test_a_request_behind_another_is_answered_in_its_time_too(script: type[Script]) -> None:
-    """Answers on a connection come in order, so the one before it can't keep all of its own time."""
-    script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 20000.0)])
+def test_pipelined_request_shortens_the_deadline_of_the_request_before_it(
+    balancer: type[ScriptedBalancer],
+) -> None:
+    """Responses on a connection are sent in order, so the request before it can't use its own full budget."""
+    balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 20000.0)])
 
     async def test() -> None:
         async with proxy() as p:
-            client, begun = await p.client(), now_ms()
+            client, started = await p.client(), now_ms()
             client.writer.write(request(x_call_id="c1") + request(x_call_id="c2", x_budget_ms="100"))
             assert [(await client.read_response()).status for _ in range(2)] == [504, 504]
-            assert now_ms() - begun < 10000.0  # of the 20 s that the first one had
+            assert now_ms() - started < 10000.0  # the budget of the first request is 20 s
             call = await p.backends[0].requests.get()
             assert call.headers["x-call-id"] == "c1" and p.backends[0].requests.empty()
 
     run(test())
 
 
-def test_a_request_that_waited_for_a_slot_has_the_time_that_is_left(script: type[Script]) -> None:
-    """Its bytes came while no connection was accepted."""
-    script.act = each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
+def test_time_waiting_for_a_slot_counts_towards_the_budget(balancer: type[ScriptedBalancer]) -> None:
+    """The request arrives while the proxy accepts no connections."""
+    balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
         async with proxy() as p:
@@ -586,29 +611,29 @@
 
 
 @pytest.mark.parametrize("arrival_is_known", [True, False])
-def test_what_lay_in_the_kernel_has_its_time_from_when_reading_paused(
-    script: type[Script], monkeypatch: pytest.MonkeyPatch, arrival_is_known: bool
+def test_budget_of_unread_input_starts_when_it_arrived_or_reading_paused(
+    balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch, arrival_is_known: bool
 ) -> None:
-    """Or from when it arrived, where the kernel reports that."""
+    """The arrival time is used if the kernel reports it, otherwise the time at which reading was paused."""
     clock = [0.0]
     monkeypatch.setattr(
         connection_module, "last_arrival_ms", lambda _: clock[0] if arrival_is_known else None
     )
     for module in (connection_module, listener_module, request_validator_module, slots_module):
         monkeypatch.setattr(module, "now_ms", lambda: now_ms() + clock[0])
-    script.act = each(
+    balancer.act = for_each(
         RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)] * (e.request_id == "c1")
     )
 
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            sent_ahead(client, "c1", "c2", "c3")
+            send_pipelined(client, "c1", "c2", "c3")
             call = await p.backends[0].requests.get()
             await until(lambda: p.listener.disconnects.paused)
-            (inside,) = p.listener.slots.connections
+            (server_connection,) = p.listener.slots.connections
             client.send(x_call_id="late", x_budget_ms="9000")
-            await until(lambda: has_unread_input(inside.transport))
+            await until(lambda: has_unread_input(server_connection.transport))
             clock[0] = 5000.0
             call.respond()
             await until(lambda: len(events(RequestArrived)) == 2)
@@ -616,13 +641,16 @@
             for _ in range(6):
                 await client.read_response()
             assert [e.request_id for e in events(RequestArrived)] == ["c1", "c2"]
-            assert inside.paused_since == 0.0 and inside.reader.arrived_at < now_ms() + 2500.0
+            assert (
+                server_connection.paused_since == 0.0
+                and server_connection.reader.arrived_at < now_ms() + 2500.0
+            )
 
     run(test())
 
 
-def test_timers_watches_and_health_checks_are_executed(script: type[Script]) -> None:
-    script.act = each(
+def test_timer_poll_and_health_check_actions_are_executed(balancer: type[ScriptedBalancer]) -> None:
+    balancer.act = for_each(
         BackendListUpdate,
         lambda e: (
             [SetTimer(1.0, 42), SendHealthCheck("s0"), PollDiscovery()] * (e.kind is ListUpdateKind.CACHED)
@@ -645,8 +673,8 @@
     run(test())
 
 
-def test_a_failed_balancer_is_logged_and_fails_its_requests_once(
-    script: type[Script], capfd: pytest.CaptureFixture[str]
+def test_balancer_failure_is_logged_and_fails_open_requests_once(
+    balancer: type[ScriptedBalancer], capfd: pytest.CaptureFixture[str]
 ) -> None:
     def act(batch: list[Any]) -> list[Action]:
         arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
@@ -654,7 +682,7 @@
             raise ZeroDivisionError("in the balancer")
         return [Forward(request, "s0", 9000.0) for request in arrivals]
 
-    script.act = staticmethod(act)
+    balancer.act = staticmethod(act)
 
     async def test() -> None:
         async with proxy() as p:
@@ -664,28 +692,30 @@
             assert (await second.exchange(x_call_id="break")).status == 500
             assert (await first.read_response()).status == 500
             await call.closed.wait()
-            first.send(x_call_id="later")  # a new balancer serves on, with the list as it stands
+            first.send(x_call_id="later")  # served by the new balancer, which has received the current list
             (await p.backends[0].requests.get()).respond()
             assert (await first.read_response()).status == 200
             assert [e.kind for e in events(BackendListUpdate)] == [
                 ListUpdateKind.CACHED,
                 ListUpdateKind.CACHED,
             ]
-            assert script.incarnations == 2
+            assert balancer.incarnations == 2
 
     run(test())
-    shown = capfd.readouterr().err
-    assert shown.count("the balancer failed") == 1 and "in the balancer" in shown
+    stderr = capfd.readouterr().err
+    assert stderr.count("the balancer failed") == 1 and "in the balancer" in stderr
 
 
-def test_a_request_pipelined_before_a_failure_is_served_by_the_new_balancer(script: type[Script]) -> None:
+def test_request_pipelined_before_a_balancer_failure_is_served_by_the_new_balancer(
+    balancer: type[ScriptedBalancer],
+) -> None:
     def act(batch: list[Any]) -> list[Action]:
         arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "break" in arrivals:
             raise ZeroDivisionError("in the balancer")
         return [Forward(request, "s0", 9000.0) for request in arrivals]
 
-    script.act = staticmethod(act)
+    balancer.act = staticmethod(act)
 
     async def test() -> None:
         async with proxy() as p:
@@ -699,17 +729,21 @@
     run(test())
 
 
-def test_a_balancer_that_fails_answers_requests_in_all_states_once(script: type[Script]) -> None:
-    """In the buffer, at a server, with a connection that comes up, and with a client that left just then."""
+def test_balancer_failure_answers_requests_in_all_states_once(balancer: type[ScriptedBalancer]) -> None:
+    """Queued, in flight, waiting for a connection, and with a client that has just disconnected."""
 
     def act(batch: list[Any]) -> list[Action]:
         arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "break" in arrivals:
             raise ZeroDivisionError("in the balancer")
-        sends = {"out": "s0", "left": "s0", "coming": "s1", "later": "s0"}
-        return [Forward(request, sends[request], 9000.0) for request in arrivals if request in sends]
+        backends_by_request = {"out": "s0", "left": "s0", "coming": "s1", "later": "s0"}
+        return [
+            Forward(request, backends_by_request[request], 9000.0)
+            for request in arrivals
+            if request in backends_by_request
+        ]
 
-    script.act = staticmethod(act)
+    balancer.act = staticmethod(act)
 
     async def test() -> None:
         async with proxy(backends=2) as p:
@@ -719,16 +753,16 @@
             calls = [await p.backends[0].requests.get() for _ in range(2)]
             gate = ConnectGate.of(p.engine.connection_pool)
             clients["coming"].send(x_call_id="coming")
-            comes_up = await gate.attempts.get()
+            connect_released = await gate.attempts.get()
             await until(lambda: "held" in p.engine.requests.open)
-            # Both in the batch that breaks: its client's leaving is not heard by any balancer.
+            # Both are in the batch of the failing step, so no balancer processes the disconnect.
             p.engine.requests.client_disconnected("left")
             clients["break"].send(x_call_id="break")
             for name in ("held", "out", "coming", "break"):
                 assert (await clients[name].read_response()).status == 500
             for call in calls:
                 await call.closed.wait()
-            comes_up.set()
+            connect_released.set()
             clients["later"].send(x_call_id="later")
             (await gate.attempts.get()).set()
             call = await p.backends[0].requests.get()
@@ -740,27 +774,27 @@
     run(test())
 
 
-def test_a_watch_that_ended_as_the_balancer_failed_is_opened_anew(script: type[Script]) -> None:
+def test_watch_that_ended_as_the_balancer_failed_is_reopened(balancer: type[ScriptedBalancer]) -> None:
     def act(batch: list[Any]) -> list[Action]:
         if any(isinstance(e, BackendListUpdate) and e.kind is ListUpdateKind.FAILED for e in batch):
             raise ZeroDivisionError("in the balancer")
         return []
 
-    script.act = staticmethod(act)
+    balancer.act = staticmethod(act)
 
     async def test() -> None:
         async with proxy(list_mode="push") as p:
             (await p.registry.requests.get()).respond(status=503)
             assert "?since=1&" in (await p.registry.requests.get()).request_line
-            assert script.incarnations == 2
+            assert balancer.incarnations == 2
 
     run(test())
 
 
-def test_one_action_that_cannot_be_carried_out_leaves_the_others(
-    script: type[Script], monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
+def test_failed_action_does_not_prevent_the_others(
+    balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    script.act = each(RequestArrived, lambda e: [SendHealthCheck("s0"), Fail(e.request_id)])
+    balancer.act = for_each(RequestArrived, lambda e: [SendHealthCheck("s0"), Fail(e.request_id)])
 
     async def test() -> None:
         async with proxy() as p:
@@ -771,7 +805,7 @@
     assert "internal error: action SendHealthCheck" in capfd.readouterr().err
 
 
-def test_a_flood_of_log_lines_is_cut_and_reported(capfd: pytest.CaptureFixture[str]) -> None:
+def test_excess_log_lines_are_dropped_and_counted(capfd: pytest.CaptureFixture[str]) -> None:
     log = log_writer_module.LogWriter()
     for number in range(1000):
         log(f"line {number}")
@@ -784,10 +818,10 @@
 @pytest.mark.parametrize(
     ("header", "work"), [("12500", 12.5), ("-1", 0.0), ("1e9", 0.0), ("", 0.0), (None, 0.0)]
 )
-def test_a_work_hint_reaches_the_balancer_if_it_can_be_one(
-    script: type[Script], header: str | None, work: float
+def test_valid_work_hint_is_passed_to_the_balancer(
+    balancer: type[ScriptedBalancer], header: str | None, work: float
 ) -> None:
-    script.act = each(RequestArrived, lambda e: [Fail(e.request_id)])
+    balancer.act = for_each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
         async with proxy() as p:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: configuration, signals, exit codes."""
+"""The program as the platform runs it: configuration, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
     write_configuration,
 )
 
-GOOD = configuration("127.0.0.1:1")
+VALID_CONFIG = configuration("127.0.0.1:1")
 COMMAND = [sys.executable, "-m", "dunecove"]
 
 
-TOLD = configuration("127.0.0.1:1", Peers=True) | {
+GOSSIP_CONFIG = configuration("127.0.0.1:1", Peers=True) | {
     "peer_listen": "127.0.0.1:1",
     "peers": ["127.0.0.1:1"],
     "peers_all": "127.0.0.1:2",
 }
 
 
-def without(name: str, config: dict[str, Any] = GOOD) -> dict[str, Any]:
+def without(name: str, config: dict[str, Any] = VALID_CONFIG) -> dict[str, Any]:
     return {k: v for k, v in config.items() if k != name}
 
 
@@ -53,45 +53,47 @@
         (without("settings"), "settings"),
         (without("seed"), "seed"),
         (without("known"), "known"),
-        (GOOD | {"seed": "xyz"}, "base 16"),
-        (GOOD | {"listen": "here"}, "listen: not an address: 'here'"),
-        (GOOD | {"discovery": "there"}, "discovery: not an address: 'there'"),
-        (GOOD | {"listen": "203.0.113.1:1"}, "assign"),
-        (GOOD | {"listen": "a..b:1"}, "a..b"),
-        (GOOD | {"listen": "127.0.0.1\0:1"}, "127.0.0.1"),
-        (GOOD | {"listen": "127.0.0.1:65536"}, "65536"),
-        (GOOD | {"discovery": None}, "discovery"),
-        (GOOD | {"seed": None}, "seed"),
-        (GOOD | {"known": None}, "list"),
-        (GOOD | {"known": []}, "list"),
-        (GOOD | {"known": {"rev": 1, "all": True, "targets": None}}, "targets"),
-        (GOOD | {"known": {"rev": 1, "all": True}}, "targets"),
-        (GOOD | {"known": {"rev": None, "all": True, "targets": []}}, "rev"),
-        (TOLD | {"peers": [1]}, "peers"),
-        (TOLD | {"peers": {"a": 1}}, "peers"),
-        (TOLD | {"peers_all": None}, "peers_all"),
-        (without("peers_all", TOLD), "peers_all"),
-        (TOLD | {"peer_listen": "a..b:1"}, "a..b"),
-        (GOOD | {"known": {"rev": 1, "all": True, "targets": [{}]}}, "uid"),
-        (GOOD | {"limits": {"sockets": 0}}, "sockets"),
-        (GOOD | {"limits": {"sockets": -1}}, "sockets"),
-        (GOOD | {"limits": {"sockets": "64"}}, "sockets"),
-        (GOOD | {"limits": 5}, "limits"),
-        (GOOD | {"limits": {"memory_mb": 0}}, "memory_mb"),
-        (GOOD | {"settings": {"Lanes": []}}, "class"),
-        (GOOD | {"settings": {}}, "Lanes"),
+        (VALID_CONFIG | {"seed": "xyz"}, "base 16"),
+        (VALID_CONFIG | {"listen": "here"}, "listen: not an address: 'here'"),
+        (VALID_CONFIG | {"discovery": "there"}, "discovery: not an address: 'there'"),
+        (VALID_CONFIG | {"listen": "203.0.113.1:1"}, "assign"),
+        (VALID_CONFIG | {"listen": "a..b:1"}, "a..b"),
+        (VALID_CONFIG | {"listen": "127.0.0.1\0:1"}, "127.0.0.1"),
+        (VALID_CONFIG | {"listen": "127.0.0.1:65536"}, "65536"),
+        (VALID_CONFIG | {"discovery": None}, "discovery"),
+        (VALID_CONFIG | {"seed": None}, "seed"),
+        (VALID_CONFIG | {"known": None}, "list"),
+        (VALID_CONFIG | {"known": []}, "list"),
+        (VALID_CONFIG | {"known": {"rev": 1, "all": True, "targets": None}}, "targets"),
+        (VALID_CONFIG | {"known": {"rev": 1, "all": True}}, "targets"),
+        (VALID_CONFIG | {"known": {"rev": None, "all": True, "targets": []}}, "rev"),
+        (GOSSIP_CONFIG | {"peers": [1]}, "peers"),
+        (GOSSIP_CONFIG | {"peers": {"a": 1}}, "peers"),
+        (GOSSIP_CONFIG | {"peers_all": None}, "peers_all"),
+        (without("peers_all", GOSSIP_CONFIG), "peers_all"),
+        (GOSSIP_CONFIG | {"peer_listen": "a..b:1"}, "a..b"),
+        (VALID_CONFIG | {"known": {"rev": 1, "all": True, "targets": [{}]}}, "uid"),
+        (VALID_CONFIG | {"limits": {"sockets": 0}}, "sockets"),
+        (VALID_CONFIG | {"limits": {"sockets": -1}}, "sockets"),
+        (VALID_CONFIG | {"limits": {"sockets": "64"}}, "sockets"),
+        (VALID_CONFIG | {"limits": 5}, "limits"),
+        (VALID_CONFIG | {"limits": {"memory_mb": 0}}, "memory_mb"),
+        (VALID_CONFIG | {"settings": {"Lanes": []}}, "class"),
+        (VALID_CONFIG | {"settings": {}}, "Lanes"),
         (
-            GOOD | {"settings": GOOD["settings"] | {"TickMs": 0}},
+            VALID_CONFIG | {"settings": VALID_CONFIG["settings"] | {"TickMs": 0}},
             "config.json: TickMs must be above 0 and finite: 0.0",
         ),
         (
-            GOOD | {"settings": GOOD["settings"] | {"Limits": {"ConnIdleMs": -1}}},
+            VALID_CONFIG | {"settings": VALID_CONFIG["settings"] | {"Limits": {"ConnIdleMs": -1}}},
             "config.json: ConnIdleMs must be above 0",
         ),
     ],
 )
-def test_a_bad_configuration_ends_it_with_one_plain_line(tmp_path: Path, config: Any, words: str) -> None:
-    done = subprocess.run(
+def test_invalid_configuration_fails_startup_with_one_log_line(
+    tmp_path: Path, config: Any, words: str
+) -> None:
+    completed = subprocess.run(
         COMMAND,
         env=write_configuration(tmp_path, config),
         capture_output=True,
@@ -99,18 +101,18 @@
         timeout=TEST_TIMEOUT_S,
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
-    assert words in done.stderr
+    assert completed.returncode == 2
+    assert completed.stderr.count("\n") == 1 and "Traceback" not in completed.stderr
+    assert words in completed.stderr
 
 
-def test_an_address_that_is_taken_ends_it_with_one_plain_line(tmp_path: Path) -> None:
+def test_address_in_use_fails_startup_with_one_log_line(tmp_path: Path) -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         config = configuration("127.0.0.1:1", list_mode="push")
         config["listen"] = "{}:{}".format(*taken.getsockname())
-        done = subprocess.run(
+        completed = subprocess.run(
             COMMAND,
             env=write_configuration(tmp_path, config),
             capture_output=True,
@@ -118,17 +120,17 @@
             timeout=TEST_TIMEOUT_S,
             check=False,
         )
-    assert done.returncode == 2 and "in use" in done.stderr
-    assert done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
+    assert completed.returncode == 2 and "in use" in completed.stderr
+    assert completed.stderr.count("\n") == 1 and "Traceback" not in completed.stderr
 
 
-def test_what_a_deployment_leaves_empty_is_as_if_it_were_not_there(tmp_path: Path) -> None:
+def test_null_settings_are_treated_as_absent(tmp_path: Path) -> None:
     def read(value: dict[str, Any]) -> Config:
         lane = {"Name": "a", "AimMs": 300, "HardLimitMs": 900, "Effect": "read_like"}
         info = value | {"Lanes": [lane | ({"Points": None, "KeyScope": None} if value else {})]}
         return read_config(
             write_configuration(
-                tmp_path, GOOD | {"settings": info, "limits": {"sockets": None} if value else {}}
+                tmp_path, VALID_CONFIG | {"settings": info, "limits": {"sockets": None} if value else {}}
             )
         )
 
@@ -153,16 +155,16 @@
     )
 
 
-def test_without_a_configuration_it_says_so() -> None:
+def test_missing_configuration_variable_is_reported() -> None:
     env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
-    done = subprocess.run(
+    completed = subprocess.run(
         COMMAND, env=env, capture_output=True, text=True, timeout=TEST_TIMEOUT_S, check=False
     )
-    assert (done.returncode, done.stderr) == (2, "dunecove: LB_CONFIG is not set\n")
+    assert (completed.returncode, completed.stderr) == (2, "dunecove: LB_CONFIG is not set\n")
 
 
-def test_more_clients_than_descriptors_are_served_in_turn(tmp_path: Path) -> None:
-    def few_descriptors() -> None:
+def test_more_clients_than_descriptors_are_served(tmp_path: Path) -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
     async def test() -> None:
@@ -171,7 +173,7 @@
             *COMMAND,
             env=write_configuration(tmp_path, configuration("127.0.0.1:1", target("s", backend.address))),
             stderr=asyncio.subprocess.PIPE,
-            preexec_fn=few_descriptors,
+            preexec_fn=limit_descriptors,
         )
         assert program.stderr is not None
         address = (await program.stderr.readline()).decode().split()[-1]
@@ -179,15 +181,15 @@
         for _ in range(200):
             clients.append(await Client.open(address))
             assert (await clients[-1].exchange("/health/ready", "GET")).status == 200
-        together = await asyncio.gather(*(Client.open(address) for _ in range(60)))
-        for client in together:
+        concurrent = await asyncio.gather(*(Client.open(address) for _ in range(60)))
+        for client in concurrent:
             client.send("/health/ready", "GET")
-        statuses = [(await client.read_response()).status for client in together]
+        statuses = [(await client.read_response()).status for client in concurrent]
         assert statuses == [200] * 60
         program.send_signal(signal.SIGTERM)
         assert "Too many open files" not in (await program.stderr.read()).decode()
         assert await program.wait() == 0
-        for client in clients + together:
+        for client in clients + concurrent:
             client.close()
         backend.close()
 
@@ -196,10 +198,10 @@
 
 @pytest.mark.parametrize("silent", [True, False])
 @pytest.mark.parametrize(("limit", "sockets"), [(256, 1024), (1024, 64), (64, 1024), (32, 1024)])
-def test_a_full_proxy_reaches_discovery_and_serves_old_and_new_clients(
+def test_full_proxy_polls_discovery_and_serves_waiting_and_new_clients(
     tmp_path: Path, limit: int, sockets: int, silent: bool
 ) -> None:
-    """Clients that wait and idle ones hold all places while discovery is down; peers have their socket."""
+    """Waiting and idle clients occupy all slots while discovery is down; the gossip socket is open too."""
 
     async def test() -> None:
         backend, other, registry = (
@@ -208,22 +210,22 @@
             ScriptedServer(),
         )
         down = socket.socket()
-        down.bind(("127.0.0.1", 0))  # refuses until it listens
+        down.bind(("127.0.0.1", 0))  # refuses connections until it listens
         address = "{}:{}".format(*down.getsockname())
         if silent:
             await registry.open(down)
         known = [target(f"s{number}", backend.address) for number in range(150)]
         config = configuration(address, *known, sockets=sockets, list_mode="push", Peers=True)
         config |= {"peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:1"], "peers_all": "127.0.0.1:1"}
-        program, address = await program_with_descriptors(limit, write_configuration(tmp_path, config))
-        of_clients, to_backends = connection_limits(min(limit, sockets))
-        busy, calls = await fill(address, backend, of_clients, to_backends)
+        program, address = await start_with_descriptor_limit(limit, write_configuration(tmp_path, config))
+        client_limit, backend_limit = connection_limits(min(limit, sockets))
+        busy, calls = await occupy_all_slots(address, backend, client_limit, backend_limit)
         descriptors = Path(f"/proc/{program.pid}/fd")
-        await until(lambda: len(os.listdir(descriptors)) >= of_clients + to_backends)
+        await until(lambda: len(os.listdir(descriptors)) >= client_limit + backend_limit)
         assert len(os.listdir(descriptors)) < min(limit, sockets)
-        for client in busy[to_backends:]:
+        for client in busy[backend_limit:]:
             client.close()
-        idle = await served_as_ready(address, of_clients)
+        idle = await connect_ready_clients(address, client_limit)
         if not silent:
             await registry.open(down)
         body = json.dumps(listing(2, target("t", other.address))).encode()
@@ -231,13 +233,13 @@
             call.respond(body)
         for call in calls:
             call.respond(b"held")
-        for client in busy[:to_backends]:
+        for client in busy[:backend_limit]:
             assert (await client.read_response()).body == b"held"
         new = await Client.open(address)
         new.send(x_call_id="new")
         (await other.requests.get()).respond(b"new")
         assert (await new.read_response()).body == b"new"
-        await ends_cleanly(program)
+        await stop_cleanly(program)
         for client in [*busy, *idle, new]:
             client.close()
         for peer in (backend, other, registry):
@@ -246,14 +248,16 @@
     run(test())
 
 
-async def program_with_descriptors(limit: int, env: dict[str, str]) -> tuple[asyncio.subprocess.Process, str]:
-    """The program with so many descriptors, and the address that it listens on."""
+async def start_with_descriptor_limit(
+    limit: int, env: dict[str, str]
+) -> tuple[asyncio.subprocess.Process, str]:
+    """Start the program with a descriptor limit; return it and the address that it listens on."""
 
-    def few_descriptors() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
 
     program = await asyncio.create_subprocess_exec(
-        *COMMAND, env=env, stderr=asyncio.subprocess.PIPE, preexec_fn=few_descriptors
+        *COMMAND, env=env, stderr=asyncio.subprocess.PIPE, preexec_fn=limit_descriptors
     )
     assert program.stderr is not None
     while " listens on " not in (line := (await program.stderr.readline()).decode()):
@@ -261,30 +265,30 @@
     return program, line.split()[-1]
 
 
-async def fill(
-    address: str, backend: ScriptedServer, of_clients: int, to_backends: int
+async def occupy_all_slots(
+    address: str, backend: ScriptedServer, client_limit: int, backend_limit: int
 ) -> tuple[list[Client], list[ReceivedRequest]]:
-    """So many clients, each with a request, and the requests that reached the backend."""
+    """Connect `client_limit` clients, each with a request; return them and what the backend has received."""
     clients, calls = [], []
-    for number in range(of_clients):
+    for number in range(client_limit):
         clients.append(await Client.open(address))
         clients[-1].send("/lookup", "GET", x_call_id=f"c{number}")
-        if number < to_backends:  # what is more waits for its turn
+        if number < backend_limit:  # further requests are queued
             calls.append(await backend.requests.get())
     return clients, calls
 
 
-async def served_as_ready(address: str, count: int) -> list[Client]:
-    """So many clients at once, each told that the proxy is ready."""
+async def connect_ready_clients(address: str, count: int) -> list[Client]:
+    """Connect `count` clients at once and check that each gets a ready response; return them."""
     clients = [await Client.open(address) for _ in range(count)]
     for client in clients:
         client.send("/health/ready", "GET")
-    for client in clients:  # one in the place of another
+    for client in clients:  # clients without a slot are accepted as others are evicted
         assert (await client.read_response()).status == 200
     return clients
 
 
-async def ends_cleanly(program: asyncio.subprocess.Process) -> None:
+async def stop_cleanly(program: asyncio.subprocess.Process) -> None:
     assert program.stderr is not None
     program.send_signal(signal.SIGTERM)
     assert "Too many open files" not in (await program.stderr.read()).decode()
@@ -294,10 +298,10 @@
 @pytest.mark.parametrize("silent", [True, False])
 @pytest.mark.parametrize("backends", [200, 20_000])
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_it_is_ready_and_serves_from_the_saved_list_while_discovery_is_down(
+def test_proxy_is_ready_and_serves_from_the_cached_list_while_discovery_is_down(
     tmp_path: Path, backends: int, mode: str, silent: bool
 ) -> None:
-    """A restart must not wait for what discovery tells: that refuses, or takes connections and is silent."""
+    """A restart must not wait for discovery, which refuses connections or accepts them without responding."""
 
     async def test() -> None:
         backend = await ScriptedServer().open()
@@ -329,8 +333,8 @@
     run(test())
 
 
-def test_what_the_balancer_makes_of_the_cached_list_is_kept_from_the_collector(tmp_path: Path) -> None:
-    """Walked again and again, 20,000 backends would hold up requests."""
+def test_objects_created_from_the_cached_list_are_excluded_from_garbage_collection(tmp_path: Path) -> None:
+    """Traversing 20,000 backends in each collection would delay requests."""
     code = """if True:
         import gc, os, signal, sys
         from dunecove import __main__ as program
@@ -340,17 +344,19 @@
         gc.freeze = lambda: (print("freeze"), freeze())
         gc.enable = lambda: (on(), print("enable"), os.kill(os.getpid(), signal.SIGTERM))
         sys.exit(program.main())"""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code],
-        env=write_configuration(tmp_path, GOOD),
+        env=write_configuration(tmp_path, VALID_CONFIG),
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.stdout.split("\n")[:3] == ["step False", "freeze", "enable"] and done.returncode == 0
+    assert (
+        completed.stdout.split("\n")[:3] == ["step False", "freeze", "enable"] and completed.returncode == 0
+    )
 
 
-def test_sigterm_ends_it_cleanly_after_what_was_taken_is_answered(tmp_path: Path) -> None:
+def test_sigterm_stops_the_program_after_accepted_requests_are_answered(tmp_path: Path) -> None:
     async def test() -> None:
         backend = await ScriptedServer().open()
         config = configuration("127.0.0.1:1", target("s", backend.address))
@@ -367,7 +373,7 @@
         program.send_signal(signal.SIGTERM)
         while "stopping" not in (await program.stderr.readline()).decode():
             pass
-        late = await Client.open(address)  # connections still come for a moment, and are served
+        late = await Client.open(address)  # new connections are still accepted for a short time
         ready = await late.exchange("/health/ready", "GET")
         assert (ready.status, ready.headers["connection"]) == (503, "close")
         call.respond(b"taken before")
@@ -383,9 +389,9 @@
     run(test())
 
 
-def test_sighup_asks_the_service_that_the_new_file_names(tmp_path: Path) -> None:
-    # Guards against SIGHUP ending the program, against an old version in the call to a service that counts
-    # its own, and against a first call that fails and is tried again only after the usual wait.
+def test_sighup_polls_the_discovery_address_of_the_new_configuration(tmp_path: Path) -> None:
+    # Guards against SIGHUP ending the program, against sending a revision of the old service to the new one,
+    # which numbers its own, and against retrying a failed first call only after the usual delay.
     async def test() -> None:
         first, second, old, new = [await ScriptedServer().open() for _ in range(4)]
         known = target("s", old.address)
@@ -402,7 +408,7 @@
         call = await second.requests.get()
         assert call.request_line == "GET /registry/instances HTTP/1.1"
         await watch.closed.wait()
-        program.send_signal(signal.SIGHUP)  # the same once more: the call goes on
+        program.send_signal(signal.SIGHUP)  # same address again: the call in flight continues
         call.respond(status=503)
         call = await second.requests.get()
         assert call.request_line == "GET /registry/instances HTTP/1.1"
@@ -432,8 +438,8 @@
     run(test())
 
 
-def reading_its_configuration(folder: Path) -> tuple[subprocess.Popen[str], Path]:
-    """A program that waits for what its configuration says, once that is open for writing."""
+def start_reading_configuration(folder: Path) -> tuple[subprocess.Popen[str], Path]:
+    """Start a program that reads its configuration from a named pipe; return it and the path to write to."""
     env = write_configuration(folder, "")
     config = folder / "config.json"
     config.unlink()
@@ -441,11 +447,11 @@
     return subprocess.Popen(COMMAND, env=env, stderr=subprocess.PIPE, text=True), config
 
 
-def test_signals_before_and_after_the_loop_end_or_change_nothing_by_themselves(tmp_path: Path) -> None:
-    """SIGHUP while the configuration is read; SIGTERM twice, with a SIGHUP in between."""
-    program, path = reading_its_configuration(tmp_path)
+def test_signals_during_startup_and_shutdown_do_not_kill_the_program(tmp_path: Path) -> None:
+    """SIGHUP arrives while the configuration is read, and SIGTERM twice, with a SIGHUP in between."""
+    program, path = start_reading_configuration(tmp_path)
     assert program.stderr is not None
-    with socket.socket() as hung:  # the kernel takes connections for it, and it never answers
+    with socket.socket() as hung:  # the kernel accepts connections; nothing responds
         hung.bind(("127.0.0.1", 0))
         hung.listen()
         backend = target("s", "{}:{}".format(*hung.getsockname()))
@@ -456,10 +462,10 @@
         with socket.create_connection((host, int(port))) as client:
             client.sendall(request())
             program.send_signal(signal.SIGTERM)
-            shown(program, "stopping")
-            path.unlink()  # the file can't be read: one line, and the stop goes on
+            wait_for_log(program, "stopping")
+            path.unlink()  # the reload fails and is logged, and the shutdown continues
             program.send_signal(signal.SIGHUP)
-            shown(program, "keeping the current configuration")
+            wait_for_log(program, "keeping the current configuration")
             program.send_signal(signal.SIGTERM)
             client.settimeout(TEST_TIMEOUT_S)
             assert client.recv(1000).startswith(b"HTTP/1.1 504 ")
@@ -468,14 +474,14 @@
     assert "internal error" not in rest and "Traceback" not in rest
 
 
-def shown(program: subprocess.Popen[str], words: str) -> None:
+def wait_for_log(program: subprocess.Popen[str], words: str) -> None:
     assert program.stderr is not None
     while words not in (line := program.stderr.readline()):
         assert line
 
 
-def test_sigterm_before_the_loop_ends_the_program_without_a_word(tmp_path: Path) -> None:
-    program, path = reading_its_configuration(tmp_path)
+def test_sigterm_before_the_event_loop_runs_kills_the_program_silently(tmp_path: Path) -> None:
+    program, path = start_reading_configuration(tmp_path)
     with path.open("w"):
         program.send_signal(signal.SIGTERM)
         assert program.wait() == -signal.SIGTERM
