--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -76,7 +76,7 @@
     # Input from discovery, gossip and signals
 
     def on_list_update(self, update: EndpointListUpdate, kind: ListUpdateKind | None = None) -> None:
-        """Apply an endpoint list update. `kind` defaults to snapshot or delta, as the update is."""
+        """Apply an endpoint list update. By default, `kind` is derived from the update."""
         # The pool is updated at once, so that nothing is written to a draining backend in this iteration.
         self.connection_pool.update(update.endpoints, update.is_snapshot)
         kind = kind or (ListUpdateKind.SNAPSHOT if update.is_snapshot else ListUpdateKind.DELTA)
--- a/dunecove/proxy/log_writer.py
+++ b/dunecove/proxy/log_writer.py
@@ -10,7 +10,7 @@
 
 STDERR = 2
 MAX_LINES_PER_S = 20  # a flood of log lines must not keep the proxy from serving requests
-MAX_WRITE_BYTES = 4096  # PIPE_BUF on Linux: a pipe that is ready for writing accepts them without blocking
+MAX_WRITE_BYTES = 4096  # PIPE_BUF on Linux: a writable pipe accepts this many without blocking
 
 
 class LogWriter:
--- a/dunecove/proxy/request_lifecycle.py
+++ b/dunecove/proxy/request_lifecycle.py
@@ -39,7 +39,7 @@
         telemetry: Telemetry,
         raise_event: Callable[[Event], None],
     ) -> None:
-        """Create a registry without requests; `raise_event` queues an event for the balancer."""
+        """Create an empty registry of requests; `raise_event` queues an event for the balancer."""
         self.open: dict[str, OpenRequest] = {}  # by request id
         self.max_deadline_ms = max(request_class.deadline_ms for request_class in settings.classes)
         self.recent_ids = RecentIds(self.max_deadline_ms)
@@ -96,7 +96,7 @@
         self._abandon(request)
 
     def shorten_deadline(self, request_id: str, response_deadline: float) -> None:
-        """Bring the response deadline of a request forward, in ms of `now_ms`.
+        """Set an earlier response deadline for a request, a time in ms; a later one is ignored.
 
         Pipelined requests behind it can't be answered before it is.
         """
@@ -147,7 +147,7 @@
             self._respond(request, self._final_response(request, action), action.reason)
 
     def pop_ended(self) -> list[OpenRequest]:
-        """Return the requests that ended since the last call, as the balancer is notified of their end."""
+        """Return and clear the requests whose end the next step reports to the balancer."""
         ended = self._ended
         self._ended = []
         return ended
@@ -233,7 +233,7 @@
         self._telemetry.record(request_id, RequestStage.ATTEMPT_ENDED, result.value)
         latency_ms = now_ms() - attempt.started_at
         self._raise_event(AttemptEnded(request_id, attempt_index, result, latency_ms, request.is_finished))
-        self._note_end(request)
+        self._queue_if_ended(request)
 
     def _record_denial(self, request: OpenRequest, attempt_index: int) -> Denial | None:
         """Return why an attempt may not be written now, or None if it may.
@@ -288,9 +288,9 @@
         request.is_finished = True
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
-        self._note_end(request)
+        self._queue_if_ended(request)
 
-    def _note_end(self, request: OpenRequest) -> None:
+    def _queue_if_ended(self, request: OpenRequest) -> None:
         if request.is_finished and not request.has_open_attempts():
             self._ended.append(request)
 
--- a/dunecove/proxy/request_registry.py
+++ b/dunecove/proxy/request_registry.py
@@ -44,7 +44,7 @@
         return len(self._arrivals)
 
     def add(self, request_id: str) -> None:
-        """Add an id that arrives now."""
+        """Add the id of a request that has just arrived."""
         self._arrivals[request_id] = now_ms()
 
     def expire(self) -> None:
--- a/dunecove/server.py
+++ b/dunecove/server.py
@@ -55,9 +55,7 @@
     if config.peer_addresses is not None:
         _open_gossip(engine, config.peer_addresses)
     listener = Listener(engine, RequestValidator(config.settings, config.proxy_settings), limits.clients)
-    listener.listen(
-        config.listen_address
-    )  # before discovery is polled, since this may fail and end the process
+    listener.listen(config.listen_address)  # before polling discovery, since a failure ends the process
     if not config.settings.polls_discovery:
         # A pushed list only reaches the agent on this machine; the proxy must read it from there.
         engine.discovery.watch()
@@ -110,7 +108,7 @@
     reloader.close()
     report_task.cancel()
     engine.telemetry.report()
-    # Closing the loop removes its signal handlers: a signal after that must not kill the process.
+    # Closing the loop removes its signal handlers: a signal after that must not kill the process before it exits.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
     log("stopped")
 
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -323,9 +323,8 @@
 def test_pipelined_request_is_not_accepted_after_its_client_disconnected(
     balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(
-        watcher_module, "DISCONNECT_POLL_S", 1000.0
-    )  # the close must be found when the request is accepted
+    # The close must be found as the second request is about to be accepted, not by the poll.
+    monkeypatch.setattr(watcher_module, "DISCONNECT_POLL_S", 1000.0)
     balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
@@ -346,7 +345,7 @@
 
 
 def test_disconnect_is_reported_at_once_while_responses_are_unread(balancer: type[ScriptedBalancer]) -> None:
-    # connection_lost is not called before the write buffer is flushed, and the client does not read it.
+    # connection_lost is not called before the write buffer is flushed, and the client reads nothing.
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
