--- a/dunecove/server.py
+++ b/dunecove/server.py
@@ -108,7 +108,7 @@
     reloader.close()
     report_task.cancel()
     engine.telemetry.report()
-    # Closing the loop removes its signal handlers: a signal after that must not kill the process before it exits.
+    # Closing the loop removes its signal handlers; a later signal must not kill the process before it exits.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
     log("stopped")
 
