--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -118,8 +118,8 @@
 
 
 def test_deadline_is_capped_by_the_request_class(balancer: type[ScriptedBalancer]) -> None:
-    # The balancer takes the longest budget seen in a class for the one of first tries; one client must not
-    # extend it.
+    # The balancer assumes that the longest budget seen in a class is that of first attempts. A single client
+    # must not extend it.
     balancer.act = for_each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
