--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -41,7 +41,16 @@
 from dunecove.proxy import request_validator as request_validator_module
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.socket_probe import has_unread_input, is_closed_by_peer
-from tests.loopback import Client, ConnectGate, Proxy, proxy, request, reset, run, until
+from tests.loopback import (
+    Client,
+    ConnectGate,
+    Proxy,
+    encode_request,
+    proxy,
+    reset_connection,
+    run,
+    wait_until,
+)
 
 Step = Callable[[list[Any]], list[Action]]
 
@@ -87,7 +96,7 @@
 def test_cached_list_is_the_first_event(balancer: type[ScriptedBalancer]) -> None:
     async def test() -> None:
         async with proxy(backends=2):
-            await until(lambda: balancer.batches)
+            await wait_until(lambda: balancer.batches)
             (cached,) = balancer.batches[0]
             assert (cached.kind, [e.backend_id for e in cached.entries]) == (
                 ListUpdateKind.CACHED,
@@ -158,7 +167,7 @@
         async with proxy() as p:
             client = await p.client()
             assert (await client.exchange(x_budget_ms="30")).status == 504
-            await until(lambda: events(ClientDisconnected))
+            await wait_until(lambda: events(ClientDisconnected))
 
     run(test())
 
@@ -168,13 +177,13 @@
 ) -> None:
     async def test() -> None:
         async with proxy() as p:
-            await until(lambda: balancer.batches)
+            await wait_until(lambda: balancer.batches)
             balancer.batches.clear()
             p.engine.requests.client_disconnected("nobody")  # not an open request: no event
             p.engine._on_timer(7, p.engine._incarnation)
             p.engine.on_list_failure("test")
             p.engine._on_timer(8, p.engine._incarnation)
-            await until(lambda: balancer.batches)
+            await wait_until(lambda: balancer.batches)
             assert balancer.batches == [
                 [BackendListUpdate(ListUpdateKind.FAILED), TimerFired(7), TimerFired(8)]
             ]
@@ -191,7 +200,7 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await until(lambda: events(AttemptEnded))
+            await wait_until(lambda: events(AttemptEnded))
             assert not any(
                 isinstance(e, AttemptEnded)
                 for b in balancer.batches
@@ -212,12 +221,12 @@
         async with proxy() as p:
             client = await p.client()
             assert (await client.exchange()).status == 504
-            await until(lambda: events(AttemptEnded))
+            await wait_until(lambda: events(AttemptEnded))
             assert [(e.result, e.request_finished) for e in events(AttemptEnded)] == [
                 (AttemptResult.WITHDRAWN, True)
             ]
             assert p.backends[0].connection_count == 0
-            await until(lambda: not p.engine.requests.open)
+            await wait_until(lambda: not p.engine.requests.open)
 
     run(test())
 
@@ -246,13 +255,13 @@
             open_request = p.engine.requests.open["c1"]
             open_request.attempts[0].end(AttemptResult.REJECTED)
             p.engine.requests.client_disconnected("c1")
-            await until(lambda: len(events(AttemptEnded)) == 2)
+            await wait_until(lambda: len(events(AttemptEnded)) == 2)
             assert [(e.attempt_index, e.result) for e in events(AttemptEnded)] == [
                 (0, AttemptResult.REJECTED),
                 (1, AttemptResult.WITHDRAWN),
             ]
             assert p.backends[0].requests.empty()
-            await until(lambda: not p.engine.requests.open)
+            await wait_until(lambda: not p.engine.requests.open)
 
     run(test())
 
@@ -273,11 +282,11 @@
         async with proxy() as p:
             client = await p.client()
             send_pipelined(client, "c1", "c2", "c3")
-            await until(lambda: p.listener.disconnects.paused)
+            await wait_until(lambda: p.listener.disconnect_watcher.paused)
             client.close()
-            await until(lambda: events(ClientDisconnected))
+            await wait_until(lambda: events(ClientDisconnected))
             assert events(ClientDisconnected) == [ClientDisconnected("c1")]
-            await until(lambda: not p.listener.slots.connections)
+            await wait_until(lambda: not p.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
 
     run(test())
@@ -298,24 +307,27 @@
             clients = [await p.client() for _ in range(300)]
             for number, client in enumerate(clients):
                 send_pipelined(client, f"{number}-1", f"{number}-2", f"{number}-3")
-            await until(lambda: len(p.listener.disconnects.paused) == len(clients))
+            await wait_until(lambda: len(p.listener.disconnect_watcher.paused) == len(clients))
             for client in clients[::3]:
                 client.writer.transport.abort()
-            server_connections = list(p.listener.disconnects.paused)
-            await until(
+            server_connections = list(p.listener.disconnect_watcher.paused)
+            await wait_until(
                 lambda: (
                     sum(is_closed_by_peer(connection.transport) for connection in server_connections) == 100
                 )
             )
             with monkeypatch.context() as patch:
                 patch.setattr(select, "poll", counting_poll)
-                p.listener.disconnects.poll()
+                p.listener.disconnect_watcher.poll()
             assert len(polls) == 1
-            await until(lambda: len(p.listener.slots.connections) == 200)
-            await until(lambda: not p.engine._events)  # delivered in the next loop iteration
+            await wait_until(lambda: len(p.listener.slots.connections) == 200)
+            await wait_until(lambda: not p.engine._events)  # delivered in the next loop iteration
             assert {e.request_id for e in events(ClientDisconnected)} == {f"{n}-1" for n in range(0, 300, 3)}
-            assert len(p.listener.disconnects.paused) == 200 and p.listener.disconnects.poll_timer is not None
-            p.listener.disconnects.poll_timer.cancel()
+            assert (
+                len(p.listener.disconnect_watcher.paused) == 200
+                and p.listener.disconnect_watcher.poll_timer is not None
+            )
+            p.listener.disconnect_watcher.poll_timer.cancel()
 
     run(test())
 
@@ -332,12 +344,12 @@
             client = await p.client()
             send_pipelined(client, "c1", "c2", "c3")
             call = await p.backends[0].requests.get()
-            await until(lambda: p.listener.disconnects.paused)
+            await wait_until(lambda: p.listener.disconnect_watcher.paused)
             (server_connection,) = p.listener.slots.connections
             client.close()
-            await until(lambda: is_closed_by_peer(server_connection.transport))
+            await wait_until(lambda: is_closed_by_peer(server_connection.transport))
             call.respond()
-            await until(lambda: not p.listener.slots.connections)
+            await wait_until(lambda: not p.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
             assert p.backends[0].requests.empty()
 
@@ -350,14 +362,14 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await until(lambda: events(RequestArrived))
+            await wait_until(lambda: events(RequestArrived))
             (server_connection,) = p.listener.slots.connections
             size = 0
             while server_connection.transport.get_write_buffer_size() == 0 or size < 8_000_000:
                 server_connection.transport.write(b"x" * 1_000_000)
                 size += 1_000_000
             client.writer.write_eof()
-            await until(lambda: events(ClientDisconnected))
+            await wait_until(lambda: events(ClientDisconnected))
             assert p.listener.slots.connections
 
     run(test())
@@ -372,7 +384,7 @@
         async with proxy() as p:
             host, port = p.listener.address.split(":")
             with socket.create_connection((host, int(port))) as client:
-                client.sendall(request())
+                client.sendall(encode_request())
             # The loop has not run since, so it finds the connection, the request and the close together.
             other = await p.client()
             other.send(x_call_id="other")
@@ -380,7 +392,7 @@
             assert call.headers["x-call-id"] == "other" and p.backends[0].requests.empty()
             call.respond()
             assert (await other.read_response()).status == 200
-            await until(lambda: len(p.listener.slots.connections) == 1 and not p.engine.requests.open)
+            await wait_until(lambda: len(p.listener.slots.connections) == 1 and not p.engine.requests.open)
             assert p.backends[0].connection_count == 1
 
     run(test())
@@ -404,7 +416,7 @@
 
     async def test() -> None:
         async with proxy(MayCancel=may_cancel) as p:
-            gate = ConnectGate.of(p.engine.connection_pool)
+            gate = ConnectGate.install(p.engine.connection_pool)
             client, other = await p.client(), await p.client()
             client.send(x_budget_ms="20000" if cause == "disconnect" else "50")
             connect_released = await gate.attempts.get()
@@ -412,7 +424,7 @@
                 client.close()
             else:
                 assert (await client.read_response()).status == 504
-            await until(lambda: events(AttemptEnded))
+            await wait_until(lambda: events(AttemptEnded))
             assert events(AttemptEnded)[0].result in (AttemptResult.WITHDRAWN, AttemptResult.CANCELLED)
             connect_released.set()
             other.send(x_call_id="other")
@@ -432,10 +444,10 @@
     if close_mode == "half-close":
         client.writer.write_eof()
     elif close_mode == "reset":
-        reset(client.writer)
+        reset_connection(client.writer)
     else:
         client.writer.transport.abort()
-    await until(lambda: is_closed_by_peer(server_connection.transport))
+    await wait_until(lambda: is_closed_by_peer(server_connection.transport))
     assert not events(ClientDisconnected)
 
 
@@ -456,15 +468,15 @@
         async with proxy() as p:
             client = await p.client()
             client.send()
-            await until(lambda: events(RequestArrived))
+            await wait_until(lambda: events(RequestArrived))
             if is_retry:
                 (await p.backends[0].requests.get()).respond(status=500)
-                await until(lambda: events(AttemptEnded))
+                await wait_until(lambda: events(AttemptEnded))
             await disconnect_unnoticed(p, client, close_mode)
             p.engine._on_timer(7, p.engine._incarnation)
-            await until(lambda: len(events(AttemptEnded)) == 1 + is_retry)
+            await wait_until(lambda: len(events(AttemptEnded)) == 1 + is_retry)
             assert events(AttemptEnded)[-1][:3] == ("c1", int(is_retry), AttemptResult.WITHDRAWN)
-            await until(
+            await wait_until(
                 lambda: (
                     events(ClientDisconnected)
                     and not p.engine.requests.open
@@ -485,15 +497,15 @@
 
     async def test() -> None:
         async with proxy() as p:
-            gate = ConnectGate.of(p.engine.connection_pool)
+            gate = ConnectGate.install(p.engine.connection_pool)
             client = await p.client()
             client.send()
             connect_released = await gate.attempts.get()
             await disconnect_unnoticed(p, client, close_mode)
             connect_released.set()
-            await until(lambda: events(AttemptEnded))
+            await wait_until(lambda: events(AttemptEnded))
             assert [e[:3] for e in events(AttemptEnded)] == [("c1", 0, AttemptResult.WITHDRAWN)]
-            await until(lambda: not p.engine.requests.open and not p.engine.connection_pool.connections)
+            await wait_until(lambda: not p.engine.requests.open and not p.engine.connection_pool.connections)
             assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].requests.empty()
 
     run(test())
@@ -537,7 +549,7 @@
                 call.respond()
                 assert (await client.read_response()).status == 200
                 return
-            await until(lambda: len(events(AttemptEnded)) == 1 + reuses_connection)
+            await wait_until(lambda: len(events(AttemptEnded)) == 1 + reuses_connection)
             assert events(AttemptEnded)[-1][:3] == (
                 "late",
                 0,
@@ -557,7 +569,7 @@
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
-            sent = [request(x_call_id=f"c{number}", x_budget_ms="200") for number in range(6)]
+            sent = [encode_request(x_call_id=f"c{number}", x_budget_ms="200") for number in range(6)]
             client.writer.write(b"".join(sent))
             for _ in sent:
                 assert (await client.read_response()).status == 504
@@ -576,7 +588,9 @@
     async def test() -> None:
         async with proxy() as p:
             client, started = await p.client(), now_ms()
-            client.writer.write(request(x_call_id="c1") + request(x_call_id="c2", x_budget_ms="100"))
+            client.writer.write(
+                encode_request(x_call_id="c1") + encode_request(x_call_id="c2", x_budget_ms="100")
+            )
             assert [(await client.read_response()).status for _ in range(2)] == [504, 504]
             assert now_ms() - started < 10000.0  # the budget of the first request is 20 s
             call = await p.backends[0].requests.get()
@@ -597,7 +611,7 @@
             call = await p.backends[0].requests.get()
             second.send(x_call_id="c2", x_budget_ms="9000")
             sent = now_ms()
-            await until(lambda: not p.listener.is_accepting)
+            await wait_until(lambda: not p.listener.is_accepting)
             await asyncio.sleep(0.5)
             call.respond()
             assert (await first.read_response()).status == 200
@@ -616,7 +630,7 @@
     """The arrival time is used if the kernel reports it, otherwise the time at which reading was paused."""
     clock = [0.0]
     monkeypatch.setattr(
-        connection_module, "last_arrival_ms", lambda _: clock[0] if arrival_is_known else None
+        connection_module, "last_data_age_ms", lambda _: clock[0] if arrival_is_known else None
     )
     for module in (connection_module, listener_module, request_validator_module, slots_module):
         monkeypatch.setattr(module, "now_ms", lambda: now_ms() + clock[0])
@@ -629,13 +643,13 @@
             client = await p.client()
             send_pipelined(client, "c1", "c2", "c3")
             call = await p.backends[0].requests.get()
-            await until(lambda: p.listener.disconnects.paused)
+            await wait_until(lambda: p.listener.disconnect_watcher.paused)
             (server_connection,) = p.listener.slots.connections
             client.send(x_call_id="late", x_budget_ms="9000")
-            await until(lambda: has_unread_input(server_connection.transport))
+            await wait_until(lambda: has_unread_input(server_connection.transport))
             clock[0] = 5000.0
             call.respond()
-            await until(lambda: len(events(RequestArrived)) == 2)
+            await wait_until(lambda: len(events(RequestArrived)) == 2)
             p.engine.requests.expire_all()
             for _ in range(6):
                 await client.read_response()
@@ -663,9 +677,9 @@
                 health_check.request_line == "GET /stats HTTP/1.1" and "x-call-id" not in health_check.headers
             )
             health_check.respond()
-            watch = await p.registry.requests.get()
+            watch = await p.discovery_server.requests.get()
             assert watch.request_line.startswith("GET /registry/instances?since=1&")
-            await until(lambda: events(TimerFired) and events(HealthCheckResult))
+            await wait_until(lambda: events(TimerFired) and events(HealthCheckResult))
             assert events(TimerFired) == [TimerFired(42)]
             assert events(HealthCheckResult)[0][:2] == ("s0", AttemptResult.OK)
 
@@ -750,10 +764,10 @@
             for name in ("held", "out", "left"):
                 clients[name].send(x_call_id=name)
             calls = [await p.backends[0].requests.get() for _ in range(2)]
-            gate = ConnectGate.of(p.engine.connection_pool)
+            gate = ConnectGate.install(p.engine.connection_pool)
             clients["coming"].send(x_call_id="coming")
             connect_released = await gate.attempts.get()
-            await until(lambda: "held" in p.engine.requests.open)
+            await wait_until(lambda: "held" in p.engine.requests.open)
             # Both are in the batch of the failing step, so no balancer processes the disconnect.
             p.engine.requests.client_disconnected("left")
             clients["break"].send(x_call_id="break")
@@ -782,9 +796,9 @@
     balancer.act = staticmethod(act)
 
     async def test() -> None:
-        async with proxy(list_mode="push") as p:
-            (await p.registry.requests.get()).respond(status=503)
-            assert "?since=1&" in (await p.registry.requests.get()).request_line
+        async with proxy(discovery_mode="push") as p:
+            (await p.discovery_server.requests.get()).respond(status=503)
+            assert "?since=1&" in (await p.discovery_server.requests.get()).request_line
             assert balancer.incarnations == 2
 
     run(test())
--- a/tests/proxy/test_system_call_faults.py
+++ b/tests/proxy/test_system_call_faults.py
@@ -16,7 +16,15 @@
 
 import pytest
 
-from tests.loopback import Client, ScriptedServer, configuration, listing, run, target, write_configuration
+from tests.loopback import (
+    Client,
+    ScriptedServer,
+    make_configuration,
+    make_endpoint_list,
+    make_list_entry,
+    run,
+    write_configuration,
+)
 
 RELOAD_TIMEOUT_S = 20.0  # well above the 4 s within which a new discovery address must take effect
 
@@ -60,7 +68,9 @@
 
     async def test() -> None:
         backend, later, registry = [await ScriptedServer().open() for _ in range(3)]
-        config = configuration(registry.address, target("s", backend.address), list_mode="push")
+        config = make_configuration(
+            registry.address, make_list_entry("s", backend.address), discovery_mode="push"
+        )
         config["listen"] = free_address()
         read_end, write_end = os.pipe()
         if log == "full":
@@ -84,7 +94,7 @@
                 os.close(read_end)
             (await call).respond(status=503)  # a failed call is logged and repeated
             (await registry.requests.get()).respond(
-                json.dumps(listing(2, target("t", later.address))).encode()
+                json.dumps(make_endpoint_list(2, make_list_entry("t", later.address))).encode()
             )
             await registry.requests.get()
             client = await connect_when_listening(config["listen"])
@@ -147,7 +157,7 @@
 def test_startup_succeeds_despite_temporary_resource_errors(tmp_path: Path, call: str, error: int) -> None:
     async def test() -> None:
         backend = await ScriptedServer().open()
-        config = configuration("127.0.0.1:1", target("s", backend.address), Peers=True)
+        config = make_configuration("127.0.0.1:1", make_list_entry("s", backend.address), Peers=True)
         config |= {"listen": free_address(), "peer_listen": free_address(), "peers": ["127.0.0.1:1"]}
         config["peers_all"] = "127.0.0.1:1"
         arguments = failing_program(call, error, 1, 3)
@@ -171,13 +181,15 @@
 def test_reload_takes_effect_despite_a_temporary_failure_to_open_the_file(tmp_path: Path) -> None:
     async def test() -> None:
         first, second = await ScriptedServer().open(), await ScriptedServer().open()
-        config = configuration(first.address, target("s", "127.0.0.1:1"))
+        config = make_configuration(first.address, make_list_entry("s", "127.0.0.1:1"))
         async with run_program(
             tmp_path, config, *failing_program("open", errno.ENFILE, 2, 3), stderr=asyncio.subprocess.PIPE
         ) as process:
             assert process.stderr is not None
             await first.requests.get()
-            write_configuration(tmp_path, configuration(second.address, target("s", "127.0.0.1:1")))
+            write_configuration(
+                tmp_path, make_configuration(second.address, make_list_entry("s", "127.0.0.1:1"))
+            )
             process.send_signal(signal.SIGHUP)
             polled = asyncio.ensure_future(second.requests.get())
             failed = asyncio.ensure_future(
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -21,20 +21,20 @@
     Client,
     ReceivedRequest,
     ScriptedServer,
-    configuration,
-    listing,
-    request,
+    encode_request,
+    make_configuration,
+    make_endpoint_list,
+    make_list_entry,
     run,
-    target,
-    until,
+    wait_until,
     write_configuration,
 )
 
-VALID_CONFIG = configuration("127.0.0.1:1")
+VALID_CONFIG = make_configuration("127.0.0.1:1")
 COMMAND = [sys.executable, "-m", "dunecove"]
 
 
-GOSSIP_CONFIG = configuration("127.0.0.1:1", Peers=True) | {
+GOSSIP_CONFIG = make_configuration("127.0.0.1:1", Peers=True) | {
     "peer_listen": "127.0.0.1:1",
     "peers": ["127.0.0.1:1"],
     "peers_all": "127.0.0.1:2",
@@ -54,8 +54,8 @@
         (without("seed"), "seed"),
         (without("known"), "known"),
         (VALID_CONFIG | {"seed": "xyz"}, "base 16"),
-        (VALID_CONFIG | {"listen": "here"}, "listen: not an address: 'here'"),
-        (VALID_CONFIG | {"discovery": "there"}, "discovery: not an address: 'there'"),
+        (VALID_CONFIG | {"listen": "here"}, "listen: not a host:port address: 'here'"),
+        (VALID_CONFIG | {"discovery": "there"}, "discovery: not a host:port address: 'there'"),
         (VALID_CONFIG | {"listen": "203.0.113.1:1"}, "assign"),
         (VALID_CONFIG | {"listen": "a..b:1"}, "a..b"),
         (VALID_CONFIG | {"listen": "127.0.0.1\0:1"}, "127.0.0.1"),
@@ -110,7 +110,7 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
-        config = configuration("127.0.0.1:1", list_mode="push")
+        config = make_configuration("127.0.0.1:1", discovery_mode="push")
         config["listen"] = "{}:{}".format(*taken.getsockname())
         completed = subprocess.run(
             COMMAND,
@@ -171,7 +171,9 @@
         backend = await ScriptedServer().open()
         program = await asyncio.create_subprocess_exec(
             *COMMAND,
-            env=write_configuration(tmp_path, configuration("127.0.0.1:1", target("s", backend.address))),
+            env=write_configuration(
+                tmp_path, make_configuration("127.0.0.1:1", make_list_entry("s", backend.address))
+            ),
             stderr=asyncio.subprocess.PIPE,
             preexec_fn=limit_descriptors,
         )
@@ -214,21 +216,21 @@
         address = "{}:{}".format(*down.getsockname())
         if silent:
             await registry.open(down)
-        known = [target(f"s{number}", backend.address) for number in range(150)]
-        config = configuration(address, *known, sockets=sockets, list_mode="push", Peers=True)
+        known = [make_list_entry(f"s{number}", backend.address) for number in range(150)]
+        config = make_configuration(address, *known, sockets=sockets, discovery_mode="push", Peers=True)
         config |= {"peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:1"], "peers_all": "127.0.0.1:1"}
         program, address = await start_with_descriptor_limit(limit, write_configuration(tmp_path, config))
         client_limit, backend_limit = connection_limits(min(limit, sockets))
         busy, calls = await occupy_all_slots(address, backend, client_limit, backend_limit)
         descriptors = Path(f"/proc/{program.pid}/fd")
-        await until(lambda: len(os.listdir(descriptors)) >= client_limit + backend_limit)
+        await wait_until(lambda: len(os.listdir(descriptors)) >= client_limit + backend_limit)
         assert len(os.listdir(descriptors)) < min(limit, sockets)
         for client in busy[backend_limit:]:
             client.close()
         idle = await connect_ready_clients(address, client_limit)
         if not silent:
             await registry.open(down)
-        body = json.dumps(listing(2, target("t", other.address))).encode()
+        body = json.dumps(make_endpoint_list(2, make_list_entry("t", other.address))).encode()
         while "?since=2&" not in (call := await registry.requests.get()).request_line:
             call.respond(body)
         for call in calls:
@@ -310,10 +312,10 @@
             if silent:
                 down.listen()
             where = "{}:{}".format(*down.getsockname())
-            known = [target(f"s{number}", backend.address) for number in range(backends)]
+            known = [make_list_entry(f"s{number}", backend.address) for number in range(backends)]
             program = await asyncio.create_subprocess_exec(
                 *COMMAND,
-                env=write_configuration(tmp_path, configuration(where, *known, list_mode=mode)),
+                env=write_configuration(tmp_path, make_configuration(where, *known, discovery_mode=mode)),
                 stderr=asyncio.subprocess.PIPE,
             )
             assert program.stderr is not None
@@ -359,7 +361,7 @@
 def test_sigterm_stops_the_program_after_accepted_requests_are_answered(tmp_path: Path) -> None:
     async def test() -> None:
         backend = await ScriptedServer().open()
-        config = configuration("127.0.0.1:1", target("s", backend.address))
+        config = make_configuration("127.0.0.1:1", make_list_entry("s", backend.address))
         program = await asyncio.create_subprocess_exec(
             *COMMAND, env=write_configuration(tmp_path, config), stderr=asyncio.subprocess.PIPE
         )
@@ -394,8 +396,8 @@
     # which numbers its own, and against retrying a failed first call only after the usual delay.
     async def test() -> None:
         first, second, old, new = [await ScriptedServer().open() for _ in range(4)]
-        known = target("s", old.address)
-        env = write_configuration(tmp_path, configuration(first.address, known)) | {
+        known = make_list_entry("s", old.address)
+        env = write_configuration(tmp_path, make_configuration(first.address, known)) | {
             "LB_DISCOVERY": first.address
         }
         program = await asyncio.create_subprocess_exec(*COMMAND, env=env, stderr=asyncio.subprocess.PIPE)
@@ -403,7 +405,7 @@
         address = (await program.stderr.readline()).decode().split()[-1]
         watch = await first.requests.get()
         assert "?since=1&" in watch.request_line
-        write_configuration(tmp_path, configuration(second.address, known))
+        write_configuration(tmp_path, make_configuration(second.address, known))
         program.send_signal(signal.SIGHUP)
         call = await second.requests.get()
         assert call.request_line == "GET /registry/instances HTTP/1.1"
@@ -412,7 +414,7 @@
         call.respond(status=503)
         call = await second.requests.get()
         assert call.request_line == "GET /registry/instances HTTP/1.1"
-        call.respond(json.dumps(listing(7, target("t", new.address))).encode())
+        call.respond(json.dumps(make_endpoint_list(7, make_list_entry("t", new.address))).encode())
         assert "?since=7&" in (await second.requests.get()).request_line
         client = await Client.open(address)
         client.send()
@@ -426,7 +428,7 @@
         program.send_signal(signal.SIGTERM)
         while "stopping" not in (await program.stderr.readline()).decode():
             pass
-        write_configuration(tmp_path, configuration(first.address, known))
+        write_configuration(tmp_path, make_configuration(first.address, known))
         program.send_signal(signal.SIGHUP)
         assert (await first.requests.get()).request_line == "GET /registry/instances HTTP/1.1"
         client.close()
@@ -454,13 +456,13 @@
     with socket.socket() as hung:  # the kernel accepts connections; nothing responds
         hung.bind(("127.0.0.1", 0))
         hung.listen()
-        backend = target("s", "{}:{}".format(*hung.getsockname()))
+        backend = make_list_entry("s", "{}:{}".format(*hung.getsockname()))
         with path.open("w") as file:
             program.send_signal(signal.SIGHUP)
-            file.write(json.dumps(configuration("127.0.0.1:1", backend)))
+            file.write(json.dumps(make_configuration("127.0.0.1:1", backend)))
         host, port = program.stderr.readline().split()[-1].split(":")
         with socket.create_connection((host, int(port))) as client:
-            client.sendall(request())
+            client.sendall(encode_request())
             program.send_signal(signal.SIGTERM)
             wait_for_log(program, "stopping")
             path.unlink()  # the reload fails and is logged, and the shutdown continues
