--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -107,7 +107,7 @@
 
     def move_discovery(self, address: str) -> None:
         """Poll discovery at `address` from now on; the current list stays in use until it responds."""
-        if self.discovery is not None and self.discovery.move_to(address):
+        if self.discovery is not None and self.discovery.set_address(address):
             self.telemetry.count(CounterName.DISCOVERY_MOVED)
             log(f"discovery address changed to {address}")
             self._raise_event(DiscoveryMoved())
