--- a/dunecove/__main__.py
+++ b/dunecove/__main__.py
@@ -1,4 +1,4 @@
-"""Begins the proxy: reads its configuration and serves until it is told to end."""
+"""Starts the proxy: reads its configuration and serves until it is stopped by a signal."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from dunecove.retry import retry_transient_errors
 from dunecove.server import run
 
-EXIT_CANNOT_START = 2
-START_RETRIES_S = 5.0  # well within the time in which a proxy has to be ready
+EXIT_STARTUP_FAILED = 2
+STARTUP_RETRY_PERIOD_S = 5.0  # well below the time within which a proxy must become ready
 
 
 def main() -> int:
     """Run the proxy; return the exit code."""
-    for early_signal in (signal.SIGHUP, signal.SIGUSR1):  # until the loop has its handlers
-        signal.signal(early_signal, signal.SIG_IGN)
-    gc.disable()  # until all is made: next to nothing of it is to be thrown away
+    for signal_number in (signal.SIGHUP, signal.SIGUSR1):  # ignored until the event loop handles them
+        signal.signal(signal_number, signal.SIG_IGN)
+    gc.disable()  # until startup is complete, since almost all objects created by then are long-lived
     handle_library_logs()
-    retry_until_s = time.monotonic() + START_RETRIES_S
+    retry_deadline_s = time.monotonic() + STARTUP_RETRY_PERIOD_S
     try:
-        config = retry_transient_errors(lambda: read_config(os.environ), retry_until_s)
-        retry_transient_errors(lambda: run(config), retry_until_s)
+        config = retry_transient_errors(lambda: read_config(os.environ), retry_deadline_s)
+        retry_transient_errors(lambda: run(config), retry_deadline_s)
     except (ConfigurationError, OSError) as error:
         log(str(error))
-        return EXIT_CANNOT_START
+        return EXIT_STARTUP_FAILED
     return 0
 
 
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -193,7 +193,7 @@
 def test_long_cached_list_creates_no_pools_and_reaches_the_balancer_in_slices() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(
+            p.engine.on_list_update(
                 EndpointListUpdate(2, True, make_endpoints(10 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             assert (
@@ -211,11 +211,11 @@
 def test_update_takes_effect_while_a_long_cached_list_is_being_fed_to_the_balancer() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(
+            p.engine.on_list_update(
                 EndpointListUpdate(2, True, make_endpoints(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             last = make_endpoints(1, 5 * ENDPOINTS_PER_SLICE - 1, BackendState.DRAINING)
-            p.engine.on_list(EndpointListUpdate(3, False, (*last, *make_endpoints(1, 9999))))
+            p.engine.on_list_update(EndpointListUpdate(3, False, (*last, *make_endpoints(1, 9999))))
             assert p.engine.connection_pool.active_count() == 5 * ENDPOINTS_PER_SLICE
             await iterate_until_notified(p)
             assert ids(p) == set(p.engine.connection_pool.endpoints) and last[0].backend_id not in ids(p)
@@ -230,7 +230,7 @@
 def test_replaced_balancer_is_notified_of_the_whole_long_cached_list() -> None:
     async def test() -> None:
         async with proxy() as p:
-            p.engine.on_list(
+            p.engine.on_list_update(
                 EndpointListUpdate(2, True, make_endpoints(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             await asyncio.sleep(0)
