--- a/soak/backends.py
+++ b/soak/backends.py
@@ -14,12 +14,12 @@
 from soak.loopback import open_server
 from soak.records import Attempt, Execution, RunRecord
 
-OK_LINE = b"HTTP/1.1 200 OK\r\n"
+OK_STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
 ERROR_RESPONSE = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 REJECTION = b"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-UNREADABLE = bytes(range(128, 250))
-LATE_WRITE_S = 0.004  # until what follows on an incomplete or complete response
-SLOWNESS = 6.0  # times the usual service time
+UNPARSEABLE_RESPONSE = bytes(range(128, 250))
+FOLLOW_UP_DELAY_S = 0.004  # until what follows on an incomplete or complete response
+SLOW_SERVICE_FACTOR = 6.0  # times the usual service time
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
 
 
@@ -33,11 +33,11 @@
     REJECT = "reject"  # 503 with `X-Rejected`
     RESET = "reset"  # after it has read the request
     TRUNCATED = "half"  # half a response, then a reset
-    UNREADABLE = "spoilt"  # what can't be parsed; the connection stays open
-    NO_LENGTH = "no length"  # whole, and ended by the close
-    NO_LENGTH_RESET = "no length, reset"
+    UNPARSEABLE = "spoilt"  # what can't be parsed; the connection stays open
+    NO_CONTENT_LENGTH = "no length"  # whole, and ended by the close
+    NO_CONTENT_LENGTH_RESET = "no length, reset"
     DUPLICATE_RESPONSE = "twice"  # a second copy right behind a response
-    CLOSE = "closes"  # the connection, right after a response
+    CLOSE_AFTER_RESPONSE = "closes"  # the connection, right after a response
 
 
 @dataclass
@@ -85,7 +85,7 @@
 
     def draw_duplicate_delay(self) -> float:
         """Draw the seconds until the second copy of a response."""
-        return LATE_WRITE_S * self._random.random()
+        return FOLLOW_UP_DELAY_S * self._random.random()
 
     def kill(self) -> None:
         """End as a killed process does: connections are reset, new ones refused."""
@@ -171,14 +171,14 @@
         if behaviour is Behaviour.REJECT:
             attempt.execution = Execution.REJECTED
         if behaviour is not Behaviour.NO_RESPONSE:
-            slowness = SLOWNESS if behaviour is Behaviour.SLOW else 1.0
-            self._loop.call_later(service_s * slowness, self._respond, attempt, behaviour)
+            factor = SLOW_SERVICE_FACTOR if behaviour is Behaviour.SLOW else 1.0
+            self._loop.call_later(service_s * factor, self._respond, attempt, behaviour)
 
     def _respond(self, attempt: Attempt, behaviour: Behaviour) -> None:
         if attempt is not self._attempt or self._transport.is_closing():
             return  # given up by then
         body = f"{attempt.backend_id} {attempt.request_id}".encode()
-        response = OK_LINE + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
+        response = OK_STATUS_LINE + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
         match behaviour:
             case Behaviour.ERROR:
                 self._write_response(ERROR_RESPONSE)
@@ -188,13 +188,13 @@
                 self.reset()
             case Behaviour.TRUNCATED:
                 self._write_and_reset(response[:-3])
-            case Behaviour.UNREADABLE:
-                self._transport.write(UNREADABLE)
-            case Behaviour.NO_LENGTH_RESET:
-                self._write_and_reset(OK_LINE + b"\r\n" + body[:-2])
-            case Behaviour.NO_LENGTH:
+            case Behaviour.UNPARSEABLE:
+                self._transport.write(UNPARSEABLE_RESPONSE)
+            case Behaviour.NO_CONTENT_LENGTH_RESET:
+                self._write_and_reset(OK_STATUS_LINE + b"\r\n" + body[:-2])
+            case Behaviour.NO_CONTENT_LENGTH:
                 attempt.execution = Execution.EXECUTED
-                self._write_response(OK_LINE + b"\r\n" + body)
+                self._write_response(OK_STATUS_LINE + b"\r\n" + body)
                 self._transport.close()
             case _:
                 attempt.execution = Execution.EXECUTED
@@ -204,7 +204,7 @@
     def _follow_up(self, behaviour: Behaviour, response: bytes) -> None:
         if behaviour is Behaviour.DUPLICATE_RESPONSE:
             self._loop.call_later(self._backend.draw_duplicate_delay(), self._write_if_open, response)
-        elif behaviour is Behaviour.CLOSE:
+        elif behaviour is Behaviour.CLOSE_AFTER_RESPONSE:
             self._transport.close()
 
     def _write_if_open(self, data: bytes) -> None:
@@ -213,7 +213,7 @@
 
     def _write_and_reset(self, data: bytes) -> None:
         self._transport.write(data)
-        self._loop.call_later(LATE_WRITE_S, self.reset)
+        self._loop.call_later(FOLLOW_UP_DELAY_S, self.reset)
 
     def _write_response(self, data: bytes) -> None:
         self._transport.write(data)
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -16,9 +16,9 @@
 from soak.records import MisbehavingClient, Request, RequestClass, RunRecord
 
 CONNECT_AFTER_STOP_S = 0.3  # after SIGTERM, in which new connections still come
-SLOW_WRITE_PIECES = 3
+SLOW_WRITE_CHUNKS = 3
 SLOW_WRITE_PAUSE_S = (0.05, 0.3)
-MIN_BUDGET_SHARE = 0.7  # of its class's deadline that a client waits
+MIN_BUDGET_FRACTION = 0.7  # of its class's deadline that a client waits
 SHORT_BUDGET_SHARE = 0.03  # of the requests, which have very little time left
 SHORT_BUDGET_S = (0.01, 0.15)
 PIPELINE_LENGTH = (3, 6)
@@ -32,7 +32,7 @@
 INCOMPLETE_REQUEST = b"POST /cargo HTTP/1.1\r\nHost: backend.local\r\nContent-Length: 100\r\n\r\nhalf"
 MISBEHAVIOURS = (("garbage", GARBAGE), ("half", INCOMPLETE_REQUEST), ("silent", b""))
 
-Behaviour = Callable[[ProxyProcess], Coroutine[Any, Any, None]]
+ClientAction = Callable[[ProxyProcess], Coroutine[Any, Any, None]]
 
 
 @dataclass(frozen=True)
@@ -53,7 +53,7 @@
         assert proxy.incarnation is not None
         self.proxy_number = proxy.number
         self.incarnation = proxy.incarnation.number
-        self.was_used = self.is_lost = False
+        self.has_sent_request = self.is_lost = False
         self._clients = clients
         self._reader = MessageReader()
         self._in_flight: list[Request] = []
@@ -70,7 +70,7 @@
         self._end_misbehaviour(now)
         for request in self._in_flight:
             if request.disconnected_at is None and request.answered_at is None:
-                request.broken_at = now
+                request.connection_lost_at = now
         self._clients.remove(self)
 
     def is_usable(self) -> bool:
@@ -84,7 +84,7 @@
     def record_sent(self, request: Request) -> None:
         """Record that the last byte of a request is written."""
         request.sent_at = self._clients.loop.time()
-        self.was_used = True
+        self.has_sent_request = True
         self._in_flight.append(request)
 
     def record_misbehaviour(self, behaviour: str) -> MisbehavingClient:
@@ -160,7 +160,7 @@
         if self._tasks:
             await asyncio.wait(self._tasks)
 
-    def _draw_behaviour(self) -> Behaviour:
+    def _draw_behaviour(self) -> ClientAction:
         drawn = self._random.random()
         shares = self._shares
         for share, behaviour in (
@@ -168,12 +168,12 @@
             (shares.slow, self._send_slowly),
             (shares.pipeline, self._send_pipelined),
             (shares.misbehave, self._misbehave),
-            (shares.byte_flood, self._send_and_flood),
+            (shares.byte_flood, self._send_byte_flood),
         ):
             drawn -= share
             if drawn < 0:
                 return behaviour
-        return self._send_one
+        return self._send_ordinary
 
     # Connections
 
@@ -223,7 +223,7 @@
         """Draw a request and encode it; it is recorded once its last byte has been sent."""
         class_index = self._random.randrange(len(self._record.classes))
         request_class = self._record.classes[class_index]
-        budget_s = request_class.deadline_s * self._random.uniform(MIN_BUDGET_SHARE, 1.0)
+        budget_s = request_class.deadline_s * self._random.uniform(MIN_BUDGET_FRACTION, 1.0)
         if self._random.random() < SHORT_BUDGET_SHARE:
             budget_s = self._random.uniform(*SHORT_BUDGET_S)
         request = Request(
@@ -233,7 +233,7 @@
             class_index=class_index,
             sent_at=0.0,
             budget_s=budget_s,
-            on_used_connection=connection.was_used,
+            on_reused_connection=connection.has_sent_request,
         )
         return request, encode_request(request, request_class)
 
@@ -247,7 +247,7 @@
         self._record_sent(connection, request)
         return request
 
-    async def _send_one(self, proxy: ProxyProcess) -> None:
+    async def _send_ordinary(self, proxy: ProxyProcess) -> None:
         connection = await self._connect(proxy)
         if connection is not None:
             self._send(connection)
@@ -267,7 +267,7 @@
         if connection is None:
             return
         request, data = self._create_request(connection)
-        cuts = sorted(self._random.randrange(1, len(data)) for _ in range(SLOW_WRITE_PIECES - 1))
+        cuts = sorted(self._random.randrange(1, len(data)) for _ in range(SLOW_WRITE_CHUNKS - 1))
         for start, stop in zip([0, *cuts], [*cuts, len(data)], strict=True):
             if start:
                 await asyncio.sleep(self._random.uniform(*SLOW_WRITE_PAUSE_S))
@@ -294,7 +294,7 @@
             self._record.misbehaving_clients.append(connection.record_misbehaviour(behaviour))
             connection.write(data)
 
-    async def _send_and_flood(self, proxy: ProxyProcess) -> None:
+    async def _send_byte_flood(self, proxy: ProxyProcess) -> None:
         """Send a good request, which is owed its response whatever comes behind it, and then noise."""
         connection = await self._connect(proxy, new=True)
         if connection is not None:
--- a/soak/configuration.py
+++ b/soak/configuration.py
@@ -55,8 +55,8 @@
     }
 
 
-def proxy_settings(proxy_index: int, proxy_count: int, pushed: bool) -> dict[str, Any]:
-    """Return the settings of one proxy; `pushed`: an agent pushes the list."""
+def proxy_settings(proxy_index: int, proxy_count: int, uses_push: bool) -> dict[str, Any]:
+    """Return the settings of one proxy; `uses_push`: an agent pushes the list."""
     return {
         "Balancers": proxy_count,
         "Me": proxy_index,
@@ -64,7 +64,7 @@
         "Projects": [{"Name": "all", "Share": 1.0, "QuotaPerS": 1000.0}],
         "Dcs": ["a"],
         "Kinds": ["m"],
-        "Discovery": "push" if pushed else "ask",
+        "Discovery": "push" if uses_push else "ask",
         "TickMs": 5.0,
         "Limits": {
             "MayCancel": True,
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -25,28 +25,28 @@
         self.entries: dict[str, dict[str, Any]] = {}
         self.agents: list[DiscoveryAgent] = []
         self.is_up = True
-        self._changed_in: dict[str, int] = {}  # revision by backend
+        self._changed_revisions: dict[str, int] = {}  # revision by backend
 
-    def put(self, entry: dict[str, Any]) -> None:
+    def publish(self, entry: dict[str, Any]) -> None:
         """Publish a new or changed entry; one that drains or is removed counts for the rule from now on."""
         self.revision += 1
         backend_id = entry["uid"]
         self.entries[backend_id] = entry
-        self._changed_in[backend_id] = self.revision
+        self._changed_revisions[backend_id] = self.revision
         if entry["state"] != "active":
             self.record.drained_at.setdefault(backend_id, asyncio.get_running_loop().time())
         for agent in self.agents:
             agent.notify()
 
-    def listing(self, since: int | None) -> dict[str, Any]:
+    def endpoint_list(self, since: int | None) -> dict[str, Any]:
         """Return the changes since a revision, or a snapshot, which leaves out the removed backends."""
         if since is None or since > self.revision:
             entries = [entry for entry in self.entries.values() if entry["state"] != "left"]
             return {"rev": self.revision, "all": True, "targets": entries}
-        changed = [self.entries[uid] for uid, revision in self._changed_in.items() if revision > since]
+        changed = [self.entries[uid] for uid, revision in self._changed_revisions.items() if revision > since]
         return {"rev": self.revision, "all": False, "targets": changed}
 
-    def stop(self) -> None:
+    def suspend(self) -> None:
         """Become unresponsive for all proxies."""
         self.is_up = False
         now = asyncio.get_running_loop().time()
@@ -118,9 +118,9 @@
         self._agent = agent
         self._reader = MessageReader()
         self._since: int | None = None  # of the last call
-        self._is_waiting = False
+        self._request_pending = False
         self._timer: asyncio.TimerHandle | None = None
-        self._unread_calls: list[Message] = []  # that came while discovery was down
+        self._queued_requests: list[Message] = []  # that came while discovery was down
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register with the agent."""
@@ -138,51 +138,51 @@
         self._transport.close()
 
     def data_received(self, data: bytes) -> None:
-        """Take the calls that are whole."""
+        """Take the requests that are whole."""
         for message in self._reader.feed(data):
-            self._handle_call(message)
+            self._handle_request(message)
 
     def resume(self) -> None:
         """Answer what was asked while discovery was down."""
-        calls, self._unread_calls = self._unread_calls, []
-        for message in calls:
-            self._handle_call(message)
+        requests, self._queued_requests = self._queued_requests, []
+        for message in requests:
+            self._handle_request(message)
         self._respond()
 
-    def _handle_call(self, message: Message) -> None:
+    def _handle_request(self, message: Message) -> None:
         if not self._agent.state.is_up:
-            self._unread_calls.append(message)
+            self._queued_requests.append(message)
             return
         query = WATCH_QUERY.search(message.start_line)
         self._since = int(query[1]) if query else None
-        self._is_waiting = True
+        self._request_pending = True
         wait_s = int(query[2]) / 1000 if query else 0.0
         if not self.respond_if_changed():
             self._timer = asyncio.get_running_loop().call_later(wait_s, self._respond)
 
     def respond_if_changed(self) -> bool:
         """Answer the call that waits if its revision is not the latest; whether it was answered."""
-        if not self._is_waiting or self._since == self._agent.state.revision:
+        if not self._request_pending or self._since == self._agent.state.revision:
             return False
         self._respond()
-        return not self._is_waiting
+        return not self._request_pending
 
     def _respond(self) -> None:
         state = self._agent.state
-        if not self._is_waiting or self.is_abandoned or not state.is_up or self._transport.is_closing():
+        if not self._request_pending or self.is_abandoned or not state.is_up or self._transport.is_closing():
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._is_waiting = False
-        listing = state.listing(self._since)
-        self._record_notification(listing)
-        body = orjson.dumps(listing)
+        self._request_pending = False
+        endpoint_list = state.endpoint_list(self._since)
+        self._record_notification(endpoint_list)
+        body = orjson.dumps(endpoint_list)
         self._transport.write(RESPONSE_HEAD % len(body) + body)
 
-    def _record_notification(self, listing: dict[str, Any]) -> None:
-        ended = {entry["uid"] for entry in listing["targets"] if entry["state"] != "active"}
-        if listing["all"]:
-            listed = {entry["uid"] for entry in listing["targets"]}
+    def _record_notification(self, endpoint_list: dict[str, Any]) -> None:
+        ended = {entry["uid"] for entry in endpoint_list["targets"] if entry["state"] != "active"}
+        if endpoint_list["all"]:
+            listed = {entry["uid"] for entry in endpoint_list["targets"]}
             ended |= self._agent.state.entries.keys() - listed
         now = asyncio.get_running_loop().time()
         notification = ListNotification(self._agent.proxy, now, tuple(ended))
--- a/soak/environment.py
+++ b/soak/environment.py
@@ -31,7 +31,7 @@
 
 SERVICE_S = 0.03
 CELL_COUNT = 4
-REMOVED_AFTER_S = 3.5  # from the start of a drain; its process ends as long after that
+DRAIN_STAGE_S = 3.5  # from the start of a drain; its process ends as long after that
 
 
 @dataclass(frozen=True)
@@ -71,7 +71,7 @@
         self.agents: dict[int, DiscoveryAgent] = {}  # by proxy
         self.fault_library: str | None = None
         self._folder = folder
-        self._is_pushed = self.random.random() < 0.5
+        self._uses_push_discovery = self.random.random() < 0.5
         self._gossip_addresses: list[str] = []
         self._gossip_relay = GossipRelay()
         self._loop = asyncio.get_running_loop()
@@ -99,14 +99,14 @@
         if is_cold:
             backend.boot_ms = int(time.time() * 1000)
             self.record.cold_started_at[backend_id] = self._loop.time()
-        self.discovery.put(list_entry(backend, "active"))
+        self.discovery.publish(list_entry(backend, "active"))
 
     async def drain_backend(self, backend: Backend) -> None:
         """Drain a backend, remove it from the list, and end its process."""
-        self.discovery.put(list_entry(backend, "leaving"))
-        await asyncio.sleep(REMOVED_AFTER_S)
-        self.discovery.put(list_entry(backend, "left"))
-        await asyncio.sleep(REMOVED_AFTER_S)
+        self.discovery.publish(list_entry(backend, "leaving"))
+        await asyncio.sleep(DRAIN_STAGE_S)
+        self.discovery.publish(list_entry(backend, "left"))
+        await asyncio.sleep(DRAIN_STAGE_S)
         backend.kill()
 
     async def replace_agent(self, proxy: int) -> None:
@@ -127,15 +127,15 @@
             "peer_listen": self._gossip_addresses[number],
             "peers": self._gossip_addresses,
             "peers_all": self._gossip_relay.address,
-            "known": self.discovery.listing(None),
-            "settings": proxy_settings(number, self.plan.proxies, self._is_pushed),
+            "known": self.discovery.endpoint_list(None),
+            "settings": proxy_settings(number, self.plan.proxies, self._uses_push_discovery),
         }
 
     async def stop_proxies(self) -> None:
         """Stop all proxies in order, and what only they need."""
         for proxy in self.proxies:
             proxy.send_signal(signal.SIGTERM)
-        await asyncio.gather(*(proxy.wait_for_end() for proxy in self.proxies))
+        await asyncio.gather(*(proxy.wait_for_exit() for proxy in self.proxies))
         self._gossip_relay.close()
 
     def kill_proxies(self) -> None:
--- a/soak/fault_injection.py
+++ b/soak/fault_injection.py
@@ -54,14 +54,14 @@
         await asyncio.sleep(max(time - self._loop.time(), 0.0))
         proxies = self._environment.proxies
         chosen = self._random.sample(proxies, max(1, int(fault.share * len(proxies))))
-        proxy_fault = self._proxy_fault(fault)
-        if proxy_fault is None:
-            await self._inject_around_proxies(fault)
+        proxy_action = self._proxy_action(fault)
+        if proxy_action is None:
+            await self._inject_environment_fault(fault)
             return
         for proxy in chosen:
-            self._spawn(proxy_fault(proxy))
+            self._spawn(proxy_action(proxy))
 
-    def _proxy_fault(self, fault: Fault) -> Callable[[ProxyProcess], Coroutine[Any, Any, None]] | None:
+    def _proxy_action(self, fault: Fault) -> Callable[[ProxyProcess], Coroutine[Any, Any, None]] | None:
         """Return what a fault does to each of the chosen proxies; None for one that is not about proxies."""
         match fault.kind:
             case FaultKind.STOP:
@@ -77,11 +77,11 @@
             case _:
                 return None
 
-    async def _inject_around_proxies(self, fault: Fault) -> None:
+    async def _inject_environment_fault(self, fault: Fault) -> None:
         environment = self._environment
         match fault.kind:
             case FaultKind.DISCOVERY_DOWN:
-                environment.discovery.stop()
+                environment.discovery.suspend()
                 await asyncio.sleep(fault.duration_s)
                 environment.discovery.resume()
             case FaultKind.UNRESPONSIVE_WATCHES:
@@ -99,7 +99,7 @@
         if not proxy.is_up():
             return
         proxy.send_signal(signal_number)
-        await proxy.wait_for_end()
+        await proxy.wait_for_exit()
         await asyncio.sleep(self._random.uniform(*RESTART_DELAY_S))
         # Random numbers of its own: what else was drawn by then depends on the order of events.
         plan = self._environment.plan
@@ -147,6 +147,6 @@
             for _ in range(count):
                 await self._environment.add_backend(is_cold=True)
         if fault.kind in (FaultKind.DRAIN, FaultKind.REPLACE):
-            most = max(len(backends) - MIN_BACKENDS, 0)
-            for backend_id in self._random.sample(sorted(backends), min(count, most)):
+            max_drained = max(len(backends) - MIN_BACKENDS, 0)
+            for backend_id in self._random.sample(sorted(backends), min(count, max_drained)):
                 self._spawn(self._environment.drain_backend(backends.pop(backend_id)))
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -12,7 +12,7 @@
 
 HOUR_MS = 3_600_000
 BAD_BEHAVIOURS = tuple(behaviour for behaviour in Behaviour if behaviour is not Behaviour.GOOD)
-START_FAULT_MS = 400  # after a start, in which the first system calls fail
+STARTUP_FAULT_MS = 400  # after a start, in which the first system calls fail
 
 
 class FaultKind(Enum):
@@ -119,6 +119,6 @@
     """Return a rule in the form that `shim/faults.c` reads."""
     fault = random.choice(SYSTEM_CALL_FAULTS)
     begin_ms = 0 if random.random() < 0.3 else random.randint(500, 12_000)
-    length_ms = START_FAULT_MS if begin_ms == 0 else random.randint(100, 600)
+    length_ms = STARTUP_FAULT_MS if begin_ms == 0 else random.randint(100, 600)
     percent = random.randint(30, 100)
     return f"{fault.call}:{fault.error}:{percent}:{begin_ms}:{begin_ms + length_ms}"
--- a/soak/proxies.py
+++ b/soak/proxies.py
@@ -125,7 +125,7 @@
         except ProcessLookupError:
             return
 
-    async def wait_for_end(self) -> None:
+    async def wait_for_exit(self) -> None:
         """Wait until the process has ended; it is killed when that takes too long."""
         try:
             async with asyncio.timeout(TERMINATION_TIMEOUT_S):
--- a/soak/records.py
+++ b/soak/records.py
@@ -40,12 +40,12 @@
     class_index: int  # in the record's request classes
     sent_at: float
     budget_s: float
-    on_used_connection: bool  # it had carried a request before
+    on_reused_connection: bool  # it had carried a request before
     disconnected_at: float | None = None  # the client closed the connection before the response
     answered_at: float | None = None
     status: int = 0
     body: bytes = b""
-    broken_at: float | None = None  # the proxy closed the connection before the response
+    connection_lost_at: float | None = None  # the proxy closed the connection before the response
 
 
 @dataclass
--- a/soak/rules.py
+++ b/soak/rules.py
@@ -23,7 +23,7 @@
 READINESS_LIMIT_S = 10.0
 SHUTDOWN_GRACE_S = 0.7  # after the longest deadline, in which a stopping process has to end
 MAX_SHUTDOWN_DEADLINE_S = 3.0  # as which a longer deadline counts for that
-LARGE_COUNT = 30  # of requests, from which the spread of a Poisson count is nearly normal
+MIN_NORMAL_COUNT = 30  # of requests, from which the spread of a Poisson count is nearly normal
 REJECTION_STATUSES = (429, 503)
 OK_STATUS = 200
 
@@ -92,9 +92,9 @@
     incarnation = record.incarnation_of(request)
     if request.disconnected_at is not None or incarnation.killed_at is not None:
         return
-    if request.broken_at is not None and request.on_used_connection and not attempts:
+    if request.connection_lost_at is not None and request.on_reused_connection and not attempts:
         return  # a race with the end of an idle connection
-    state = "closed" if request.broken_at is not None else "silent"
+    state = "closed" if request.connection_lost_at is not None else "silent"
     text = f"{state}, {len(attempts)} attempts, {incarnation.name}"
     yield Violation(Rule.LOST, request.request_id, text)
 
@@ -138,7 +138,7 @@
         yield Violation(Rule.REJECTED_AFTER_EXECUTION, request.request_id, f"{request.status}")
 
 
-def notified_at(record: RunRecord, incarnation: Incarnation, backend_id: str) -> float | None:
+def drain_notification_time(record: RunRecord, incarnation: Incarnation, backend_id: str) -> float | None:
     """Return when a process counts as notified of a drain.
 
     That is by what was written to it, or by what could be reached; None if it never counts so.
@@ -173,7 +173,7 @@
         incarnation = record.incarnation_of(request)
         key = (incarnation.proxy, incarnation.number, attempt.backend_id)
         if key not in known:
-            known[key] = notified_at(record, incarnation, attempt.backend_id)
+            known[key] = drain_notification_time(record, incarnation, attempt.backend_id)
         since = known[key]
         if since is None:
             continue
@@ -187,7 +187,7 @@
     limits = record.cold_start
     capacity = min(1.0, limits.start_capacity + (1 - limits.start_capacity) * age_s / limits.cold_s)
     expected = limits.overload_multiple * limits.warm_rate * capacity * limits.overload_window_s
-    spread = 2 * sqrt(expected) + 2 if expected >= LARGE_COUNT else 3 * sqrt(expected) + 3
+    spread = 2 * sqrt(expected) + 2 if expected >= MIN_NORMAL_COUNT else 3 * sqrt(expected) + 3
     return expected + spread
 
 
--- a/tests/tools/soak/test_rules.py
+++ b/tests/tools/soak/test_rules.py
@@ -85,19 +85,25 @@
         ([lambda record: change(record, IDEMPOTENT, answered_at=11.5)], [Rule.LOST]),
         ([lambda record: unanswered(record, IDEMPOTENT)], [Rule.LOST]),
         (
-            [lambda record: unanswered(record, IDEMPOTENT, broken_at=10.5, on_used_connection=True)],
+            [
+                lambda record: unanswered(
+                    record, IDEMPOTENT, connection_lost_at=10.5, on_reused_connection=True
+                )
+            ],
             [Rule.LOST],
         ),
         (
             [
-                lambda record: unanswered(record, IDEMPOTENT, broken_at=10.5, on_used_connection=True),
+                lambda record: unanswered(
+                    record, IDEMPOTENT, connection_lost_at=10.5, on_reused_connection=True
+                ),
                 lambda record: record.attempts.pop(0),
             ],
             [],
         ),
         (
             [
-                lambda record: unanswered(record, IDEMPOTENT, broken_at=10.5),
+                lambda record: unanswered(record, IDEMPOTENT, connection_lost_at=10.5),
                 lambda record: setattr(record.incarnations[0], "killed_at", 10.4),
             ],
             [],
