--- a/soak/backends.py
+++ b/soak/backends.py
@@ -1,4 +1,4 @@
-"""Backends on loopback, good and bad, that record each request to its last byte."""
+"""Backends on loopback, healthy and faulty, that record each request that they read in full."""
 
 from __future__ import annotations
 
@@ -18,38 +18,41 @@
 ERROR_RESPONSE = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 REJECTION = b"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 UNPARSEABLE_RESPONSE = bytes(range(128, 250))
-FOLLOW_UP_DELAY_S = 0.004  # until what follows on an incomplete or complete response
-SLOW_SERVICE_FACTOR = 6.0  # times the usual service time
+FOLLOW_UP_DELAY_S = 0.004  # to a reset after a partial response; longest delay of a duplicate response
+SLOW_SERVICE_FACTOR = 6.0  # multiple of the usual service time
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
 
 
 class Behaviour(Enum):
-    """How a backend answers; the values are printed."""
+    """How a backend answers a request; the values are printed in reports."""
 
     GOOD = "good"
     SLOW = "slow"
-    NO_RESPONSE = "hang"
-    ERROR = "error"  # 500
-    REJECT = "reject"  # 503 with `X-Rejected`
-    RESET = "reset"  # after it has read the request
-    TRUNCATED = "half"  # half a response, then a reset
-    UNPARSEABLE = "spoilt"  # what can't be parsed; the connection stays open
-    NO_CONTENT_LENGTH = "no length"  # whole, and ended by the close
-    NO_CONTENT_LENGTH_RESET = "no length, reset"
-    DUPLICATE_RESPONSE = "twice"  # a second copy right behind a response
-    CLOSE_AFTER_RESPONSE = "closes"  # the connection, right after a response
+    NO_RESPONSE = "no response"
+    ERROR = "error"  # status 500
+    REJECT = "reject"  # status 503 with `X-Rejected`
+    RESET = "reset"  # after the backend has read the request
+    TRUNCATED = "truncated response"  # all but the end of a response, followed by a reset
+    UNPARSEABLE = "unparseable response"  # not HTTP; the connection stays open
+    NO_CONTENT_LENGTH = "no content length"  # a complete response that the close ends
+    NO_CONTENT_LENGTH_RESET = "no content length, reset"  # a partial response that a reset ends
+    DUPLICATE_RESPONSE = "duplicate response"  # a response, repeated after a short delay
+    CLOSE_AFTER_RESPONSE = "close after response"
 
 
 @dataclass
 class BehaviourOverride:
-    """A behaviour that takes the place of the usual one for a share of the requests."""
+    """A behaviour that replaces the usual one for a fraction of the requests."""
 
     behaviour: Behaviour
-    share: float
+    share: float  # fraction of requests
 
 
 class Backend:
-    """One listening address. `open` before use; its overrides may change at any time."""
+    """A backend with one listening address.
+
+    Call `open` before use. The overrides may change at any time.
+    """
 
     def __init__(
         self, backend_id: str, cell: int, record: RunRecord, random: Random, service_s: float
@@ -60,18 +63,18 @@
         self.overrides: list[BehaviourOverride] = []
         self.connections: set[BackendConnection] = set()
         self.address = ""
-        self.boot_ms = 0  # on the wall clock; 0 for long ago
+        self.boot_ms = 0  # start time as Unix time in ms; 0 for a backend that started long ago
         self._random = random
         self._service_s = service_s
         self._server: asyncio.Server | None = None
 
     async def open(self) -> Backend:
-        """Begin to listen."""
+        """Start to listen and return the backend."""
         self._server, self.address = await open_server(lambda: BackendConnection(self))
         return self
 
     def draw_behaviour(self) -> Behaviour:
-        """Draw how one request is answered."""
+        """Draw the behaviour for one request."""
         drawn = self._random.random()
         for override in self.overrides:
             drawn -= override.share
@@ -80,29 +83,29 @@
         return Behaviour.GOOD
 
     def draw_service_time(self) -> float:
-        """Draw the seconds that one request takes."""
+        """Draw the service time of one request, in seconds."""
         return self._random.uniform(0.5, 1.5) * self._service_s
 
     def draw_duplicate_delay(self) -> float:
-        """Draw the seconds until the second copy of a response."""
+        """Draw the delay before a duplicate response, in seconds."""
         return FOLLOW_UP_DELAY_S * self._random.random()
 
     def kill(self) -> None:
-        """End as a killed process does: connections are reset, new ones refused."""
+        """Act as a killed process: reset the connections and refuse new ones."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
             connection.reset()
 
     def close_idle_connections(self) -> None:
-        """Close the connections without a request in flight."""
+        """Close all connections without a request in flight."""
         for connection in list(self.connections):
             if connection.is_idle:
                 connection.close()
 
 
 class BackendConnection(asyncio.Protocol):
-    """A connection of a proxy, with one request at a time."""
+    """A connection from a proxy, with one request at a time."""
 
     def __init__(self, backend: Backend) -> None:
         self._backend = backend
@@ -113,7 +116,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is in flight."""
+        """Whether the connection has no request in flight."""
         return self._attempt is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -122,7 +125,7 @@
         self._backend.connections.add(self)
 
     def eof_received(self) -> None:
-        """End the attempt that was given up."""
+        """End the attempt in flight, which the proxy has abandoned."""
         self._end_attempt()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -136,18 +139,18 @@
             self._attempt = None
 
     def close(self) -> None:
-        """Close after what is written."""
+        """Close after pending writes."""
         self._transport.close()
 
     def reset(self) -> None:
-        """Send a reset."""
+        """Reset the connection, discarding pending writes."""
         if not self._transport.is_closing():
             sock = self._transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Begin an attempt for each whole request."""
+        """Begin an attempt for each complete request."""
         if self._first_byte_at is None:
             self._first_byte_at = self._loop.time()
         for message in self._reader.feed(data):
@@ -176,7 +179,7 @@
 
     def _respond(self, attempt: Attempt, behaviour: Behaviour) -> None:
         if attempt is not self._attempt or self._transport.is_closing():
-            return  # given up by then
+            return  # The proxy has abandoned the attempt.
         body = f"{attempt.backend_id} {attempt.request_id}".encode()
         response = OK_STATUS_LINE + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
         match behaviour:
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients on loopback: an open loop of ordinary requests, and some clients that misbehave."""
+"""Clients on loopback: an open-loop load of ordinary requests, and some clients that misbehave."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from soak.proxies import ProxyProcess
 from soak.records import MisbehavingClient, Request, RequestClass, RunRecord
 
-CONNECT_AFTER_STOP_S = 0.3  # after SIGTERM, in which new connections still come
+CONNECT_AFTER_STOP_S = 0.3  # after SIGTERM, during which clients still open connections
 SLOW_WRITE_CHUNKS = 3
 SLOW_WRITE_PAUSE_S = (0.05, 0.3)
-MIN_BUDGET_FRACTION = 0.7  # of its class's deadline that a client waits
-SHORT_BUDGET_SHARE = 0.03  # of the requests, which have very little time left
+MIN_BUDGET_FRACTION = 0.7  # smallest budget, as a fraction of the class's deadline
+SHORT_BUDGET_SHARE = 0.03  # fraction of requests with a budget from SHORT_BUDGET_S
 SHORT_BUDGET_S = (0.01, 0.15)
-PIPELINE_LENGTH = (3, 6)
+PIPELINE_LENGTH = (3, 6)  # requests
 LONG_PIPELINE_LENGTH = (30, 60)
-LONG_PIPELINE_SHARE = 0.1
-CONNECTION_FLOOD_S = 4.0  # for which idle connections stay, unless the proxy closes them
+LONG_PIPELINE_SHARE = 0.1  # fraction of pipelines with a length from LONG_PIPELINE_LENGTH
+CONNECTION_FLOOD_S = 4.0  # for which the connections stay open, unless the proxy closes them
 MAX_DISCONNECT_DELAY_S = 0.1
 BYTE_FLOOD_BYTES = 2 * 1024 * 1024
-BYTE_FLOOD_DELAY_S = 0.002  # after the request
+BYTE_FLOOD_DELAY_S = 0.002  # between the request and the flood
 GARBAGE = b"\x16\x03\x01 this is no request\r\n\r\n"
 INCOMPLETE_REQUEST = b"POST /cargo HTTP/1.1\r\nHost: backend.local\r\nContent-Length: 100\r\n\r\nhalf"
 MISBEHAVIOURS = (("garbage", GARBAGE), ("half", INCOMPLETE_REQUEST), ("silent", b""))
@@ -37,17 +37,17 @@
 
 @dataclass(frozen=True)
 class BehaviourShares:
-    """Shares of the clients that do something unusual."""
+    """Fractions of clients that do something unusual; the others send one ordinary request."""
 
-    disconnect: float = 0.06  # without waiting for the response
-    slow: float = 0.04  # write the request in pieces
-    pipeline: float = 0.03  # send several at once
-    misbehave: float = 0.02  # send what can't be read, or half a request
-    byte_flood: float = 0.01  # a request, and then noise without end
+    disconnect: float = 0.06  # close without waiting for the response
+    slow: float = 0.04  # write the request in chunks with pauses between them
+    pipeline: float = 0.03  # write several requests at once
+    misbehave: float = 0.02  # send no well-formed, complete request
+    byte_flood: float = 0.01  # send a request, followed by a large amount of garbage
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a proxy; responses come in the order of the requests."""
+    """A connection to a proxy, on which responses arrive in the order of the requests."""
 
     def __init__(self, clients: Clients, proxy: ProxyProcess) -> None:
         assert proxy.incarnation is not None
@@ -60,54 +60,54 @@
         self._misbehaving: MisbehavingClient | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for the requests."""
+        """Store the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Record the requests in flight as broken."""
+        """Record the loss of the connection for the requests in flight."""
         self.is_lost = True
         now = self._clients.loop.time()
-        self._end_misbehaviour(now)
+        self._record_misbehaviour_end(now)
         for request in self._in_flight:
             if request.disconnected_at is None and request.answered_at is None:
                 request.connection_lost_at = now
         self._clients.remove(self)
 
     def is_usable(self) -> bool:
-        """Whether requests can be written."""
+        """Return whether requests can be written."""
         return not self.is_lost and not self._transport.is_closing()
 
     def write(self, data: bytes) -> None:
-        """Write bytes, of a request or of none."""
+        """Write bytes, which need not belong to a request."""
         self._transport.write(data)
 
     def record_sent(self, request: Request) -> None:
-        """Record that the last byte of a request is written."""
+        """Record that the last byte of a request was written."""
         request.sent_at = self._clients.loop.time()
         self.has_sent_request = True
         self._in_flight.append(request)
 
     def record_misbehaviour(self, behaviour: str) -> MisbehavingClient:
-        """Record that the client misbehaves from now on."""
+        """Mark the client as misbehaving; return the entry, which the caller may add to the run record."""
         opened_at = self._clients.loop.time()
         self._misbehaving = MisbehavingClient(self.proxy_number, self.incarnation, opened_at, behaviour)
         return self._misbehaving
 
     def close(self) -> None:
-        """Close after what is written, unless the proxy has closed it."""
+        """Close after pending writes, unless the connection is lost already."""
         if not self.is_lost:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close immediately, discarding pending writes."""
         self._transport.abort()
 
-    def _end_misbehaviour(self, now: float) -> None:
+    def _record_misbehaviour_end(self, now: float) -> None:
         if self._misbehaving is not None and self._misbehaving.ended_at is None:
             self._misbehaving.ended_at = now
 
     def data_received(self, data: bytes) -> None:
-        """Take the responses that are whole."""
+        """Handle each complete response."""
         for message in self._reader.feed(data):
             self._handle_response(message)
 
@@ -115,7 +115,7 @@
         now = self._clients.loop.time()
         status = int(message.start_line.split()[1])
         if not self._in_flight:
-            self._end_misbehaviour(now)
+            self._record_misbehaviour_end(now)
             return
         request = self._in_flight.pop(0)
         request.answered_at = now
@@ -128,7 +128,7 @@
 
 
 class Clients:
-    """Sends to all proxies at a rate, until it is stopped."""
+    """Load generator that starts clients of random proxies at a fixed mean rate."""
 
     def __init__(
         self, proxies: Sequence[ProxyProcess], record: RunRecord, random: Random, rate: float
@@ -145,7 +145,7 @@
         self._connections: set[ClientConnection] = set()
 
     async def run(self, seconds: float) -> None:
-        """Send for so long, whatever becomes of the requests, and wait until the last one is sent."""
+        """Start clients for `seconds`, without waiting for responses; return when all requests are sent."""
         due_at = self.loop.time()
         end = due_at + seconds
         while due_at < end:
@@ -178,20 +178,24 @@
     # Connections
 
     def release(self, connection: ClientConnection) -> None:
-        """Take back a connection on which nothing is in flight."""
+        """Return a connection without requests in flight to the idle ones."""
         self._idle[connection.proxy_number].append(connection)
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forget a connection that is lost."""
+        """Remove a lost connection."""
         self._connections.discard(connection)
         idle = self._idle[connection.proxy_number]
         if connection in idle:
             idle.remove(connection)
 
-    async def _connect(self, proxy: ProxyProcess, new: bool = False) -> ClientConnection | None:
-        """Return an idle connection, or a new one if the load balancer in front would open one now."""
+    async def _connect(self, proxy: ProxyProcess, force_new: bool = False) -> ClientConnection | None:
+        """Return an idle or a new connection.
+
+        Return None if no idle connection is usable and the load balancer in front of the proxy would open
+        no connection now, or connecting fails.
+        """
         idle = self._idle[proxy.number]
-        while idle and not new:
+        while idle and not force_new:
             connection = idle.pop(self._random.randrange(len(idle)))
             if connection.is_usable():
                 return connection
@@ -199,11 +203,13 @@
             return None
         host, port = split_address(proxy.address)
         try:
-            _, opened = await self.loop.create_connection(lambda: ClientConnection(self, proxy), host, port)
+            _, new_connection = await self.loop.create_connection(
+                lambda: ClientConnection(self, proxy), host, port
+            )
         except OSError:
             return None
-        self._connections.add(opened)
-        return opened
+        self._connections.add(new_connection)
+        return new_connection
 
     def _accepts_connections(self, proxy: ProxyProcess) -> bool:
         incarnation = proxy.incarnation
@@ -220,7 +226,7 @@
     # Requests
 
     def _create_request(self, connection: ClientConnection) -> tuple[Request, bytes]:
-        """Draw a request and encode it; it is recorded once its last byte has been sent."""
+        """Draw a request and return it encoded; the caller records it when its last byte is sent."""
         class_index = self._random.randrange(len(self._record.classes))
         request_class = self._record.classes[class_index]
         budget_s = request_class.deadline_s * self._random.uniform(MIN_BUDGET_FRACTION, 1.0)
@@ -272,7 +278,7 @@
             if start:
                 await asyncio.sleep(self._random.uniform(*SLOW_WRITE_PAUSE_S))
             if not connection.is_usable():
-                return  # no whole request was sent
+                return  # The request was not sent in full, so it is not recorded.
             connection.write(data[start:stop])
         self._record_sent(connection, request)
 
@@ -288,24 +294,24 @@
             self._record_sent(connection, request)
 
     async def _misbehave(self, proxy: ProxyProcess) -> None:
-        connection = await self._connect(proxy, new=True)
+        connection = await self._connect(proxy, force_new=True)
         if connection is not None:
             behaviour, data = self._random.choice(MISBEHAVIOURS)
             self._record.misbehaving_clients.append(connection.record_misbehaviour(behaviour))
             connection.write(data)
 
     async def _send_byte_flood(self, proxy: ProxyProcess) -> None:
-        """Send a good request, which is owed its response whatever comes behind it, and then noise."""
-        connection = await self._connect(proxy, new=True)
+        """Send a well-formed request, followed by garbage; the request must still get its response."""
+        connection = await self._connect(proxy, force_new=True)
         if connection is not None:
             connection.record_misbehaviour("flood")
             self._send(connection)
             await asyncio.sleep(BYTE_FLOOD_DELAY_S)
             connection.write(GARBAGE + b"x" * BYTE_FLOOD_BYTES)
 
-    async def flood_connections(self, proxy: ProxyProcess, number: int) -> None:
-        """Hold so many connections without a byte open for a while."""
-        connections = [await self._connect(proxy, new=True) for _ in range(number)]
+    async def flood_connections(self, proxy: ProxyProcess, connection_count: int) -> None:
+        """Open this many connections and keep them open for a while without sending anything."""
+        connections = [await self._connect(proxy, force_new=True) for _ in range(connection_count)]
         await asyncio.sleep(CONNECTION_FLOOD_S)
         for connection in connections:
             if connection is not None:
@@ -313,7 +319,7 @@
 
 
 def encode_request(request: Request, request_class: RequestClass) -> bytes:
-    """Return a request as bytes."""
+    """Return the bytes of a request."""
     method = "GET" if request_class.idempotency is Idempotency.IDEMPOTENT else "POST"
     lines = [
         f"{method} /{request_class.name} HTTP/1.1",
--- a/soak/records.py
+++ b/soak/records.py
@@ -1,4 +1,4 @@
-"""What is recorded while a soak runs, for the rules. Times are seconds of the tool's monotonic clock."""
+"""The record of a soak run, which the rules check. Times are seconds on the tool's monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Execution(Enum):
-    """Whether an attempt was executed, by what its backend answered."""
+    """Whether a backend executed an attempt, according to its response."""
 
     EXECUTED = "executed"
     REJECTED = "rejected"
@@ -18,45 +18,45 @@
 
 @dataclass
 class Attempt:
-    """One request as a backend read it, to its last byte."""
+    """A request that a backend has read in full."""
 
     request_id: str
     backend_id: str
     cell: int
     first_byte_at: float
     last_byte_at: float
-    budget_ms: int  # the remaining time that the proxy named
+    budget_ms: int  # remaining time that the proxy forwarded
     execution: Execution = Execution.UNKNOWN
-    closed_at: float | None = None  # its connection ended, or its response was written
+    closed_at: float | None = None  # when its connection ended or its response was written
 
 
 @dataclass
 class Request:
-    """One request of a client, from its last byte to its response."""
+    """A request that a client has sent in full, and its response."""
 
     request_id: str
     proxy: int
-    incarnation: int  # of that proxy
-    class_index: int  # in the record's request classes
+    incarnation: int  # number of the proxy's process
+    class_index: int  # in RunRecord.classes
     sent_at: float
     budget_s: float
-    on_reused_connection: bool  # it had carried a request before
-    disconnected_at: float | None = None  # the client closed the connection before the response
+    on_reused_connection: bool  # whether the connection had carried a request before
+    disconnected_at: float | None = None  # when the client closed the connection before the response
     answered_at: float | None = None
     status: int = 0
     body: bytes = b""
-    connection_lost_at: float | None = None  # the proxy closed the connection before the response
+    connection_lost_at: float | None = None  # when the proxy closed the connection before the response
 
 
 @dataclass
 class MisbehavingClient:
-    """A connection that sends what can't be read, or half of a request, and stays."""
+    """A connection on which a client sends no well-formed, complete request and which it keeps open."""
 
     proxy: int
     incarnation: int
     opened_at: float
     behaviour: str
-    ended_at: float | None = None  # with an error or a close
+    ended_at: float | None = None  # when the proxy sent an error response or closed
 
 
 @dataclass
@@ -64,67 +64,67 @@
     """One process of a proxy."""
 
     proxy: int
-    number: int  # from 1 on
+    number: int  # 1 for the first process of the proxy
     started_at: float
     ready_at: float | None = None
-    stopping_at: float | None = None  # SIGTERM
-    killed_at: float | None = None  # SIGKILL
+    stopping_at: float | None = None  # when SIGTERM was sent
+    killed_at: float | None = None  # when SIGKILL was sent
     ended_at: float | None = None
     exit_code: int | None = None
     log: list[str] = field(default_factory=list)
 
     @property
     def name(self) -> str:
-        """The name in reports."""
+        """The name of the process in reports."""
         return f"proxy {self.proxy}.{self.number}"
 
 
 @dataclass
 class ListNotification:
-    """A list that discovery wrote to a proxy."""
+    """An endpoint list that discovery wrote to a proxy."""
 
     proxy: int
     sent_at: float
-    ended_backends: tuple[str, ...]  # the ids that it names as draining or removed, or leaves out
+    ended_backends: tuple[str, ...]  # ids listed as draining or removed, or missing from a snapshot
 
 
 @dataclass
 class ReachableSpan:
-    """A span of time in which an agent could be reached; open while `ended_at` is None."""
+    """A span of time in which a discovery agent was reachable; it lasts while `ended_at` is None."""
 
     started_at: float
     ended_at: float | None = None
 
     def lasts_beyond(self, time: float) -> bool:
-        """Whether the agent could still be reached after `time`."""
+        """Return whether the agent was still reachable after `time`."""
         return self.ended_at is None or self.ended_at > time
 
 
 @dataclass(frozen=True)
 class RequestClass:
-    """A class of requests, as the settings of the run name it."""
+    """A request class as configured for the run."""
 
     name: str
     idempotency: Idempotency
     objective_s: float
     deadline_s: float
-    deduplication_window_s: float = 0.0  # keyed: how long the backends of one cell drop repeats
+    deduplication_window_s: float = 0.0  # keyed only: how long a cell drops repeats
 
 
 @dataclass(frozen=True)
 class ColdStartLimits:
-    """What a backend has to bear while it is cold."""
+    """Limits on the load of a cold backend."""
 
-    cold_s: float = 0.0
-    start_capacity: float = 1.0  # of a warm backend's, in the moment of the start
-    overload_multiple: float = 3.0
-    overload_window_s: float = 1.0
-    warm_rate: float = 0.0  # requests a second that a warm backend can do
+    cold_s: float = 0.0  # time from the start of a backend until it is warm
+    start_capacity: float = 1.0  # at the start, as a fraction of a warm backend's capacity
+    overload_multiple: float = 3.0  # maximum load, as a multiple of warm_rate at its capacity
+    overload_window_s: float = 1.0  # over which requests are counted
+    warm_rate: float = 0.0  # mean requests per second of a warm backend
 
 
 @dataclass
 class RunRecord:
-    """All of a run."""
+    """Everything that a run recorded."""
 
     classes: tuple[RequestClass, ...]
     drain_grace_s: float
@@ -134,14 +134,14 @@
     misbehaving_clients: list[MisbehavingClient] = field(default_factory=list)
     incarnations: list[Incarnation] = field(default_factory=list)
     notifications: list[ListNotification] = field(default_factory=list)
-    drained_at: dict[str, float] = field(default_factory=dict)  # when discovery knew of it, by backend
-    reachable: dict[int, list[ReachableSpan]] = field(default_factory=dict)  # the agent of each proxy
-    # When a SIGHUP named another discovery address, by proxy.
+    drained_at: dict[str, float] = field(default_factory=dict)  # by backend, when it was published
+    reachable: dict[int, list[ReachableSpan]] = field(default_factory=dict)  # when its agent was, by proxy
+    # When a SIGHUP told a proxy of a new discovery address, by proxy.
     relocated_at: dict[int, list[float]] = field(default_factory=dict)
-    cold_started_at: dict[str, float] = field(default_factory=dict)  # of each cold backend
-    max_lag_s: float = 0.0  # by which the tool's own loop was late
+    cold_started_at: dict[str, float] = field(default_factory=dict)  # by id of each cold backend
+    max_lag_s: float = 0.0  # largest delay of the tool's own event loop
 
     def incarnation_of(self, request: Request) -> Incarnation:
-        """Return the process that was sent a request."""
+        """Return the process to which a request was sent."""
         wanted = (request.proxy, request.incarnation)
-        return next(one for one in self.incarnations if (one.proxy, one.number) == wanted)
+        return next(process for process in self.incarnations if (process.proxy, process.number) == wanted)
--- a/soak/rules.py
+++ b/soak/rules.py
@@ -1,4 +1,4 @@
-"""The operators' rules, on the record of a run: only what clients, backends and discovery saw."""
+"""Checks of the operators' rules against a run record, as seen by clients, backends and discovery."""
 
 from __future__ import annotations
 
@@ -12,54 +12,55 @@
 from dunecove.policy.models import Idempotency
 from soak.records import Attempt, Execution, Incarnation, MisbehavingClient, Request, RunRecord
 
-RESPONSE_GRACE_S = 0.5  # after a request's budget: later, or never, it is lost
-DISCONNECT_GRACE_S = 0.1
-BUDGET_SLACK_MS = 150
-SOCKET_SLACK_S = 0.05  # what the rules on sockets add to each limit
-CONCURRENCY_SLACK_S = 0.05  # an end and a new attempt reach this tool by two connections, in any order
-NOTIFICATION_LIMIT_S = 6.0  # after discovery had a change and could be reached
-RELOCATION_LIMIT_S = 4.0  # after SIGHUP
-MISBEHAVING_CLIENT_LIMIT_S = 3.0
-READINESS_LIMIT_S = 10.0
-SHUTDOWN_GRACE_S = 0.7  # after the longest deadline, in which a stopping process has to end
-MAX_SHUTDOWN_DEADLINE_S = 3.0  # as which a longer deadline counts for that
-MIN_NORMAL_COUNT = 30  # of requests, from which the spread of a Poisson count is nearly normal
+RESPONSE_GRACE_S = 0.5  # after the budget; a request with no response by then counts as lost
+DISCONNECT_GRACE_S = 0.1  # during which attempts may still start after a client disconnect
+BUDGET_SLACK_MS = 150  # by which a forwarded budget may exceed the remaining time
+SOCKET_SLACK_S = 0.05  # added to each limit on an event that the tool sees on a socket
+# The end of an attempt and the next attempt reach the tool on two connections, in either order.
+CONCURRENCY_SLACK_S = 0.05
+NOTIFICATION_LIMIT_S = 6.0  # to learn of a change, counted from when discovery has it and is reachable
+RELOCATION_LIMIT_S = 4.0  # to learn of changes from a new discovery address, counted from the SIGHUP
+MISBEHAVING_CLIENT_LIMIT_S = 3.0  # for an error response or a close, counted from the connect
+READINESS_LIMIT_S = 10.0  # counted from the start of the process
+SHUTDOWN_GRACE_S = 0.7  # for a stopping process to exit, on top of the longest deadline
+MAX_SHUTDOWN_DEADLINE_S = 3.0  # cap on the longest deadline in the shutdown limit
+MIN_NORMAL_COUNT = 30  # requests; a Poisson count with at least this mean is nearly normal
 REJECTION_STATUSES = (429, 503)
 OK_STATUS = 200
 
 
 class Rule(Enum):
-    """What must hold; the values are printed."""
-
-    LOST = "lost"
-    WRONG_RESPONSE = "wrong answer"
-    DUPLICATE_EXECUTION = "duplicate"
-    DEDUPLICATION_WINDOW = "repeated after its window"
-    CONCURRENT_ATTEMPT = "second copy"
-    REJECTED_AFTER_EXECUTION = "refused after it may have run"
-    DRAIN = "drain"
-    FORWARDED_AFTER_DISCONNECT = "sent after its client left"
-    BUDGET = "budget"
-    COLD_START = "failback"
-    MISBEHAVING_CLIENT = "bad client left waiting"
-    CRASH = "crash"
-    READINESS = "ready"
-    SHUTDOWN = "stop"
-    SELF_REPORTED = "the program's own count"
+    """A rule that each run must obey; its value is printed in reports."""
+
+    LOST = "response lost or late"
+    WRONG_RESPONSE = "wrong response"
+    DUPLICATE_EXECUTION = "duplicate execution"
+    DEDUPLICATION_WINDOW = "repeated after the deduplication window"
+    CONCURRENT_ATTEMPT = "concurrent attempts"
+    REJECTED_AFTER_EXECUTION = "rejected after possible execution"
+    DRAIN = "forwarded to a draining backend"
+    FORWARDED_AFTER_DISCONNECT = "forwarded after client disconnect"
+    BUDGET = "budget exceeds remaining time"
+    COLD_START = "cold backend overloaded"
+    MISBEHAVING_CLIENT = "misbehaving client not ended in time"
+    CRASH = "unexpected exit"
+    READINESS = "not ready in time"
+    SHUTDOWN = "slow shutdown"
+    SELF_REPORTED = "violation reported by the proxy"
 
 
 class Violation(NamedTuple):
-    """A rule that was broken."""
+    """A violation of a rule by one request, backend or process."""
 
     rule: Rule
-    subject: str  # a request, a backend or a process
+    subject: str  # id of the request or backend, or name of the process
     text: str
 
 
 def find_violations(record: RunRecord) -> list[Violation]:
     """Return all violations of a run.
 
-    `record.max_lag_s`, by which the tool itself may be late, widens each limit.
+    Limits on times that the tool measures late are widened by its own lag, `record.max_lag_s`.
     """
     attempts_of: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in sorted(record.attempts, key=lambda attempt: attempt.last_byte_at):
@@ -80,11 +81,11 @@
 
 
 def check_response(record: RunRecord, request: Request, attempts: list[Attempt]) -> Iterator[Violation]:
-    """Check that a request got its response, in time and from a backend that was sent it."""
+    """Check that a request got a response in time, and from a backend that received the request."""
     if request.answered_at is not None:
         late_s = request.answered_at - request.sent_at - request.budget_s
         if late_s > RESPONSE_GRACE_S + SOCKET_SLACK_S + record.max_lag_s:
-            yield Violation(Rule.LOST, request.request_id, f"answered {late_s:.3f} s after its time")
+            yield Violation(Rule.LOST, request.request_id, f"response {late_s:.3f} s after the budget")
         bodies = {f"{attempt.backend_id} {request.request_id}".encode() for attempt in attempts}
         if request.status == OK_STATUS and request.body not in bodies:
             yield Violation(Rule.WRONG_RESPONSE, request.request_id, repr(request.body[:60]))
@@ -93,33 +94,37 @@
     if request.disconnected_at is not None or incarnation.killed_at is not None:
         return
     if request.connection_lost_at is not None and request.on_reused_connection and not attempts:
-        return  # a race with the end of an idle connection
-    state = "closed" if request.connection_lost_at is not None else "silent"
+        return  # The proxy closed the idle connection while the request was on its way.
+    state = "connection closed" if request.connection_lost_at is not None else "no response"
     text = f"{state}, {len(attempts)} attempts, {incarnation.name}"
     yield Violation(Rule.LOST, request.request_id, text)
 
 
 def check_attempts(record: RunRecord, request: Request, attempts: list[Attempt]) -> Iterator[Violation]:
-    """Check when attempts were begun, and which budget they were given."""
+    """Check when attempts started, how they overlap, and which budget each was given."""
     slack_s = SOCKET_SLACK_S + record.max_lag_s
     for attempt in attempts:
         if request.disconnected_at is not None:
             late_s = attempt.first_byte_at - request.disconnected_at
             if late_s > DISCONNECT_GRACE_S + slack_s:
-                yield Violation(Rule.FORWARDED_AFTER_DISCONNECT, request.request_id, f"{late_s:.3f} s after")
+                yield Violation(
+                    Rule.FORWARDED_AFTER_DISCONNECT,
+                    request.request_id,
+                    f"{late_s:.3f} s after the disconnect",
+                )
         remaining_ms = (request.sent_at + request.budget_s - attempt.first_byte_at) * 1000
         if attempt.budget_ms > remaining_ms + BUDGET_SLACK_MS + 1000 * slack_s:
-            text = f"told {attempt.budget_ms} ms, {remaining_ms:.0f} ms were left"
+            text = f"forwarded {attempt.budget_ms} ms with {remaining_ms:.0f} ms remaining"
             yield Violation(Rule.BUDGET, request.request_id, text)
     for before, after in pairwise(attempts):
         latest_end = after.last_byte_at + CONCURRENCY_SLACK_S + record.max_lag_s
         if before.closed_at is None or before.closed_at > latest_end:
-            text = f"{after.last_byte_at - before.last_byte_at:.3f} s later"
+            text = f"previous attempt open {after.last_byte_at - before.last_byte_at:.3f} s later"
             yield Violation(Rule.CONCURRENT_ATTEMPT, request.request_id, text)
 
 
 def check_executions(record: RunRecord, request: Request, attempts: list[Attempt]) -> Iterator[Violation]:
-    """Check that a request which may not be repeated was not, nor rejected once it may have been executed."""
+    """Check that a request was neither repeated against its class nor rejected after it may have run."""
     request_class = record.classes[request.class_index]
     executed = [attempt for attempt in attempts if attempt.execution is not Execution.REJECTED]
     if not executed or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -135,13 +140,14 @@
         if is_keyed and after_s > window_s:
             yield Violation(Rule.DEDUPLICATION_WINDOW, request.request_id, text)
     if request.status in REJECTION_STATUSES:
-        yield Violation(Rule.REJECTED_AFTER_EXECUTION, request.request_id, f"{request.status}")
+        yield Violation(Rule.REJECTED_AFTER_EXECUTION, request.request_id, f"status {request.status}")
 
 
 def drain_notification_time(record: RunRecord, incarnation: Incarnation, backend_id: str) -> float | None:
-    """Return when a process counts as notified of a drain.
+    """Return the time from which a process must know of a drain, or None if there is no such time.
 
-    That is by what was written to it, or by what could be reached; None if it never counts so.
+    This is when discovery wrote the drain to the process, or when the time limit to learn of it passed
+    while the process's agent was reachable, whichever is earlier.
     """
     times = [
         notification.sent_at
@@ -164,26 +170,33 @@
 
 
 def check_drains(record: RunRecord) -> Iterator[Violation]:
-    """Check that no attempt began after the grace of a drain of which its proxy counts as notified."""
-    known: dict[tuple[int, int, str], float | None] = {}
+    """Check that no attempt started after the grace period of a drain that its proxy must know of."""
+    notification_times: dict[tuple[int, int, str], float | None] = {}
     for attempt in record.attempts:
         request = record.requests.get(attempt.request_id)
         if request is None or attempt.backend_id not in record.drained_at:
             continue
         incarnation = record.incarnation_of(request)
         key = (incarnation.proxy, incarnation.number, attempt.backend_id)
-        if key not in known:
-            known[key] = drain_notification_time(record, incarnation, attempt.backend_id)
-        since = known[key]
-        if since is None:
+        if key not in notification_times:
+            notification_times[key] = drain_notification_time(record, incarnation, attempt.backend_id)
+        notified_at = notification_times[key]
+        if notified_at is None:
             continue
-        late_s = attempt.first_byte_at - since - record.drain_grace_s
+        late_s = attempt.first_byte_at - notified_at - record.drain_grace_s
         if late_s > SOCKET_SLACK_S + record.max_lag_s:
-            yield Violation(Rule.DRAIN, attempt.backend_id, f"{late_s:.3f} s after, by {incarnation.name}")
+            yield Violation(
+                Rule.DRAIN,
+                attempt.backend_id,
+                f"{late_s:.3f} s after the grace period, by {incarnation.name}",
+            )
 
 
 def max_cold_requests(record: RunRecord, age_s: float) -> float:
-    """Return the requests in one window that a backend of this age has to bear."""
+    """Return the maximum number of requests per overload window that a backend of this age may get.
+
+    This is the expected number, plus an allowance for the spread of a Poisson count.
+    """
     limits = record.cold_start
     capacity = min(1.0, limits.start_capacity + (1 - limits.start_capacity) * age_s / limits.cold_s)
     expected = limits.overload_multiple * limits.warm_rate * capacity * limits.overload_window_s
@@ -192,7 +205,7 @@
 
 
 def check_cold_starts(record: RunRecord) -> Iterator[Violation]:
-    """Check that no cold backend got more than it has to bear; the first window of each is reported."""
+    """Check that no cold backend was overloaded; only the first overloaded window of each is reported."""
     limits = record.cold_start
     for backend_id, started_at in record.cold_started_at.items():
         times = sorted(
@@ -206,7 +219,7 @@
             count = last - first + 1
             if 0 <= age_s < limits.cold_s and count > max_cold_requests(record, age_s):
                 allowed = f"{max_cold_requests(record, age_s):.1f} allowed"
-                text = f"{count} in a window, {allowed}, {age_s:.1f} s after its start"
+                text = f"{count} requests in a window, {allowed}, {age_s:.1f} s after the start"
                 yield Violation(Rule.COLD_START, backend_id, text)
                 break
 
@@ -222,36 +235,36 @@
 
 
 def check_readiness(incarnation: Incarnation) -> Iterator[Violation]:
-    """Check that a process became ready in time."""
+    """Check that a process became ready within the limit."""
     if incarnation.ready_at is None:
         if incarnation.killed_at is None and incarnation.stopping_at is None:
-            yield Violation(Rule.READINESS, incarnation.name, "never")
+            yield Violation(Rule.READINESS, incarnation.name, "never became ready")
         return
-    took_s = incarnation.ready_at - incarnation.started_at
-    if took_s > READINESS_LIMIT_S:
-        yield Violation(Rule.READINESS, incarnation.name, f"after {took_s:.1f} s")
+    duration_s = incarnation.ready_at - incarnation.started_at
+    if duration_s > READINESS_LIMIT_S:
+        yield Violation(Rule.READINESS, incarnation.name, f"ready after {duration_s:.1f} s")
 
 
 def check_shutdown(record: RunRecord, incarnation: Incarnation, ended_at: float) -> Iterator[Violation]:
-    """Check that a process that was not killed ended because it was told to, and in time."""
+    """Check that a process that was not killed exited only on SIGTERM, with code 0 and in time."""
     if incarnation.stopping_at is None or incarnation.exit_code != 0:
         last_line = incarnation.log[-1] if incarnation.log else ""
-        text = f"exit code {incarnation.exit_code}: {last_line}"
+        text = f"exit code {incarnation.exit_code}, last log line: {last_line}"
         yield Violation(Rule.CRASH, incarnation.name, text)
         return
-    longest_s = max(request_class.deadline_s for request_class in record.classes)
-    limit_s = min(longest_s, MAX_SHUTDOWN_DEADLINE_S) + SHUTDOWN_GRACE_S + record.max_lag_s
-    took_s = ended_at - incarnation.stopping_at
-    if took_s > limit_s:
-        yield Violation(Rule.SHUTDOWN, incarnation.name, f"took {took_s:.2f} s")
+    longest_deadline_s = max(request_class.deadline_s for request_class in record.classes)
+    limit_s = min(longest_deadline_s, MAX_SHUTDOWN_DEADLINE_S) + SHUTDOWN_GRACE_S + record.max_lag_s
+    duration_s = ended_at - incarnation.stopping_at
+    if duration_s > limit_s:
+        yield Violation(Rule.SHUTDOWN, incarnation.name, f"exited {duration_s:.2f} s after SIGTERM")
 
 
 def check_misbehaving_client(record: RunRecord, client: MisbehavingClient) -> Iterator[Violation]:
-    """Check that a client that misbehaves got an error or a close in time."""
+    """Check that a misbehaving client got an error response or a closed connection in time."""
     if client.ended_at is not None:
-        took_s = client.ended_at - client.opened_at
+        duration_s = client.ended_at - client.opened_at
     else:
-        took_s = MISBEHAVING_CLIENT_LIMIT_S * 2
-    if took_s > MISBEHAVING_CLIENT_LIMIT_S + SOCKET_SLACK_S + record.max_lag_s:
+        duration_s = MISBEHAVING_CLIENT_LIMIT_S * 2
+    if duration_s > MISBEHAVING_CLIENT_LIMIT_S + SOCKET_SLACK_S + record.max_lag_s:
         subject = f"proxy {client.proxy}.{client.incarnation}"
-        yield Violation(Rule.MISBEHAVING_CLIENT, subject, f"{client.behaviour}, {took_s:.1f} s")
+        yield Violation(Rule.MISBEHAVING_CLIENT, subject, f"{client.behaviour}, {duration_s:.1f} s")
