--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak test: real proxy processes on loopback, overlapping faults, judged by the operators' rules."""
+"""A soak test: real proxies on loopback under overlapping faults, checked against the operators' rules."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m soak`: see the README beside this file."""
+"""Entry point of `python -m soak`, which the README beside this file describes."""
 
 from soak.cli import main
 
--- a/soak/cli.py
+++ b/soak/cli.py
@@ -11,13 +11,13 @@
 from soak.environment import Plan
 from soak.run import Result, run_soak
 
-MAX_PRINTED_VIOLATIONS = 5  # of one rule
+MAX_PRINTED_VIOLATIONS = 5  # per rule
 
 
 def print_result(result: Result, verbose: bool) -> None:
-    """Print one line on a run, and its faults and violations where there are any or `verbose` asks for it."""
+    """Print a line about a run; with violations or `verbose`, also its responses, faults and violations."""
     counts = Counter(violation.rule.value for violation in result.violations)
-    verdict = ", ".join(f"{rule}: {number}" for rule, number in counts.items()) or "no rule broken"
+    verdict = ", ".join(f"{rule}: {number}" for rule, number in counts.items()) or "no violations"
     record = result.record
     click.echo(
         f"seed {result.plan.seed}: {len(record.requests)} requests, {len(record.incarnations)} processes, "
@@ -27,25 +27,30 @@
         return
     click.echo("  " + ", ".join(f"{name}: {number}" for name, number in sorted(result.statuses.items())))
     for fault in result.faults:
-        click.echo(f"  trouble: {fault}")
+        click.echo(f"  fault: {fault}")
     printed: Counter[str] = Counter()
     for violation in result.violations:
         printed[violation.rule.value] += 1
         if printed[violation.rule.value] <= MAX_PRINTED_VIOLATIONS:
-            click.echo(f"  BROKEN {violation.rule.value}: {violation.subject}: {violation.text}")
+            click.echo(f"  VIOLATION {violation.rule.value}: {violation.subject}: {violation.text}")
 
 
 @click.command()
-@click.option("--seed", default=1, show_default=True, help="The first seed.")
-@click.option("--runs", default=1, show_default=True, help="Runs, each with the next seed.")
-@click.option("--proxies", default=24, show_default=True, help="Proxy processes.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the first run.")
+@click.option("--runs", default=1, show_default=True, help="Number of runs; each uses the next seed.")
+@click.option("--proxies", default=24, show_default=True, help="Number of proxy processes.")
 @click.option("--backends", default=14, show_default=True)
-@click.option("--seconds", default=20.0, show_default=True, help="Length of the load of one run.")
-@click.option("--rate", default=6.0, show_default=True, help="Requests a second for each proxy.")
-@click.option("--troubles", default=12, show_default=True, help="Faults in one run.")
-@click.option("--faulty", default=0.4, show_default=True, help="Share of processes whose system calls fail.")
-@click.option("--faults/--no-faults", default=True, help="Let system calls and clocks fail at all.")
-@click.option("--verbose", is_flag=True, help="Print faults and responses of good runs too.")
+@click.option("--seconds", default=20.0, show_default=True, help="Duration of the load in each run.")
+@click.option("--rate", default=6.0, show_default=True, help="Requests per second and proxy.")
+@click.option("--troubles", default=12, show_default=True, help="Number of faults in each run.")
+@click.option(
+    "--faulty",
+    default=0.4,
+    show_default=True,
+    help="Fraction of restarted processes whose system calls fail.",
+)
+@click.option("--faults/--no-faults", default=True, help="Inject system call faults and clock offsets.")
+@click.option("--verbose", is_flag=True, help="Print faults and responses of successful runs too.")
 def main(
     seed: int,
     runs: int,
@@ -58,7 +63,7 @@
     faults: bool,
     verbose: bool,
 ) -> None:
-    """Run real proxies on loopback under overlapping faults; exits with 1 if a rule was broken."""
+    """Run real proxies on loopback under overlapping faults; exit with 1 on any rule violation."""
     failed = 0
     for run_seed in range(seed, seed + runs):
         plan = Plan(
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -30,7 +30,7 @@
 BYTE_FLOOD_DELAY_S = 0.002  # between the request and the flood
 GARBAGE = b"\x16\x03\x01 this is no request\r\n\r\n"
 INCOMPLETE_REQUEST = b"POST /cargo HTTP/1.1\r\nHost: backend.local\r\nContent-Length: 100\r\n\r\nhalf"
-MISBEHAVIOURS = (("garbage", GARBAGE), ("half", INCOMPLETE_REQUEST), ("silent", b""))
+MISBEHAVIOURS = (("garbage", GARBAGE), ("incomplete request", INCOMPLETE_REQUEST), ("no request", b""))
 
 ClientAction = Callable[[ProxyProcess], Coroutine[Any, Any, None]]
 
@@ -304,7 +304,7 @@
         """Send a well-formed request, followed by garbage; the request must still get its response."""
         connection = await self._connect(proxy, force_new=True)
         if connection is not None:
-            connection.record_misbehaviour("flood")
+            connection.record_misbehaviour("byte flood")
             self._send(connection)
             await asyncio.sleep(BYTE_FLOOD_DELAY_S)
             connection.write(GARBAGE + b"x" * BYTE_FLOOD_BYTES)
--- a/soak/configuration.py
+++ b/soak/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of the proxies of a soak, and the limits by which a run is judged."""
+"""The configuration of the proxies in a soak run, and the limits that the rules check."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 OVERLOAD_WINDOW_S = 1.0
 CONNECT_TIMEOUT_MS = 250
 IDLE_TIMEOUT_MS = 4000
-SOCKET_LIMITS = (96, 512)  # file descriptors that a proxy may have, by turns
+SOCKET_LIMITS = (96, 512)  # file descriptor limits, assigned to the proxies in rotation
 
 
 def list_entry(backend: Backend, state: str) -> dict[str, Any]:
-    """Return a backend as an entry of discovery's list."""
+    """Return a backend's entry in the endpoint list."""
     return {
         "uid": backend.backend_id,
         "endpoint": backend.address,
@@ -43,7 +43,7 @@
 
 
 def class_settings(request_class: RequestClass) -> dict[str, Any]:
-    """Return a request class as the settings name it."""
+    """Return the settings of a request class."""
     return {
         "Name": request_class.name,
         "AimMs": request_class.objective_s * 1000,
@@ -56,7 +56,7 @@
 
 
 def proxy_settings(proxy_index: int, proxy_count: int, uses_push: bool) -> dict[str, Any]:
-    """Return the settings of one proxy; `uses_push`: an agent pushes the list."""
+    """Return the settings of one proxy; with `uses_push`, discovery pushes the endpoint list."""
     return {
         "Balancers": proxy_count,
         "Me": proxy_index,
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery on loopback: an agent for each proxy that answers the published watch, or is unresponsive."""
+"""Discovery on loopback: one agent per proxy, which answers watch requests or is made unresponsive."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DiscoveryState:
-    """The endpoint list, with the revision in which each backend has changed."""
+    """The endpoint list, with the revision of each backend's last change."""
 
     def __init__(self, record: RunRecord) -> None:
         self.record = record
@@ -25,10 +25,10 @@
         self.entries: dict[str, dict[str, Any]] = {}
         self.agents: list[DiscoveryAgent] = []
         self.is_up = True
-        self._changed_revisions: dict[str, int] = {}  # revision by backend
+        self._changed_revisions: dict[str, int] = {}  # revision of the last change, by backend
 
     def publish(self, entry: dict[str, Any]) -> None:
-        """Publish a new or changed entry; one that drains or is removed counts for the rule from now on."""
+        """Publish a new or changed entry; record when a backend first drains or is removed."""
         self.revision += 1
         backend_id = entry["uid"]
         self.entries[backend_id] = entry
@@ -39,7 +39,10 @@
             agent.notify()
 
     def endpoint_list(self, since: int | None) -> dict[str, Any]:
-        """Return the changes since a revision, or a snapshot, which leaves out the removed backends."""
+        """Return the delta since a revision, or a snapshot without the removed backends.
+
+        The result is a snapshot if `since` is None or newer than the current revision.
+        """
         if since is None or since > self.revision:
             entries = [entry for entry in self.entries.values() if entry["state"] != "left"]
             return {"rev": self.revision, "all": True, "targets": entries}
@@ -47,7 +50,7 @@
         return {"rev": self.revision, "all": False, "targets": changed}
 
     def suspend(self) -> None:
-        """Become unresponsive for all proxies."""
+        """Stop responding to all proxies."""
         self.is_up = False
         now = asyncio.get_running_loop().time()
         for spans in self.record.reachable.values():
@@ -55,7 +58,7 @@
                 spans[-1].ended_at = now
 
     def resume(self) -> None:
-        """Respond again, also to what was asked meanwhile."""
+        """Respond again, also to the requests that arrived meanwhile."""
         self.is_up = True
         now = asyncio.get_running_loop().time()
         for spans in self.record.reachable.values():
@@ -66,7 +69,10 @@
 
 
 class DiscoveryAgent:
-    """The agent on the machine of one proxy. `open` before use."""
+    """The discovery agent on one proxy's machine.
+
+    Call `open` before use.
+    """
 
     def __init__(self, state: DiscoveryState, proxy: int) -> None:
         self.state = state
@@ -78,31 +84,31 @@
         state.record.reachable.setdefault(proxy, [ReachableSpan(now)])
 
     async def open(self) -> DiscoveryAgent:
-        """Begin to listen."""
+        """Start to listen and return the agent."""
         self._server, self.address = await open_server(lambda: AgentConnection(self))
         return self
 
     def notify(self) -> None:
-        """Answer the open watches that a new revision ends."""
+        """Respond to the open watches if there is a new revision."""
         for connection in list(self.connections):
             connection.respond_if_changed()
 
     def resume(self) -> None:
-        """Answer what was asked while discovery was down."""
+        """Respond to the requests that arrived while discovery was down."""
         for connection in list(self.connections):
             connection.resume()
 
     def abandon_watches(self) -> None:
-        """Leave the open watches without an answer for good; new connections are answered."""
+        """Never respond on the current connections; new connections get responses."""
         for connection in self.connections:
             connection.is_abandoned = True
 
     def stop_listening(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         self._server.close()
 
     def close(self) -> None:
-        """Close all connections and forget the agent."""
+        """Stop listening, close all connections and remove the agent from the discovery state."""
         self._server.close()
         for connection in list(self.connections):
             connection.close()
@@ -111,16 +117,16 @@
 
 
 class AgentConnection(asyncio.Protocol):
-    """A connection to an agent, with the one call that waits on it."""
+    """A connection to an agent, with at most one pending request."""
 
     def __init__(self, agent: DiscoveryAgent) -> None:
         self.is_abandoned = False
         self._agent = agent
         self._reader = MessageReader()
-        self._since: int | None = None  # of the last call
+        self._since: int | None = None  # revision in the last request; None asks for a snapshot
         self._request_pending = False
         self._timer: asyncio.TimerHandle | None = None
-        self._queued_requests: list[Message] = []  # that came while discovery was down
+        self._queued_requests: list[Message] = []  # received while discovery was down
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register with the agent."""
@@ -128,22 +134,22 @@
         self._agent.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop the call that waits."""
+        """Drop the pending request."""
         self._agent.connections.discard(self)
         if self._timer is not None:
             self._timer.cancel()
 
     def close(self) -> None:
-        """Close after what is written."""
+        """Close after pending writes."""
         self._transport.close()
 
     def data_received(self, data: bytes) -> None:
-        """Take the requests that are whole."""
+        """Handle each complete request."""
         for message in self._reader.feed(data):
             self._handle_request(message)
 
     def resume(self) -> None:
-        """Answer what was asked while discovery was down."""
+        """Handle the requests that arrived while discovery was down, and respond to the pending one."""
         requests, self._queued_requests = self._queued_requests, []
         for message in requests:
             self._handle_request(message)
@@ -161,7 +167,7 @@
             self._timer = asyncio.get_running_loop().call_later(wait_s, self._respond)
 
     def respond_if_changed(self) -> bool:
-        """Answer the call that waits if its revision is not the latest; whether it was answered."""
+        """Respond to the pending request if its revision is not the latest; return whether that was done."""
         if not self._request_pending or self._since == self._agent.state.revision:
             return False
         self._respond()
--- a/soak/environment.py
+++ b/soak/environment.py
@@ -1,4 +1,4 @@
-"""Everything round the proxies of a soak, and the proxies."""
+"""The environment of a soak run: proxies, backends, discovery and the gossip relay."""
 
 from __future__ import annotations
 
@@ -29,27 +29,30 @@
 from soak.proxies import ProxyProcess, build_fault_library
 from soak.records import ColdStartLimits, RunRecord
 
-SERVICE_S = 0.03
+SERVICE_S = 0.03  # mean service time of a request
 CELL_COUNT = 4
-DRAIN_STAGE_S = 3.5  # from the start of a drain; its process ends as long after that
+DRAIN_STAGE_S = 3.5  # from a drain to the removal from the list, and from there to the end of the process
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What to run."""
+    """The parameters of one run."""
 
     seed: int
     proxies: int = 24
     backends: int = 14
-    seconds: float = 20.0  # of load
-    rate: float = 6.0  # requests a second for each proxy
+    seconds: float = 20.0  # duration of the load
+    rate: float = 6.0  # requests per second and proxy
     fault_count: int = 12
-    faulty_process_share: float = 0.4  # of the processes, whose system calls fail now and then
+    faulty_process_share: float = 0.4  # fraction of restarted processes with system call faults
     system_call_faults: bool = True
 
 
 class Environment:
-    """The backends, discovery and proxies of one run. `open` before use."""
+    """The backends, discovery and proxies of one run.
+
+    Call `open` before use.
+    """
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan = plan
@@ -77,7 +80,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def open(self) -> None:
-        """Start everything; returns when each proxy is ready or has ended."""
+        """Start everything; return when each proxy is ready or has exited."""
         if self.plan.system_call_faults:
             library = build_fault_library(self._folder)
             self.fault_library = str(library) if library is not None else None
@@ -91,7 +94,7 @@
         await asyncio.gather(*(proxy.start({}) for proxy in self.proxies))
 
     async def add_backend(self, is_cold: bool) -> None:
-        """Start a backend and list it."""
+        """Start a backend and publish it in the endpoint list."""
         backend_id = f"s-{self.random.getrandbits(32):08x}"
         cell = self.random.randrange(CELL_COUNT)
         backend = await Backend(backend_id, cell, self.record, self.random, SERVICE_S).open()
@@ -102,7 +105,7 @@
         self.discovery.publish(list_entry(backend, "active"))
 
     async def drain_backend(self, backend: Backend) -> None:
-        """Drain a backend, remove it from the list, and end its process."""
+        """Publish the drain of a backend, then its removal, then kill it."""
         self.discovery.publish(list_entry(backend, "leaving"))
         await asyncio.sleep(DRAIN_STAGE_S)
         self.discovery.publish(list_entry(backend, "left"))
@@ -110,7 +113,7 @@
         backend.kill()
 
     async def replace_agent(self, proxy: int) -> None:
-        """Start another discovery agent for a proxy, at a new address."""
+        """Start a new discovery agent for a proxy, at a new address."""
         self.agents[proxy] = await DiscoveryAgent(self.discovery, proxy).open()
 
     def _configuration(self, number: int) -> dict[str, Any]:
@@ -132,13 +135,13 @@
         }
 
     async def stop_proxies(self) -> None:
-        """Stop all proxies in order, and what only they need."""
+        """Send SIGTERM to all proxies, wait for their exit, and close the gossip relay."""
         for proxy in self.proxies:
             proxy.send_signal(signal.SIGTERM)
         await asyncio.gather(*(proxy.wait_for_exit() for proxy in self.proxies))
         self._gossip_relay.close()
 
     def kill_proxies(self) -> None:
-        """Kill the proxies that still run."""
+        """Kill the proxies that are still running."""
         for proxy in self.proxies:
             proxy.send_signal(signal.SIGKILL)
--- a/soak/fault_injection.py
+++ b/soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a run."""
+"""Injection of the faults of a run."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 RESTART_DELAY_S = (0.05, 0.5)
 RELOAD_PAUSE_S = (0.0, 0.4)
-AGENT_CLOSE_DELAY_S = 1.5  # for which the old agent keeps its connections after SIGHUP
+AGENT_CLOSE_DELAY_S = 1.5  # from SIGHUP until the old agent closes its connections
 PAUSE_S = (0.02, 0.15)  # between SIGSTOP and SIGCONT
 PAUSE_INTERVAL_S = (0.1, 1.0)  # between SIGCONT and SIGSTOP
-FLOOD_CONNECTIONS = 70
-MIN_BACKENDS = 6
-OVERRIDE_SHARE = (0.3, 1.0)  # of a bad backend's requests
+FLOOD_CONNECTIONS = 70  # per proxy
+MIN_BACKENDS = 6  # kept in service by drains
+OVERRIDE_SHARE = (0.3, 1.0)  # fraction of a faulty backend's requests
 
 
 class FaultInjector:
-    """Carries out faults at their times, in tasks of its own."""
+    """Injects faults at their scheduled times, each in its own task."""
 
     def __init__(self, environment: Environment, clients: Clients) -> None:
         self._environment = environment
@@ -35,7 +35,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def schedule(self, faults: list[Fault]) -> None:
-        """Begin the faults at their times from now on."""
+        """Schedule the faults, with times counted from now."""
         started_at = self._loop.time()
         for fault in faults:
             self._spawn(self._inject_at(fault, started_at + fault.at_s))
@@ -62,7 +62,7 @@
             self._spawn(proxy_action(proxy))
 
     def _proxy_action(self, fault: Fault) -> Callable[[ProxyProcess], Coroutine[Any, Any, None]] | None:
-        """Return what a fault does to each of the chosen proxies; None for one that is not about proxies."""
+        """Return the action of a fault on each chosen proxy, or None if the fault doesn't act on proxies."""
         match fault.kind:
             case FaultKind.STOP:
                 return lambda proxy: self._restart(proxy, signal.SIGTERM)
@@ -101,14 +101,14 @@
         proxy.send_signal(signal_number)
         await proxy.wait_for_exit()
         await asyncio.sleep(self._random.uniform(*RESTART_DELAY_S))
-        # Random numbers of its own: what else was drawn by then depends on the order of events.
+        # A separate generator keeps the draw reproducible: the shared one depends on the order of events.
         plan = self._environment.plan
         random = Random(f"{plan.seed} {proxy.number} {proxy.incarnation_count}")
         library = self._environment.fault_library
         await proxy.start(draw_process_environment(random, library, plan.faulty_process_share))
 
     async def _reload(self, proxy: ProxyProcess, times: int) -> None:
-        """Name another agent in the file; the old one takes nothing new and closes a while later."""
+        """Move a proxy to a new discovery agent by SIGHUP; the old agent stops listening and closes later."""
         for _ in range(times):
             if not proxy.is_up():
                 return
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a run, and when: drawn from the seed, overlapping in time."""
+"""The faults of a run, drawn from the seed; they may overlap in time."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 HOUR_MS = 3_600_000
 BAD_BEHAVIOURS = tuple(behaviour for behaviour in Behaviour if behaviour is not Behaviour.GOOD)
-STARTUP_FAULT_MS = 400  # after a start, in which the first system calls fail
+STARTUP_FAULT_MS = 400  # length of a system call fault that begins with the process
 
 
 class FaultKind(Enum):
-    """What goes wrong; the values are printed."""
-
-    STOP = "stop"  # SIGTERM to some proxies, and a new start
-    KILL = "kill"  # SIGKILL, and a new start
-    RELOAD = "reload"  # another discovery address for some proxies by SIGHUP, now and then twice
-    PAUSE = "hold"  # SIGSTOP for up to 0.15 s, again and again
-    DISCOVERY_DOWN = "discovery down"
-    UNRESPONSIVE_WATCHES = "silent watches"
-    DRAIN = "drain"
-    JOIN = "join"
-    REPLACE = "replace"
-    BAD_BACKENDS = "bad backends"
-    CLOSE_IDLE = "close idle"
-    CONNECTION_FLOOD = "crowd"  # of idle clients before some proxies
-
-
-WEIGHTS = {
+    """A kind of fault; the values are printed in reports."""
+
+    STOP = "stop"  # restart some proxies with SIGTERM
+    KILL = "kill"  # restart some proxies with SIGKILL
+    RELOAD = "reload"  # give some proxies another discovery address by SIGHUP, once or twice
+    PAUSE = "pause"  # pause some proxies repeatedly with SIGSTOP, for up to 0.15 s
+    DISCOVERY_DOWN = "discovery down"  # discovery doesn't respond to any proxy
+    UNRESPONSIVE_WATCHES = "unresponsive watches"  # no response on the connections that are open to discovery
+    DRAIN = "drain"  # drain some backends, then remove them
+    JOIN = "join"  # add cold backends
+    REPLACE = "replace"  # add cold backends and drain others
+    BAD_BACKENDS = "faulty backends"  # some backends change to one faulty behaviour
+    CLOSE_IDLE = "close idle connections"  # all backends close their idle connections
+    CONNECTION_FLOOD = "connection flood"  # idle client connections to some proxies
+
+
+WEIGHTS = {  # relative frequency
     FaultKind.STOP: 3,
     FaultKind.KILL: 2,
     FaultKind.RELOAD: 3,
@@ -49,7 +49,7 @@
 
 
 class SystemCallFault(NamedTuple):
-    """A call of `shim/faults.c` and the errno with which it fails."""
+    """A call name of `shim/faults.c` and the errno with which the call fails; 0 for `short`."""
 
     call: str
     error: int
@@ -73,13 +73,13 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault of a run. Times are seconds after the start of the load."""
+    """One fault of a run, with its start in seconds after the start of the load."""
 
     at_s: float
     kind: FaultKind
     duration_s: float
-    share: float  # of the proxies or backends
-    behaviour: Behaviour = Behaviour.GOOD  # of bad backends
+    share: float  # fraction of the proxies or backends
+    behaviour: Behaviour = Behaviour.GOOD  # of faulty backends
 
     def __str__(self) -> str:
         behaviour = "" if self.behaviour is Behaviour.GOOD else f" ({self.behaviour.value})"
@@ -87,7 +87,7 @@
 
 
 def draw_faults(random: Random, seconds: float, count: int) -> list[Fault]:
-    """Draw the faults of a run in order of time; they begin within its first four fifths."""
+    """Draw the faults of a run, ordered by time; they start in its first 80%."""
     kinds = random.choices(list(WEIGHTS), list(WEIGHTS.values()), k=count)
     faults = []
     for kind in kinds:
@@ -99,9 +99,9 @@
 
 
 def draw_process_environment(random: Random, library: str | None, share: float) -> dict[str, str]:
-    """Draw the environment of one process: which system calls fail, when, and how far its clock is off.
+    """Draw the environment variables of one process, which set its system call faults and its clock offset.
 
-    `share` of the processes are hit; without the fault library none is.
+    They are empty except for a fraction `share` of the processes, and always without a fault library.
     """
     if library is None or random.random() >= share:
         return {}
@@ -116,7 +116,7 @@
 
 
 def _draw_rule(random: Random) -> str:
-    """Return a rule in the form that `shim/faults.c` reads."""
+    """Draw a rule in the format of SOAK_FAULTS, which `shim/faults.c` reads."""
     fault = random.choice(SYSTEM_CALL_FAULTS)
     begin_ms = 0 if random.random() < 0.3 else random.randint(500, 12_000)
     length_ms = STARTUP_FAULT_MS if begin_ms == 0 else random.randint(100, 600)
--- a/soak/gossip_relay.py
+++ b/soak/gossip_relay.py
@@ -1,4 +1,4 @@
-"""The address for every proxy of the deployment: what comes there goes to all of them."""
+"""The gossip address of the whole deployment: a relay to all proxies."""
 
 from __future__ import annotations
 
@@ -9,26 +9,29 @@
 
 
 class GossipRelay(asyncio.DatagramProtocol):
-    """Sends each datagram on to all proxies but its sender. `open` before use."""
+    """Relay that forwards each datagram to all proxies except its sender.
+
+    Call `open` before use.
+    """
 
     def __init__(self) -> None:
         self.address = ""
         self._receivers: list[tuple[str, int]] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     async def open(self, receivers: list[str]) -> None:
-        """Listen, for proxies at these `host:port`."""
+        """Listen, and forward to the proxies at these `host:port` addresses."""
         self._receivers = [split_address(receiver) for receiver in receivers]
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=("127.0.0.1", 0))
         self.address = "{}:{}".format(*transport.get_extra_info("sockname"))
 
     def datagram_received(self, data: bytes, sender: Any) -> None:
-        """Send a datagram on."""
-        # As from the sender's own address: the proxies know one another by it.
+        """Forward a datagram."""
+        # Proxies identify a peer by a datagram's source address, which is the relay's for forwarded ones.
         for receiver in self._receivers:
             if receiver != sender:
                 self._transport.sendto(data, receiver)
--- a/soak/http.py
+++ b/soak/http.py
@@ -1,4 +1,4 @@
-"""Just enough HTTP/1.1 to read well-formed messages with a `Content-Length`, as they come."""
+"""Incremental parser of well-formed HTTP/1.1 messages with an optional `Content-Length`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Message(NamedTuple):
-    """A whole request or response."""
+    """A complete request or response."""
 
     start_line: bytes
     headers: dict[bytes, bytes]  # names in lower case
@@ -16,13 +16,13 @@
 
 
 class MessageReader:
-    """Cuts the bytes of one direction of a connection into messages."""
+    """Parser of the messages in one direction of a connection."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[Message]:
-        """Add bytes; return the messages that are whole by now."""
+        """Add received bytes and return the messages that they complete."""
         self._buffer += data
         messages = []
         while (message := self._next()) is not None:
--- a/soak/loopback.py
+++ b/soak/loopback.py
@@ -23,18 +23,18 @@
 
 
 def process_host() -> str:
-    """Return a loopback host of this process alone.
+    """Return a loopback address that other processes are unlikely to use.
 
-    On the usual one the port of a proxy that restarts may be taken by the near end of a connection.
+    On 127.0.0.1, the local end of an outgoing connection could take the port of a restarting proxy.
     """
     pid = os.getpid()
     return f"127.{64 + pid % 64}.{pid // 64 % 256}.1"
 
 
 def free_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> str:
-    """Return a `host:port` that is free, and none that this function has returned before.
+    """Return a free `host:port` that this function has not returned before.
 
-    The kernel may name an address again that nobody has bound yet.
+    The kernel may offer the same port again while nothing is bound to it.
     """
     while True:
         with socket.socket(socket.AF_INET, kind) as sock:
--- a/soak/proxies.py
+++ b/soak/proxies.py
@@ -1,4 +1,4 @@
-"""The proxies of a soak: real processes, started, signalled and watched."""
+"""The proxy processes of a soak run: start, signals, log and exit."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 FAULT_LIBRARY_SOURCE = Path(__file__).parent / "shim" / "faults.c"
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 READINESS_INTERVAL_S = 0.05
-MAX_LOG_LINES = 2000  # kept of one process
-TERMINATION_TIMEOUT_S = 6.0  # until a process that does not end on SIGTERM is killed, which breaks a rule
+MAX_LOG_LINES = 2000  # kept per process
+TERMINATION_TIMEOUT_S = 6.0  # until SIGKILL; longer than the rules allow a shutdown to take
 
 
 def build_fault_library(folder: Path) -> Path | None:
-    """Compile the library of system call faults; None where there is no C compiler."""
+    """Compile the library of system call faults; return None if that fails, as without a C compiler."""
     library = folder / "faults.so"
     command = ["cc", "-shared", "-fPIC", "-O1", "-o", str(library), str(FAULT_LIBRARY_SOURCE), "-ldl"]
     try:
@@ -35,7 +35,7 @@
 
 
 class ProxyProcess:
-    """One proxy over all its incarnations: the address, the name and the configuration file stay."""
+    """One proxy across its incarnations, which share its number, address and configuration file."""
 
     def __init__(
         self, number: int, folder: Path, record: RunRecord, configure: Callable[[int], dict[str, Any]]
@@ -51,13 +51,13 @@
         self._log_reader: asyncio.Task[None] | None = None
 
     def write_configuration(self) -> None:
-        """Replace the configuration file by the configuration as it is now."""
-        partial = self._config_file.with_suffix(".new")
-        partial.write_bytes(orjson.dumps(self._configure(self.number)))
-        partial.rename(self._config_file)
+        """Replace the configuration file with the current configuration, atomically."""
+        temporary_file = self._config_file.with_suffix(".new")
+        temporary_file.write_bytes(orjson.dumps(self._configure(self.number)))
+        temporary_file.rename(self._config_file)
 
     async def start(self, environment: dict[str, str]) -> None:
-        """Start a new incarnation and wait until it is ready or has ended."""
+        """Start a new incarnation and wait until it is ready or has exited."""
         self.write_configuration()
         inherited = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
         loop = asyncio.get_running_loop()
@@ -85,12 +85,12 @@
 
     async def _wait_until_ready(self, incarnation: Incarnation) -> None:
         while incarnation.ended_at is None:
-            if await self._answers_ready():
+            if await self._is_ready():
                 incarnation.ready_at = asyncio.get_running_loop().time()
                 return
             await asyncio.sleep(READINESS_INTERVAL_S)
 
-    async def _answers_ready(self) -> bool:
+    async def _is_ready(self) -> bool:
         try:
             reader, writer = await asyncio.open_connection(*split_address(self.address))
             writer.write(READINESS_REQUEST)
@@ -101,7 +101,7 @@
         return b" 200 " in status_line
 
     def is_up(self) -> bool:
-        """Whether the load balancer in front would open new connections to it."""
+        """Return whether the load balancer in front would open new connections to the proxy."""
         current = self.incarnation
         return (
             current is not None
@@ -111,7 +111,7 @@
         )
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process if it runs, and record SIGTERM and SIGKILL."""
+        """Send a signal to the process if it is running; record the time of SIGTERM and SIGKILL."""
         incarnation = self.incarnation
         if self._process is None or incarnation is None or incarnation.ended_at is not None:
             return
@@ -126,7 +126,7 @@
             return
 
     async def wait_for_exit(self) -> None:
-        """Wait until the process has ended; it is killed when that takes too long."""
+        """Wait until the process has exited; kill it after `TERMINATION_TIMEOUT_S`."""
         try:
             async with asyncio.timeout(TERMINATION_TIMEOUT_S):
                 await asyncio.shield(self._wait_for_log_end())
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: an environment with proxies, clients that send to them, faults, and the rules on the record."""
+"""One soak run: set up the environment, apply load and faults, and check the record against the rules."""
 
 from __future__ import annotations
 
@@ -18,22 +18,25 @@
 
 LAG_INTERVAL_S = 0.02
 SETTLE_BEFORE_S = 1.0  # from the readiness of all proxies to the first request
-SETTLE_AFTER_S = 3.5  # from the last request, until each has had its response
+SETTLE_AFTER_S = 3.5  # after the last request, for the responses to arrive
 
 
 @dataclass(frozen=True)
 class Result:
-    """What came of one run."""
+    """The result of one run."""
 
     plan: Plan
     faults: list[Fault]
     violations: list[Violation]
     record: RunRecord
-    statuses: Counter[str]  # of the responses, by class
+    statuses: Counter[str]  # number of requests by class and status
 
 
 async def run_soak(plan: Plan) -> Result:
-    """Run one plan. Raises what went wrong in the tool itself; all processes have ended by then."""
+    """Run one plan and return its result.
+
+    Errors of the tool itself are raised once the proxies were sent SIGKILL.
+    """
     faults = draw_faults(Random(plan.seed + 1), plan.seconds, plan.fault_count)
     with tempfile.TemporaryDirectory() as folder:
         environment = Environment(plan, Path(folder))
@@ -48,10 +51,10 @@
 
 
 async def apply_load(environment: Environment, faults: list[Fault]) -> None:
-    """Send requests while the faults come and go, until all are over."""
+    """Send requests and inject faults, until both are over."""
     plan = environment.plan
     record = environment.record
-    lag = asyncio.get_running_loop().create_task(measure_lag(record))
+    lag_task = asyncio.get_running_loop().create_task(measure_lag(record))
     await asyncio.sleep(SETTLE_BEFORE_S)
     clients = Clients(environment.proxies, record, environment.random, plan.rate * plan.proxies)
     injector = FaultInjector(environment, clients)
@@ -59,12 +62,12 @@
     await clients.run(plan.seconds)
     await asyncio.sleep(SETTLE_AFTER_S)
     await injector.wait()
-    lag.cancel()
+    lag_task.cancel()
     clients.close()
 
 
 async def measure_lag(record: RunRecord) -> None:
-    """Record by how much the loop of this tool is late at most."""
+    """Record the largest delay of this tool's event loop, until cancelled."""
     loop = asyncio.get_running_loop()
     while True:
         before = loop.time()
@@ -73,9 +76,12 @@
 
 
 def count_statuses(record: RunRecord) -> Counter[str]:
-    """Count the responses by class and status; `left` and `none` are requests without one."""
+    """Count the requests by class and status.
+
+    Without a response, the status is `disconnected` if the client disconnected and `none` otherwise.
+    """
     return Counter(
         f"{record.classes[request.class_index].name} "
-        f"{request.status or ('left' if request.disconnected_at is not None else 'none')}"
+        f"{request.status or ('disconnected' if request.disconnected_at is not None else 'none')}"
         for request in record.requests.values()
     )
--- a/soak/shim/faults.c
+++ b/soak/shim/faults.c
@@ -1,12 +1,13 @@
-/* Makes system calls of one process fail for a moment, as Linux documents them.
+/* Library that makes system calls of one process fail temporarily, with errors that Linux documents for them.
  *
- * Loaded with LD_PRELOAD into a proxy that the soak test starts. SOAK_FAULTS holds rules, separated by blanks:
+ * It is loaded with LD_PRELOAD into a proxy that the soak test starts. SOAK_FAULTS holds rules, separated by spaces:
  *
- *     CALL:ERRNO:PERCENT:FROM_MS:TO_MS        the call fails with that errno in that span after the start
- *     short:0:PERCENT:FROM_MS:TO_MS           reads and writes of sockets move fewer bytes than asked for
+ *     CALL:ERRNO:PERCENT:FROM_MS:TO_MS        the call fails with ERRNO from FROM_MS to TO_MS after the start
+ *     short:0:PERCENT:FROM_MS:TO_MS           reads and writes on sockets transfer fewer bytes than requested
  *
- * CALL is socket, connect, accept, open, log (writes to standard error) or wait. SOAK_CLOCK_MS is added to what the
- * wall clock says, SOAK_SEED seeds the draws. Nothing outside the process is touched.
+ * A rule applies to PERCENT of its calls. CALL is socket, connect, accept, open (of the configuration file),
+ * log (writes to standard error) or wait (epoll). SOAK_CLOCK_MS is added to the wall clock, in whole seconds.
+ * SOAK_SEED seeds the random draws. Nothing outside the process is affected.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -26,7 +27,8 @@
 #include <unistd.h>
 
 #define MAX_RULES 32
-#define MIN_SHORTENED 64 /* bytes: shorter transfers are the program's own signals, which the kernel moves whole */
+/* In bytes. Smaller transfers are internal wakeups of the program, which the kernel never splits. */
+#define MIN_SHORTENED 64
 
 struct fault_rule {
     char call[16];
@@ -40,7 +42,7 @@
 static uint64_t random_state = 88172645463325252ull;
 static struct timespec started_at;
 
-/* Declares `real`, the function of that name that this library hides. */
+/* Declares `real`, the function with this name that the library overrides. */
 #define DECLARE_REAL(type, name, ...)                                                                             \
     static type (*real)(__VA_ARGS__);                                                                             \
     if (!real)                                                                                                    \
@@ -51,7 +53,7 @@
     return real(id, at);
 }
 
-/* Runs as the library is loaded. */
+/* Reads the environment variables; runs when the library is loaded. */
 __attribute__((constructor)) static void read_rules(void) {
     const char *text = getenv("SOAK_FAULTS"), *clock = getenv("SOAK_CLOCK_MS"), *seed = getenv("SOAK_SEED");
     real_clock(CLOCK_MONOTONIC, &started_at);
@@ -60,16 +62,17 @@
     if (seed)
         random_state ^= (uint64_t)atoll(seed) * 2685821657736338717ull + 1;
     while (text && *text && rule_count < MAX_RULES) {
-        struct fault_rule *r = &rules[rule_count];
+        struct fault_rule *rule = &rules[rule_count];
         int used = 0;
-        if (sscanf(text, " %15[a-z]:%d:%d:%ld:%ld%n", r->call, &r->error, &r->percent, &r->from_ms, &r->to_ms, &used) < 5)
+        if (sscanf(text, " %15[a-z]:%d:%d:%ld:%ld%n", rule->call, &rule->error, &rule->percent, &rule->from_ms,
+                   &rule->to_ms, &used) < 5)
             break;
         rule_count++;
         text += used;
     }
 }
 
-/* A pseudo-random number from 0 to below it: xorshift, so that a seed gives the same faults. */
+/* Returns a pseudo-random number in [0, below). It is a xorshift generator, so a seed reproduces its faults. */
 static unsigned draw_below(unsigned below) {
     random_state ^= random_state << 13;
     random_state ^= random_state >> 7;
@@ -77,7 +80,7 @@
     return (unsigned)(random_state >> 11) % below;
 }
 
-/* The errno with which the call has to fail now; 0 for none, -1 for a rule that has none. */
+/* Returns the errno with which the call must fail now, 0 for no fault, or -1 for a matching rule without an errno. */
 static int injected_error(const char *call) {
     struct timespec now;
     if (!rule_count)
@@ -85,14 +88,15 @@
     real_clock(CLOCK_MONOTONIC, &now);
     long ms = (now.tv_sec - started_at.tv_sec) * 1000 + (now.tv_nsec - started_at.tv_nsec) / 1000000;
     for (int i = 0; i < rule_count; i++) {
-        struct fault_rule *r = &rules[i];
-        if (ms >= r->from_ms && ms < r->to_ms && !strcmp(r->call, call) && draw_below(100) < (unsigned)r->percent)
-            return r->error ? r->error : -1;
+        struct fault_rule *rule = &rules[i];
+        if (ms >= rule->from_ms && ms < rule->to_ms && !strcmp(rule->call, call) &&
+            draw_below(100) < (unsigned)rule->percent)
+            return rule->error ? rule->error : -1;
     }
     return 0;
 }
 
-/* Returns from the calling function if the call has to fail now. */
+/* Returns -1 from the calling function, with errno set, if the call must fail now. */
 #define FAIL_IF_INJECTED(call)                                                                                    \
     do {                                                                                                          \
         int error = injected_error(call);                                                                         \
@@ -126,7 +130,7 @@
     return real(fd, from, size, flags);
 }
 
-/* Whether a file is the configuration of the proxy: no other one is made to fail. */
+/* Returns whether a path is the proxy's configuration file, the only file whose open may fail. */
 static int is_config(const char *path) {
     const char *config = getenv("LB_CONFIG");
     return config && path && !strcmp(path, config);
@@ -151,7 +155,7 @@
     return fd > 2 && !fstat(fd, &status) && S_ISSOCK(status.st_mode);
 }
 
-/* The bytes that a transfer may move now: all, or fewer by a `short` rule. */
+/* Returns the number of bytes that a transfer may move now: `size`, or fewer if a `short` rule applies. */
 static size_t shortened_size(int fd, size_t size) {
     if (size < MIN_SHORTENED || !rule_count || !is_socket(fd) || !injected_error("short"))
         return size;
@@ -174,7 +178,7 @@
 
 ssize_t read(int fd, void *data, size_t size) {
     DECLARE_REAL(ssize_t, "read", int, void *, size_t);
-    size_t limit = size > 200 ? 200 : size; /* a buffer is far longer than what comes: cut what comes */
+    size_t limit = size > 200 ? 200 : size; /* a buffer is far larger than the data that arrives */
     return real(fd, data, shortened_size(fd, size) < size ? 1 + draw_below((unsigned)limit) : size);
 }
 
--- a/tests/tools/soak/test_rules.py
+++ b/tests/tools/soak/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules of the soak test find each violation."""
+"""The rules find each kind of violation in a run record, and none in a record without violations."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 from soak.rules import Rule, find_violations, max_cold_requests
 
-Step = Callable[[RunRecord], object]
+Change = Callable[[RunRecord], object]
 # Indices of CLASSES.
 IDEMPOTENT = 0
 NON_IDEMPOTENT = 1
@@ -33,8 +33,8 @@
 )
 
 
-def good_record() -> RunRecord:
-    """A proxy with one good request of each class, each a second after the other."""
+def record_without_violations() -> RunRecord:
+    """Return the record of one proxy that handled one request of each class, at one-second intervals."""
     record = RunRecord(
         CLASSES,
         2.5,
@@ -54,39 +54,40 @@
     return record
 
 
-def repeat(record: RunRecord, class_index: int, after: float, cell: int = 1) -> None:
-    """A second attempt on a request, so long after the first."""
+def add_attempt(record: RunRecord, class_index: int, after_s: float, cell: int = 1) -> None:
+    """Add a second attempt of a request, `after_s` seconds after the first."""
     first = record.attempts[class_index]
-    at = first.last_byte_at + after
+    at = first.last_byte_at + after_s
     record.attempts.append(Attempt(f"r{class_index}", "t", cell, at, at, 10, Execution.EXECUTED, at + 0.01))
 
 
-def change(record: RunRecord, class_index: int, **values: object) -> None:
+def change_request(record: RunRecord, class_index: int, **values: object) -> None:
     for name, value in values.items():
         assert hasattr(record.requests[f"r{class_index}"], name)
         setattr(record.requests[f"r{class_index}"], name, value)
 
 
-def unanswered(record: RunRecord, class_index: int, **values: object) -> None:
-    change(record, class_index, answered_at=None, status=0, body=b"", **values)
+def remove_response(record: RunRecord, class_index: int, **values: object) -> None:
+    change_request(record, class_index, answered_at=None, status=0, body=b"", **values)
 
 
-def drained(record: RunRecord, at: float, notified_at: float | None) -> None:
+def add_drain(record: RunRecord, at: float, notified_at: float | None) -> None:
     record.drained_at["s"] = at
     if notified_at is not None:
         record.notifications.append(ListNotification(0, notified_at, ("s",)))
 
 
 @pytest.mark.parametrize(
-    ("steps", "rules"),
+    ("changes", "rules"),
     [
         ([], []),
-        ([lambda record: change(record, IDEMPOTENT, answered_at=11.2)], []),  # late, and no more
-        ([lambda record: change(record, IDEMPOTENT, answered_at=11.5)], [Rule.LOST]),
-        ([lambda record: unanswered(record, IDEMPOTENT)], [Rule.LOST]),
+        # Within the grace after the budget.
+        ([lambda record: change_request(record, IDEMPOTENT, answered_at=11.2)], []),
+        ([lambda record: change_request(record, IDEMPOTENT, answered_at=11.5)], [Rule.LOST]),
+        ([lambda record: remove_response(record, IDEMPOTENT)], [Rule.LOST]),
         (
             [
-                lambda record: unanswered(
+                lambda record: remove_response(
                     record, IDEMPOTENT, connection_lost_at=10.5, on_reused_connection=True
                 )
             ],
@@ -94,7 +95,7 @@
         ),
         (
             [
-                lambda record: unanswered(
+                lambda record: remove_response(
                     record, IDEMPOTENT, connection_lost_at=10.5, on_reused_connection=True
                 ),
                 lambda record: record.attempts.pop(0),
@@ -103,45 +104,48 @@
         ),
         (
             [
-                lambda record: unanswered(record, IDEMPOTENT, connection_lost_at=10.5),
+                lambda record: remove_response(record, IDEMPOTENT, connection_lost_at=10.5),
                 lambda record: setattr(record.incarnations[0], "killed_at", 10.4),
             ],
             [],
         ),
-        ([lambda record: change(record, IDEMPOTENT, body=b"s r1")], [Rule.WRONG_RESPONSE]),
-        ([lambda record: repeat(record, IDEMPOTENT, 0.2)], []),
-        ([lambda record: repeat(record, NON_IDEMPOTENT, 0.2)], [Rule.DUPLICATE_EXECUTION]),
+        ([lambda record: change_request(record, IDEMPOTENT, body=b"s r1")], [Rule.WRONG_RESPONSE]),
+        ([lambda record: add_attempt(record, IDEMPOTENT, 0.2)], []),
+        ([lambda record: add_attempt(record, NON_IDEMPOTENT, 0.2)], [Rule.DUPLICATE_EXECUTION]),
         (
             [
                 lambda record: setattr(record.attempts[1], "execution", Execution.REJECTED),
-                lambda record: repeat(record, NON_IDEMPOTENT, 0.2),
+                lambda record: add_attempt(record, NON_IDEMPOTENT, 0.2),
             ],
             [],
         ),
-        ([lambda record: repeat(record, KEYED, 0.2)], []),
-        ([lambda record: repeat(record, KEYED, 0.6)], [Rule.DEDUPLICATION_WINDOW]),
-        ([lambda record: repeat(record, KEYED, 0.2, cell=2)], [Rule.DUPLICATE_EXECUTION]),
-        ([lambda record: repeat(record, IDEMPOTENT, 0.01)], [Rule.CONCURRENT_ATTEMPT]),
-        ([lambda record: change(record, NON_IDEMPOTENT, status=503)], [Rule.REJECTED_AFTER_EXECUTION]),
-        ([lambda record: change(record, IDEMPOTENT, status=503)], []),
+        ([lambda record: add_attempt(record, KEYED, 0.2)], []),
+        ([lambda record: add_attempt(record, KEYED, 0.6)], [Rule.DEDUPLICATION_WINDOW]),
+        ([lambda record: add_attempt(record, KEYED, 0.2, cell=2)], [Rule.DUPLICATE_EXECUTION]),
+        ([lambda record: add_attempt(record, IDEMPOTENT, 0.01)], [Rule.CONCURRENT_ATTEMPT]),
         (
-            [lambda record: unanswered(record, IDEMPOTENT, disconnected_at=9.5)],
+            [lambda record: change_request(record, NON_IDEMPOTENT, status=503)],
+            [Rule.REJECTED_AFTER_EXECUTION],
+        ),
+        ([lambda record: change_request(record, IDEMPOTENT, status=503)], []),
+        (
+            [lambda record: remove_response(record, IDEMPOTENT, disconnected_at=9.5)],
             [Rule.FORWARDED_AFTER_DISCONNECT],
         ),
         ([lambda record: setattr(record.attempts[0], "budget_ms", 1100)], [Rule.BUDGET]),
-        ([lambda record: drained(record, 5.0, 7.4)], [Rule.DRAIN]),
-        ([lambda record: drained(record, 5.0, None)], []),  # as notified 6 s later
-        ([lambda record: drained(record, 1.0, None)], [Rule.DRAIN]),
+        ([lambda record: add_drain(record, 5.0, 7.4)], [Rule.DRAIN]),
+        ([lambda record: add_drain(record, 5.0, None)], []),  # counts as notified 6 s after the drain
+        ([lambda record: add_drain(record, 1.0, None)], [Rule.DRAIN]),
         (
             [
-                lambda record: drained(record, 1.0, None),
+                lambda record: add_drain(record, 1.0, None),
                 lambda record: record.reachable[0].__setitem__(0, ReachableSpan(0.0, 2.0)),
             ],
             [],
         ),
         (
             [
-                lambda record: drained(record, 1.0, None),
+                lambda record: add_drain(record, 1.0, None),
                 lambda record: setattr(record.incarnations[0], "started_at", 8.0),
             ],
             [],
@@ -149,7 +153,7 @@
         (
             [
                 lambda record: record.relocated_at.__setitem__(0, [3.0]),
-                lambda record: drained(record, 3.0, None),
+                lambda record: add_drain(record, 3.0, None),
             ],
             [Rule.DRAIN],
         ),
@@ -166,26 +170,37 @@
             [Rule.SELF_REPORTED],
         ),
         (
-            [lambda record: record.misbehaving_clients.append(MisbehavingClient(0, 1, 5.0, "half"))],
+            [
+                lambda record: record.misbehaving_clients.append(
+                    MisbehavingClient(0, 1, 5.0, "incomplete request")
+                )
+            ],
             [Rule.MISBEHAVING_CLIENT],
         ),
-        ([lambda record: record.misbehaving_clients.append(MisbehavingClient(0, 1, 5.0, "half", 7.5))], []),
+        (
+            [
+                lambda record: record.misbehaving_clients.append(
+                    MisbehavingClient(0, 1, 5.0, "incomplete request", 7.5)
+                )
+            ],
+            [],
+        ),
     ],
 )
-def test_each_violation_is_found(steps: list[Step], rules: list[Rule]) -> None:
-    record = good_record()
-    for step in steps:
-        step(record)
+def test_record_with_a_violation_is_reported_under_its_rule(changes: list[Change], rules: list[Rule]) -> None:
+    record = record_without_violations()
+    for change in changes:
+        change(record)
     found = {violation.rule for violation in find_violations(record)}
     assert set(rules) <= found if Rule.DRAIN in rules else found == set(rules)
 
 
-def test_requests_to_a_cold_backend_are_counted() -> None:
-    for number, broken in (
-        (int(max_cold_requests(good_record(), 1.0)), False),
-        (int(max_cold_requests(good_record(), 1.0)) + 1, True),
+def test_cold_backend_violates_its_rule_above_the_maximum_requests_only() -> None:
+    for request_count, is_violated in (
+        (int(max_cold_requests(record_without_violations(), 1.0)), False),
+        (int(max_cold_requests(record_without_violations(), 1.0)) + 1, True),
     ):
-        record = good_record()
+        record = record_without_violations()
         record.cold_started_at["new"] = 99.0
-        record.attempts += [Attempt("", "new", 1, 100.0, 100.0, 0) for _ in range(number)]
-        assert [violation.rule for violation in find_violations(record)] == [Rule.COLD_START] * broken
+        record.attempts += [Attempt("", "new", 1, 100.0, 100.0, 0) for _ in range(request_count)]
+        assert [violation.rule for violation in find_violations(record)] == [Rule.COLD_START] * is_violated
--- a/tests/tools/soak/test_run.py
+++ b/tests/tools/soak/test_run.py
@@ -1,4 +1,4 @@
-"""A short run with real processes breaks no rule."""
+"""A short soak run with real proxy processes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from soak.rules import Rule
 from soak.run import run_soak
 
-# Those that don't rest on how fast this machine is.
+# The rules whose verdict does not depend on the speed of the machine.
 TIMING_INDEPENDENT = {
     Rule.WRONG_RESPONSE,
     Rule.DUPLICATE_EXECUTION,
@@ -19,7 +19,7 @@
 }
 
 
-def test_a_short_run_with_real_processes() -> None:
+def test_short_run_violates_no_timing_independent_rule() -> None:
     plan = Plan(seed=1, proxies=3, backends=7, seconds=2.0, rate=20.0, fault_count=3)
     result = uvloop.run(asyncio.wait_for(run_soak(plan), 120.0))
     assert result.statuses and not [
