--- a/soak/backends.py
+++ b/soak/backends.py
@@ -20,7 +20,7 @@
 UNPARSEABLE_RESPONSE = bytes(range(128, 250))
 FOLLOW_UP_DELAY_S = 0.004  # to a reset after a partial response; longest delay of a duplicate response
 SLOW_SERVICE_FACTOR = 6.0  # multiple of the usual service time
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled with 0 s: a close sends a reset
 
 
 class Behaviour(Enum):
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -15,7 +15,7 @@
 from soak.proxies import ProxyProcess
 from soak.records import MisbehavingClient, Request, RequestClass, RunRecord
 
-CONNECT_AFTER_STOP_S = 0.3  # after SIGTERM, during which clients still open connections
+CONNECT_AFTER_STOP_S = 0.3  # time after SIGTERM during which clients still open connections
 SLOW_WRITE_CHUNKS = 3
 SLOW_WRITE_PAUSE_S = (0.05, 0.3)
 MIN_BUDGET_FRACTION = 0.7  # smallest budget, as a fraction of the class's deadline
@@ -24,7 +24,7 @@
 PIPELINE_LENGTH = (3, 6)  # requests
 LONG_PIPELINE_LENGTH = (30, 60)
 LONG_PIPELINE_SHARE = 0.1  # fraction of pipelines with a length from LONG_PIPELINE_LENGTH
-CONNECTION_FLOOD_S = 4.0  # for which the connections stay open, unless the proxy closes them
+CONNECTION_FLOOD_S = 4.0  # duration of a connection flood, unless the proxy closes the connections
 MAX_DISCONNECT_DELAY_S = 0.1
 BYTE_FLOOD_BYTES = 2 * 1024 * 1024
 BYTE_FLOOD_DELAY_S = 0.002  # between the request and the flood
