--- a/soak/fault_injection.py
+++ b/soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a run."""
+"""Injection of the faults of a run."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 RESTART_DELAY_S = (0.05, 0.5)
 RELOAD_PAUSE_S = (0.0, 0.4)
-AGENT_CLOSE_DELAY_S = 1.5  # for which the old agent keeps its connections after SIGHUP
+AGENT_CLOSE_DELAY_S = 1.5  # from SIGHUP until the old agent closes its connections
 PAUSE_S = (0.02, 0.15)  # between SIGSTOP and SIGCONT
 PAUSE_INTERVAL_S = (0.1, 1.0)  # between SIGCONT and SIGSTOP
-FLOOD_CONNECTIONS = 70
-MIN_BACKENDS = 6
-OVERRIDE_SHARE = (0.3, 1.0)  # of a bad backend's requests
+FLOOD_CONNECTIONS = 70  # per proxy
+MIN_BACKENDS = 6  # kept in service by drains
+OVERRIDE_SHARE = (0.3, 1.0)  # fraction of a faulty backend's requests
 
 
 class FaultInjector:
-    """Carries out faults at their times, in tasks of its own."""
+    """Injects faults at their scheduled times, each in its own task."""
 
     def __init__(self, environment: Environment, clients: Clients) -> None:
         self._environment = environment
@@ -35,7 +35,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def schedule(self, faults: list[Fault]) -> None:
-        """Begin the faults at their times from now on."""
+        """Schedule the faults, with times counted from now."""
         started_at = self._loop.time()
         for fault in faults:
             self._spawn(self._inject_at(fault, started_at + fault.at_s))
@@ -54,15 +54,15 @@
         await asyncio.sleep(max(time - self._loop.time(), 0.0))
         proxies = self._environment.proxies
         chosen = self._random.sample(proxies, max(1, int(fault.share * len(proxies))))
-        proxy_fault = self._proxy_fault(fault)
-        if proxy_fault is None:
-            await self._inject_around_proxies(fault)
+        proxy_action = self._proxy_action(fault)
+        if proxy_action is None:
+            await self._inject_environment_fault(fault)
             return
         for proxy in chosen:
-            self._spawn(proxy_fault(proxy))
+            self._spawn(proxy_action(proxy))
 
-    def _proxy_fault(self, fault: Fault) -> Callable[[ProxyProcess], Coroutine[Any, Any, None]] | None:
-        """Return what a fault does to each of the chosen proxies; None for one that is not about proxies."""
+    def _proxy_action(self, fault: Fault) -> Callable[[ProxyProcess], Coroutine[Any, Any, None]] | None:
+        """Return the action of a fault on each chosen proxy, or None if the fault doesn't act on proxies."""
         match fault.kind:
             case FaultKind.STOP:
                 return lambda proxy: self._restart(proxy, signal.SIGTERM)
@@ -77,11 +77,11 @@
             case _:
                 return None
 
-    async def _inject_around_proxies(self, fault: Fault) -> None:
+    async def _inject_environment_fault(self, fault: Fault) -> None:
         environment = self._environment
         match fault.kind:
             case FaultKind.DISCOVERY_DOWN:
-                environment.discovery.stop()
+                environment.discovery.suspend()
                 await asyncio.sleep(fault.duration_s)
                 environment.discovery.resume()
             case FaultKind.UNRESPONSIVE_WATCHES:
@@ -99,16 +99,16 @@
         if not proxy.is_up():
             return
         proxy.send_signal(signal_number)
-        await proxy.wait_for_end()
+        await proxy.wait_for_exit()
         await asyncio.sleep(self._random.uniform(*RESTART_DELAY_S))
-        # Random numbers of its own: what else was drawn by then depends on the order of events.
+        # A separate generator keeps the draw reproducible: the shared one depends on the order of events.
         plan = self._environment.plan
         random = Random(f"{plan.seed} {proxy.number} {proxy.incarnation_count}")
         library = self._environment.fault_library
         await proxy.start(draw_process_environment(random, library, plan.faulty_process_share))
 
     async def _reload(self, proxy: ProxyProcess, times: int) -> None:
-        """Name another agent in the file; the old one takes nothing new and closes a while later."""
+        """Move a proxy to a new discovery agent by SIGHUP; the old agent stops listening and closes later."""
         for _ in range(times):
             if not proxy.is_up():
                 return
@@ -147,6 +147,6 @@
             for _ in range(count):
                 await self._environment.add_backend(is_cold=True)
         if fault.kind in (FaultKind.DRAIN, FaultKind.REPLACE):
-            most = max(len(backends) - MIN_BACKENDS, 0)
-            for backend_id in self._random.sample(sorted(backends), min(count, most)):
+            max_drained = max(len(backends) - MIN_BACKENDS, 0)
+            for backend_id in self._random.sample(sorted(backends), min(count, max_drained)):
                 self._spawn(self._environment.drain_backend(backends.pop(backend_id)))
