--- a/scale/__init__.py
+++ b/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Measures what a proxy costs as its surroundings grow. The proxy imports nothing of it."""
+"""Measures what a proxy costs as the deployment grows. The proxy does not import this package."""
--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -5,6 +5,6 @@
 
 from scale.cli import main
 
-# As an exception, so that child processes are stopped on the way out.
+# SIGTERM raises SystemExit, so that child processes are stopped before this process exits.
 signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
 sys.exit(main(sys.argv[1:]))
--- a/scale/child_process.py
+++ b/scale/child_process.py
@@ -1,4 +1,4 @@
-"""Child processes of this tool that read lines on standard input and answer in JSON lines."""
+"""Child processes that read lines on standard input and write JSON lines to standard output."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def stop_process(process: subprocess.Popen[Any]) -> None:
-    """Kill a child that this process started, and wait for it."""
+    """Kill a child process, wait for it to exit, and close its pipes."""
     process.kill()
     process.wait()
     for pipe in (process.stdin, process.stdout, process.stderr):
@@ -21,7 +21,7 @@
 
 
 class ChildProcess:
-    """`python -m scale.MODULE ARGUMENTS`; killed at the end of the context."""
+    """A process that runs `python -m scale.MODULE ARGUMENTS`; killed on exit from the context."""
 
     def __init__(self, module: str, *arguments: object, environment: dict[str, str] | None = None) -> None:
         self._process = subprocess.Popen(
@@ -39,20 +39,20 @@
         self.close()
 
     def close(self) -> None:
-        """Kill the child."""
+        """Kill the child process."""
         stop_process(self._process)
 
     def write_line(self, text: str) -> None:
-        """Send one line to the child's standard input."""
+        """Write a line to the child's standard input."""
         assert self._process.stdin is not None
         self._process.stdin.write(text + "\n")
         self._process.stdin.flush()
 
     def read_json(self) -> Any:
-        """Return the child's next line, decoded. Raises MeasurementError if the child ended instead."""
+        """Return the decoded next line of output; raise MeasurementError if the child exited without one."""
         assert self._process.stdout is not None
         line = self._process.stdout.readline()
         if not line:
             exit_code = self._process.wait()
-            raise MeasurementError(f"{self._process.args!r} ended with {exit_code} and no answer")
+            raise MeasurementError(f"{self._process.args!r} exited with code {exit_code} without a result")
         return json.loads(line)
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -1,4 +1,4 @@
-"""The command line. A command of another module is added by one line at the end of this one."""
+"""The command line of the tool. Commands are defined in other modules and added at the end of this one."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @click.group()
 def cli() -> None:
-    """Measure what a proxy costs as the fleet round it grows, and what one core carries."""
+    """Measure what a proxy costs as the fleet grows, and the request rate that one core sustains."""
 
 
 def main(arguments: list[str]) -> int:
-    """Run the command line and return its exit code: 0, 130 after an interrupt, or 2 for what can't be done.
+    """Run the command line and return its exit code: 0, 2 after an error, or 130 after an interrupt.
 
-    In the last case one plain line on standard error says why.
+    An error is reported in one line on standard error.
     """
     try:
         code = cli.main(arguments, prog_name="python -m scale", standalone_mode=False)
@@ -29,7 +29,7 @@
     except click.ClickException as error:
         print("scale: " + " ".join(error.format_message().split()), file=sys.stderr)
         return 2
-    except OSError as error:  # a file that can't be written, a port or a process that is not to be had
+    except OSError as error:  # a file can't be written, a port is in use or a process can't be started
         print(f"scale: {error.strerror or error}: {error.filename or ''}".rstrip(": "), file=sys.stderr)
         return 2
     except (click.Abort, KeyboardInterrupt):
--- a/scale/fit.py
+++ b/scale/fit.py
@@ -1,4 +1,4 @@
-"""Least-squares lines through measured values."""
+"""Least-squares line fits through measured values."""
 
 from __future__ import annotations
 
@@ -10,22 +10,25 @@
 
 
 class Fit(NamedTuple):
-    """A least-squares line, in the value's unit for each unit of size. The fields are keys of the JSON."""
+    """A least-squares line; slopes are in the unit of the values per unit of size.
+
+    The field names are keys in the JSON output.
+    """
 
     slope: float
-    intercept: float  # the value at size 0, as the line has it
-    r2: float  # 1: all points lie on the line; far below 1: not linear, or no slope beyond the noise
-    worst: float  # largest distance of a size's median from the line, in the value's unit
-    worst_at: float  # the size at which it is
-    slope_min: float  # of the lines through each repeat alone
-    slope_max: float
-    slope_sd: float  # standard deviation of those slopes; 0 for a single repeat
+    intercept: float  # value of the line at size 0
+    r2: float  # 1: all points lie on the line; far below 1: not linear, or the slope is lost in the noise
+    worst: float  # largest distance of a median from the line, in the unit of the values
+    worst_at: float  # size at which that distance occurs
+    slope_min: float  # lowest slope of the lines through single repeats
+    slope_max: float  # highest slope of the lines through single repeats
+    slope_sd: float  # standard deviation of the slopes of single repeats; 0 for one repeat
 
 
 def fit(sizes: Sequence[int], repeats: Sequence[Sequence[float]]) -> Fit:
-    """Fit a line through `repeats`, which hold a value for each size. ValueError below two sizes."""
+    """Fit a line through `repeats`, each with a value per size; raise ValueError for fewer than two sizes."""
     if len(set(sizes)) < 2 or not repeats:
-        raise ValueError("a slope takes two sizes and a repeat")
+        raise ValueError("a line fit needs at least two different sizes and one repeat")
     values = np.array(repeats, dtype=float)
     slope, intercept = linear_regression(list(sizes) * len(repeats), values.ravel().tolist())
     expected = slope * np.array(sizes) + intercept
--- a/scale/fleet/__init__.py
+++ b/scale/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet in one process: real decisions and list code over simulated sockets, on a virtual clock."""
+"""A fleet in one process: the real balancer and discovery client on simulated sockets and a virtual clock."""
--- a/scale/fleet/clock.py
+++ b/scale/fleet/clock.py
@@ -1,4 +1,4 @@
-"""An event loop on a virtual clock: asyncio code runs on it as it is, and no time passes but by timers."""
+"""An event loop on a virtual clock, which runs unmodified asyncio code and advances time only by timers."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 from scale.fleet.metrics import CURRENT_METRICS, ProxyMetrics
 
-ORIGIN_S = 1_000_000  # on the clock as a run starts: above 0, which stands for "long ago" in lists
+ORIGIN_S = 1_000_000  # time at the start of a run; above 0, as boot time 0 in lists means "long ago"
 
 T = TypeVar("T")
 Ts = TypeVarTuple("Ts")
 
 
 class Listener(Protocol):
-    """A server at an address on this loop."""
+    """A server that accepts connections on a `VirtualLoop`."""
 
     async def accept(self, protocol: asyncio.Protocol) -> asyncio.Transport:
-        """Bring up a connection for the caller's protocol, or never return."""
+        """Connect the caller's protocol and return its transport; hang if the server is unreachable."""
 
 
 class MeteredHandle(asyncio.TimerHandle):
-    """A callback and the metrics to which its processor time is added."""
+    """A handle of a callback, with the metrics to which its processor time is added."""
 
     __slots__ = ("metrics",)
 
@@ -44,15 +44,15 @@
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
-    """Runs callbacks in order of time, then of their creation.
+    """An event loop that runs callbacks in the order of their times, then of their creation.
 
-    Only what list code and timers need of an event loop is there.
+    It implements only the methods that the discovery client and timers need.
     """
 
     def __init__(self) -> None:
         self.now = float(ORIGIN_S)
         self.listeners: dict[tuple[str, int], Listener] = {}
-        self.errors: list[str] = []  # what callbacks raised
+        self.errors: list[str] = []  # exceptions raised by callbacks
         self.callbacks_run = 0
         self._ready: deque[MeteredHandle] = deque()
         self._timers: list[tuple[float, int, MeteredHandle]] = []
@@ -63,7 +63,7 @@
         return self.now
 
     def second(self) -> int:
-        """Return the whole seconds since the start of the run."""
+        """Return the number of whole seconds since the start of the run."""
         return int(self.now) - ORIGIN_S
 
     def now_ms(self) -> float:
@@ -73,7 +73,7 @@
     def call_soon(
         self, callback: Callable[[Unpack[Ts]], object], *args: *Ts, context: Context | None = None
     ) -> asyncio.Handle:
-        """Run a callback in this moment, after those that are ready."""
+        """Run a callback at the current time, after the callbacks that are already ready."""
         handle = MeteredHandle(self.now, callback, args, self, context)
         self._ready.append(handle)
         return handle
@@ -85,7 +85,7 @@
         *args: *Ts,
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Run a callback at a time (s on this clock)."""
+        """Run a callback at the virtual time `when` (s)."""
         handle = MeteredHandle(when, callback, args, self, context)
         self._timers_created += 1
         heappush(self._timers, (when, self._timers_created, handle))
@@ -102,7 +102,7 @@
         return self.call_at(self.now + delay, callback, *args, context=context)
 
     def create_future(self) -> asyncio.Future[Any]:
-        """Return a future of this loop."""
+        """Return a future attached to this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(
@@ -112,39 +112,39 @@
         name: str | None = None,
         context: Context | None = None,
     ) -> asyncio.Task[T]:
-        """Run a coroutine as a task of this loop."""
+        """Run a coroutine as a task on this loop."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     async def create_connection(  # type: ignore[override]
         self, protocol_factory: Callable[[], asyncio.Protocol], host: str, port: int
     ) -> tuple[asyncio.Transport, asyncio.Protocol]:
-        """Connect to a listener of this loop. ConnectionRefusedError where nobody listens."""
+        """Connect to a listener on this loop; raise ConnectionRefusedError if there is none."""
         if (host, port) not in self.listeners:
-            raise ConnectionRefusedError(f"nobody listens at {host}:{port}")
+            raise ConnectionRefusedError(f"no listener at {host}:{port}")
         protocol = protocol_factory()
         return await self.listeners[host, port].accept(protocol), protocol
 
     def get_debug(self) -> bool:
-        """Tell asyncio that its checks are off."""
+        """Return False: asyncio's debug mode is off."""
         return False
 
     def is_running(self) -> bool:
-        """Tell asyncio that callbacks run."""
+        """Return True, since asyncio only calls this from callbacks."""
         return True
 
     def is_closed(self) -> bool:
-        """Tell asyncio that the loop can be used."""
+        """Return False: the loop is never closed."""
         return False
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Record what a callback raised."""
+        """Record an exception raised by a callback."""
         self.errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """A cancelled timer stays in the heap until its time."""
+        """Do nothing: a cancelled timer stays in the heap until its time."""
 
     def run_until(self, end: float) -> None:
-        """Run all that is due up to `end` (s on this clock), in the calling thread."""
+        """Run all callbacks due up to the virtual time `end` (s), in the calling thread."""
         outer_loop = asyncio._get_running_loop()
         asyncio._set_running_loop(self)
         try:
@@ -173,5 +173,5 @@
 
 
 def create_virtual_loop() -> VirtualLoop:
-    """Return a loop whose clock stands at ORIGIN_S."""
-    return VirtualLoop()  # type: ignore[abstract]  # readers, signals and the like have no use here
+    """Return a loop whose clock starts at ORIGIN_S."""
+    return VirtualLoop()  # type: ignore[abstract]  # readers, signals and other methods are not needed
--- a/scale/fleet/cluster.py
+++ b/scale/fleet/cluster.py
@@ -1,4 +1,4 @@
-"""The simulated backends, the changes of their list, and who can reach whom."""
+"""The simulated backends, the changes to their list, and network reachability between regions."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 ZONE_COUNT = 11
 REGION_COUNT = 5
-RACK_SIZE = 40  # machines in one, or fewer, so that there are MIN_RACKS
+RACK_SIZE = 40  # machines per rack; fewer in a small cluster, so that there are at least MIN_RACKS
 MIN_RACKS = 2 * ZONE_COUNT
-LOSS_DETECTION_S = 3.0  # until discovery sees that a machine is gone
-DRAIN_LINGER_S = 2.0  # beyond the drain grace until a drained machine is gone
-REPLACEMENT_S = 5.0  # from the loss of a machine to the one that takes its place
+LOSS_DETECTION_S = 3.0  # time until discovery detects the loss of a machine
+DRAIN_LINGER_S = 2.0  # time after the drain grace until a drained machine is removed
+REPLACEMENT_S = 5.0  # time from the loss of a machine to its replacement
 REFUSAL_MS = 1.0
 MEAN_SERVICE_MS = 30.0
-COLD_SLOWNESS = 2.0  # times the service time while cold
+COLD_SLOWNESS = 2.0  # factor on the service time of a cold backend
 ACTIVE = "active"
 DRAINING = "leaving"
 REMOVED = "left"
 
 
 class ClusterSettings(NamedTuple):
-    """What the settings of all proxies say of the backends."""
+    """The parts of all proxies' settings that concern backends."""
 
     drain_grace_ms: float = 1000.0
     cold_ms: float = 8000.0
@@ -37,14 +37,14 @@
 
 
 class AttemptOutcome(NamedTuple):
-    """How an attempt ends, and after how long."""
+    """The result of an attempt, and the time until it."""
 
     result: AttemptResult
     duration_ms: float
 
 
 def region_of(zone: int) -> int:
-    """Return the region in which a zone lies."""
+    """Return the region of a zone."""
     return zone % REGION_COUNT
 
 
@@ -54,7 +54,7 @@
 
 
 class SimulatedBackend:
-    """One machine that answers requests."""
+    """A machine that serves requests."""
 
     def __init__(self, number: int, zone: int, rack: int, service: int, boot_ms: float) -> None:
         self.backend_id = f"s-{number:08x}"
@@ -62,18 +62,18 @@
         self.zone = zone
         self.rack = rack
         self.service = service
-        self.boot_ms = boot_ms  # when it started; 0 for long ago
+        self.boot_ms = boot_ms  # start time; 0: long ago
         self.state = ACTIVE
         self.weight = 1.0
-        self.is_up = True  # the machine is there, whatever the list says
+        self.is_up = True  # whether the machine runs, regardless of its state in the list
 
     @property
     def region(self) -> int:
-        """The region in which the machine stands."""
+        """The region of the machine."""
         return region_of(self.zone)
 
     def as_change(self) -> EntryChange:
-        """Return its entry as it is now."""
+        """Return the current list entry of the backend as a change."""
         entry = {
             "uid": self.backend_id,
             "endpoint": self.address,
@@ -84,7 +84,7 @@
             "capacity_hint": self.weight,
             "boot_ms": round(self.boot_ms),
         }
-        # A copy: what orjson gives holds on to 4 KB, and the service keeps one for each backend.
+        # Copied, since the bytes from orjson keep 4 KB allocated, and the service stores one per backend.
         data = bytes(memoryview(orjson.dumps(entry)))
         return EntryChange(self.backend_id, data, self.state == REMOVED)
 
@@ -92,8 +92,8 @@
 class SimulatedCluster:
     """The backends, and the discovery service that lists them.
 
-    `listed` holds those that the list names, `backends` also those that are gone, and `ended_by` the
-    revision that drained or removed each of them.
+    `listed` holds the backends in the list, and `backends` also those removed from it. `end_revisions` holds
+    the revision that drained or removed a backend, by backend id.
     """
 
     def __init__(
@@ -106,10 +106,10 @@
         self.discovery = SimulatedDiscovery(loop)
         self.listed: dict[str, SimulatedBackend] = {}
         self.backends: dict[str, SimulatedBackend] = {}
-        self.ended_by: dict[str, int] = {}
-        # From when to when (s) each region could not reach discovery, in order.
+        self.end_revisions: dict[str, int] = {}
+        # Start and end times (s) of the periods in which each region could not reach discovery, in order.
         self._outages: list[list[tuple[float, float]]] = [[] for _ in range(REGION_COUNT)]
-        self.separated_regions: frozenset[int] = frozenset()  # that the others can't reach
+        self.partitioned_regions: frozenset[int] = frozenset()  # unreachable from the other regions
         rack_size = min(RACK_SIZE, max(1, size // MIN_RACKS))
         for number in range(size):
             rack = number // rack_size
@@ -123,23 +123,23 @@
         return backend
 
     def publish(self, backends: list[SimulatedBackend]) -> None:
-        """Publish one new revision of the list, with these backends as they are now."""
+        """Publish a new revision of the list with the current entries of these backends."""
         if not backends:
             return
         revision = self.discovery.publish([backend.as_change() for backend in backends])
         for backend in backends:
             if backend.state == ACTIVE:
-                self.ended_by.pop(backend.backend_id, None)
+                self.end_revisions.pop(backend.backend_id, None)
                 self.listed[backend.backend_id] = backend
             else:
-                self.ended_by.setdefault(backend.backend_id, revision)
+                self.end_revisions.setdefault(backend.backend_id, revision)
             if backend.state == REMOVED:
                 self.listed.pop(backend.backend_id, None)
 
     def active_backends(
         self, matches: Callable[[SimulatedBackend], bool] = lambda backend: True
     ) -> list[SimulatedBackend]:
-        """Return those that match and are listed as active and up."""
+        """Return the matching backends that are listed as active and up."""
         return [
             backend
             for backend in self.listed.values()
@@ -147,7 +147,7 @@
         ]
 
     def drain(self, backends: list[SimulatedBackend]) -> None:
-        """Drain backends as planned; cold ones take their places."""
+        """Drain backends, and replace them with cold ones after the grace period."""
         for backend in backends:
             backend.state = DRAINING
         self.publish(backends)
@@ -155,7 +155,7 @@
         self.loop.call_later(after_s, self._replace, backends)
 
     def drain_active(self, backends: list[SimulatedBackend]) -> None:
-        """Drain those among them that are still active."""
+        """Drain the backends that are still active and up."""
         self.drain([backend for backend in backends if backend.state == ACTIVE and backend.is_up])
 
     def _replace(self, backends: list[SimulatedBackend]) -> None:
@@ -167,10 +167,10 @@
         self.publish([*backends, *added])
 
     def lose(self, backends: list[SimulatedBackend], returns_after_s: float | None = None) -> None:
-        """Let backends become unresponsive now; the list leaves them out once that is detected.
+        """Make backends unresponsive now; they are removed from the list once that is detected.
 
-        The same machines start again after `returns_after_s`; where that is None, others take their places
-        after REPLACEMENT_S.
+        The same machines start again after `returns_after_s`; if it is None, new machines replace them after
+        REPLACEMENT_S.
         """
         for backend in backends:
             backend.is_up = False
@@ -192,13 +192,13 @@
             backend.boot_ms = self.loop.now_ms()
         self.publish(backends)
 
-    def separate(self, regions: frozenset[int], duration_s: float) -> None:
-        """Cut regions off from the others and from discovery."""
-        self.separated_regions = regions
-        self.cut_discovery(regions, duration_s)
+    def partition(self, regions: frozenset[int], duration_s: float) -> None:
+        """Partition regions from the other regions and from discovery."""
+        self.partitioned_regions = regions
+        self.disconnect_discovery(regions, duration_s)
 
-    def cut_discovery(self, regions: frozenset[int], duration_s: float) -> None:
-        """Cut regions off from discovery."""
+    def disconnect_discovery(self, regions: frozenset[int], duration_s: float) -> None:
+        """Make discovery unreachable from regions."""
         self.discovery.unreachable_regions |= regions
         for region in regions:
             self._outages[region].append((self.loop.time(), inf))
@@ -206,15 +206,15 @@
 
     def _reconnect(self, regions: frozenset[int]) -> None:
         self.discovery.unreachable_regions -= regions
-        self.separated_regions = frozenset()
+        self.partitioned_regions = frozenset()
         for region in regions:
             started_at, _ = self._outages[region].pop()
             self._outages[region].append((started_at, self.loop.time()))
 
     def reachable_from(self, region: int, since: float, for_s: float = 0.0) -> float:
-        """Return the first moment (s) from `since` on from which a region reaches discovery for `for_s`.
+        """Return the earliest time (s) from `since` on at which a region can reach discovery for `for_s`.
 
-        It is infinite while that is not known.
+        The time is infinite while the region is disconnected.
         """
         reachable_at = since
         for started_at, ended_at in self._outages[region]:
@@ -223,26 +223,26 @@
         return reachable_at
 
     def attempt(self, backend_id: str, region: int, random: Random) -> AttemptOutcome:
-        """Draw how an attempt sent now from a region ends."""
+        """Return a random outcome of an attempt that is sent from a region now."""
         backend = self.backends[backend_id]
-        is_separated = (region in self.separated_regions) != (backend.region in self.separated_regions)
-        if not backend.is_up or is_separated:
-            # A machine taken down refuses; one that vanished does not respond.
+        is_partitioned = (region in self.partitioned_regions) != (backend.region in self.partitioned_regions)
+        if not backend.is_up or is_partitioned:
+            # A lost machine does not respond; once it is removed from the list, connections are refused.
             is_refused = not backend.is_up and backend.state != ACTIVE
             duration_ms = REFUSAL_MS if is_refused else self.settings.connect_timeout_ms
             return AttemptOutcome(AttemptResult.CONNECT_FAILED, duration_ms)
-        if backend.state == DRAINING and self._ended_for_ms(backend_id) > self.settings.drain_grace_ms:
+        if backend.state == DRAINING and self._time_since_end_ms(backend_id) > self.settings.drain_grace_ms:
             return AttemptOutcome(AttemptResult.REJECTED, REFUSAL_MS)
         slowness = COLD_SLOWNESS if self.is_cold(backend) else 1.0
         return AttemptOutcome(AttemptResult.OK, random.expovariate(1 / MEAN_SERVICE_MS) * slowness)
 
     def is_cold(self, backend: SimulatedBackend) -> bool:
-        """Whether a backend has started a short while ago."""
+        """Return whether a backend has started less than the cold period ago."""
         return backend.boot_ms > 0 and self.loop.now_ms() < backend.boot_ms + self.settings.cold_ms
 
-    def _ended_for_ms(self, backend_id: str) -> float:
-        """Return the time since the list drained or removed a backend; 0 for one that it did not."""
-        revision = self.ended_by.get(backend_id)
+    def _time_since_end_ms(self, backend_id: str) -> float:
+        """Return the time (ms) since a backend was drained or removed in the list; 0 if it was not."""
+        revision = self.end_revisions.get(backend_id)
         if revision is None:
             return 0.0
         return (self.loop.time() - self.discovery.published_at(revision)) * 1000
--- a/scale/fleet/discovery.py
+++ b/scale/fleet/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery service without sockets: revisions of one list, and the answers to watches as bytes."""
+"""A discovery service without sockets: the revisions of a list, and the responses to watches as bytes."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 from scale.fleet.clock import VirtualLoop
 from scale.fleet.metrics import PerSecondSeries
 
-MAX_WAIT_MS = 60_000  # the longest watch that the protocol allows
-MIN_KEPT_ENTRIES = 1000  # changed entries that are kept for watches, or half of the list if that is more
+MAX_WAIT_MS = 60_000  # longest watch timeout that the protocol allows
+MIN_HISTORY_ENTRIES = 1000  # changed entries kept for deltas, or half the length of the list if that is more
 
 
 class EntryChange(NamedTuple):
-    """A backend's new entry in the list."""
+    """A new list entry of a backend."""
 
     backend_id: str
     entry: bytes  # JSON
-    is_removed: bool  # it is no longer listed
+    is_removed: bool  # whether the entry removes the backend from the list
 
 
 class Caller(Protocol):
-    """A connection on which the service answers one call at a time."""
+    """A connection on which the service handles one request at a time."""
 
     def respond(self, body: bytes, revision: int | None) -> None:
-        """Write an answer; `revision` is the one that the proxy is notified of by it."""
+        """Write a response, which notifies the proxy of `revision`."""
 
 
 class _Watch(NamedTuple):
-    """An open call that waits for a revision after `since`."""
+    """An open request that waits for a revision after `since`."""
 
     since: int
     timer: asyncio.TimerHandle
 
 
 class SimulatedDiscovery:
-    """Revisions of one list; answers to the same question share their bytes.
+    """Revisions of a list; equal responses share their bytes.
 
-    A watch asks for what is newer than a revision and is answered with the changed entries, or with a
-    snapshot where that revision is older than the changes kept.
+    A watch requests the changes after a revision. It is answered with a delta, or with a snapshot if the
+    revision is older than the history of changes.
     """
 
     def __init__(self, loop: VirtualLoop) -> None:
@@ -48,23 +48,25 @@
         self.revision = 1
         self.unreachable_regions: set[int] = set()
         self.entries: dict[str, bytes] = {}
-        self._published_at: list[float] = [loop.time()]  # of each revision, the first at index 0
+        self._published_at: list[float] = [
+            loop.time()
+        ]  # time (s) of each revision; that of revision 1 is at index 0
         self.calls = PerSecondSeries()
         self.http_bytes = PerSecondSeries()
         self.snapshots_sent = 0
-        self._changes: deque[tuple[int, tuple[EntryChange, ...]]] = deque()
-        self._kept_entries = 0
-        self._oldest_revision = 1  # since which all changes are kept
+        self._history: deque[tuple[int, tuple[EntryChange, ...]]] = deque()
+        self._history_entries = 0
+        self._oldest_revision = 1  # oldest revision from which a delta is available
         self._watches: dict[Caller, _Watch] = {}
         self._snapshot = b""
-        self._deltas: dict[int, bytes] = {}  # by the revision that they start from
+        self._deltas: dict[int, bytes] = {}  # response bodies, by the revision that they follow
 
     def published_at(self, revision: int) -> float:
-        """Return when (s) a revision was published."""
+        """Return the time (s) at which a revision was published."""
         return self._published_at[revision - 1]
 
     def publish(self, changes: list[EntryChange]) -> int:
-        """Publish one new revision with these changes and answer the open watches. Returns the revision."""
+        """Publish a new revision with these changes, answer the open watches, and return the revision."""
         self.revision += 1
         self._published_at.append(self.loop.time())
         self._snapshot = b""
@@ -74,54 +76,54 @@
                 self.entries.pop(change.backend_id, None)
             else:
                 self.entries[change.backend_id] = change.entry
-        self._keep(tuple(changes))
+        self._record_changes(tuple(changes))
         watches, self._watches = self._watches, {}
         for caller, watch in watches.items():
             watch.timer.cancel()
             caller.respond(self.delta(watch.since), self.revision)
         return self.revision
 
-    def _keep(self, changes: tuple[EntryChange, ...]) -> None:
-        self._changes.append((self.revision, changes))
-        self._kept_entries += len(changes)
-        while self._changes and self._kept_entries > max(MIN_KEPT_ENTRIES, len(self.entries) // 2):
-            self._drop_oldest()
+    def _record_changes(self, changes: tuple[EntryChange, ...]) -> None:
+        self._history.append((self.revision, changes))
+        self._history_entries += len(changes)
+        while self._history and self._history_entries > max(MIN_HISTORY_ENTRIES, len(self.entries) // 2):
+            self._drop_oldest_changes()
 
-    def forget_changes(self) -> None:
-        """Keep no changes: every revision but the last is too old for a watch."""
-        while self._changes:
-            self._drop_oldest()
+    def clear_history(self) -> None:
+        """Drop the history, so that watches from any revision but the latest get a snapshot."""
+        while self._history:
+            self._drop_oldest_changes()
 
-    def _drop_oldest(self) -> None:
-        revision, changes = self._changes.popleft()
+    def _drop_oldest_changes(self) -> None:
+        revision, changes = self._history.popleft()
         self._oldest_revision = revision
-        self._kept_entries -= len(changes)
+        self._history_entries -= len(changes)
 
     def snapshot(self) -> bytes:
-        """Return the body of an answer with the whole list."""
+        """Return the body of a response with a snapshot."""
         if not self._snapshot:
-            self._snapshot = self._body(True, self.entries.values())
+            self._snapshot = self._encode_body(True, self.entries.values())
         return self._snapshot
 
     def delta(self, since: int) -> bytes:
-        """Return the body of the answer to a watch from a revision: its changes, or a snapshot."""
+        """Return the body of the response to a watch: a delta, or a snapshot if `since` is too old."""
         if not self._oldest_revision <= since <= self.revision:
             self.snapshots_sent += 1
             return self.snapshot()
         if since not in self._deltas:
             latest: dict[str, bytes] = {}
-            for revision, changes in self._changes:
+            for revision, changes in self._history:
                 if revision > since:
                     latest |= {change.backend_id: change.entry for change in changes}
-            self._deltas[since] = self._body(False, latest.values())
+            self._deltas[since] = self._encode_body(False, latest.values())
         return self._deltas[since]
 
-    def _body(self, is_snapshot: bool, entries: Iterable[bytes]) -> bytes:
+    def _encode_body(self, is_snapshot: bool, entries: Iterable[bytes]) -> bytes:
         head = b'{"rev":%d,"all":%b,"targets":[' % (self.revision, b"true" if is_snapshot else b"false")
         return head + b",".join(entries) + b"]}"
 
     def handle_call(self, caller: Caller, since: int | None, wait_ms: int) -> None:
-        """Answer a call, or let a watch wait for the next revision; without `since` it is no watch."""
+        """Respond to a request, or keep a watch open; `since` None requests a snapshot."""
         self.calls.add(self.loop.second(), 1)
         if since is None:
             self.snapshots_sent += 1
@@ -138,7 +140,7 @@
         caller.respond(self.delta(watch.since), self.revision)
 
     def cancel_watch(self, caller: Caller) -> None:
-        """Drop the watch of a connection that is gone."""
+        """Drop the watch of a closed connection."""
         watch = self._watches.pop(caller, None)
         if watch is not None:
             watch.timer.cancel()
--- a/scale/fleet/disruptions.py
+++ b/scale/fleet/disruptions.py
@@ -1,23 +1,24 @@
-"""What happens to a cluster: the ordinary day's churn, renewed weights, and the event of a run."""
+"""Disruptions of a cluster: regular churn, weight updates, and the event of a run."""
 
 from __future__ import annotations
 
 from scale.fleet.cluster import ACTIVE, REGION_COUNT, ZONE_COUNT, SimulatedBackend, SimulatedCluster
 
-SEPARATED_REGIONS = frozenset((3, 4))
-# For each machine and day, on an ordinary day at the size that is coming: 54,000 planned, 590 failures.
+PARTITIONED_REGIONS = frozenset((3, 4))
+# Per machine on an ordinary day: 54,000 planned replacements and 590 failures among 150,000 machines, the
+# planned size of the deployment.
 PLANNED_PER_DAY = 54_000 / 150_000
 FAILURES_PER_DAY = 590 / 150_000
 ENDED_PER_DAY = PLANNED_PER_DAY + FAILURES_PER_DAY
 DAY_S = 86_400
 RELEASE_STEPS = 5
-RELEASE_SHARE = 0.1  # of one service
+RELEASE_SHARE = 0.1  # share of the backends of one service that a release replaces
 DISCOVERY_OUTAGE_S = 8.0
-WEIGHT_INTERVAL_MS = (500.0, 900.0)  # between two renewals of all weights
+WEIGHT_INTERVAL_MS = (500.0, 900.0)  # range of the time between two updates of all weights
 
 
 class Disruptions:
-    """Draws what happens to a cluster from the cluster's own random numbers."""
+    """Disrupts a cluster at random, with the cluster's own random number generator."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
@@ -25,7 +26,7 @@
         self._loop = cluster.loop
 
     def start_churn(self, factor: float) -> None:
-        """Drain and lose single backends, so many times as often as on the ordinary day."""
+        """Drain and lose single backends, `factor` times as often as on an ordinary day."""
         rate_per_s = ENDED_PER_DAY / DAY_S * len(self._cluster.listed) * factor
         if rate_per_s > 0:
             self._loop.call_later(self._random.expovariate(rate_per_s), self._churn_one, factor)
@@ -40,7 +41,7 @@
         self.start_churn(factor)
 
     def renew_weights(self) -> None:
-        """Renew the weights of all backends now and again and again, in one new revision each time."""
+        """Update the weights of all backends now and periodically, in one new revision each time."""
         backends = list(self._cluster.listed.values())
         for backend in backends:
             backend.weight = round(self._random.uniform(0.5, 1.5), 3)
@@ -48,17 +49,17 @@
         self._loop.call_later(self._random.uniform(*WEIGHT_INTERVAL_MS) / 1000, self.renew_weights)
 
     def lose_rack(self) -> None:
-        """Lose the machines of one rack; others take their places."""
+        """Lose the machines of one rack, which are replaced by new ones."""
         rack = self._random.choice(self._cluster.active_backends()).rack
         self._cluster.lose(self._cluster.active_backends(lambda backend: backend.rack == rack))
 
     def lose_zone(self, duration_s: float) -> None:
-        """Lose the machines of one zone, which come back cold."""
+        """Lose the machines of one zone, which restart cold after `duration_s`."""
         zone = self._random.randrange(ZONE_COUNT)
         self._cluster.lose(self._cluster.active_backends(lambda backend: backend.zone == zone), duration_s)
 
     def release(self, duration_s: float) -> None:
-        """Replace a tenth of one service in steps."""
+        """Replace a tenth of the backends of one service in steps over `duration_s`."""
         service = self._random.randrange(self._cluster.services)
         members = self._cluster.active_backends(lambda backend: backend.service == service)
         count = max(1, round(len(members) * RELEASE_SHARE)) if members else 0
@@ -67,12 +68,12 @@
             delay_s = step * duration_s / RELEASE_STEPS
             self._loop.call_later(delay_s, self._cluster.drain_active, chosen[step::RELEASE_STEPS])
 
-    def split(self, duration_s: float) -> None:
-        """Let two regions lose the others and discovery, while a release goes on."""
-        self._cluster.separate(SEPARATED_REGIONS, duration_s)
-        self.release(duration_s)  # so that there is something to fall behind with
+    def partition_regions(self, duration_s: float) -> None:
+        """Partition two regions from the others and from discovery, during a release."""
+        self._cluster.partition(PARTITIONED_REGIONS, duration_s)
+        self.release(duration_s)  # changes that the partitioned regions miss until they reconnect
 
     def stop_discovery(self) -> None:
-        """Let all regions lose discovery for a while, in which a release goes on."""
-        self._cluster.cut_discovery(frozenset(range(REGION_COUNT)), DISCOVERY_OUTAGE_S)
+        """Make discovery unreachable from all regions for a while, during a release."""
+        self._cluster.disconnect_discovery(frozenset(range(REGION_COUNT)), DISCOVERY_OUTAGE_S)
         self.release(DISCOVERY_OUTAGE_S)
--- a/scale/fleet/figures.py
+++ b/scale/fleet/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a run: what it cost, how changes of the list spread, and what was counted."""
+"""The figures of a run: its costs, the propagation of list changes, and counters."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 from scale.fleet.plan import Plan
 from scale.fleet.proxy import SOCKET_SLACK_MS, SimulatedProxy
 
-IN_TRANSIT_S = 6.0  # for which a change may be on its way at the end without counting as missed
+IN_TRANSIT_S = 6.0  # age up to which a change that is still in transit at the end does not count as missed
 PHASES = ("start", "steady", "event")
 COST_LABELS = {
-    "cpu_ms": "processor ms, mean",
-    "cpu_ms_worst": "  in the worst second",
-    "cpu_ms_worst_proxy": "  of the worst proxy",
-    "bytes": "bytes, mean",
-    "bytes_worst": "  in the worst second",
-    "bytes_worst_proxy": "  of the worst proxy",
-    "calls": "calls on the service",
-    "calls_worst": "  in the worst second",
-    "service_bytes_worst": "its bytes, worst second",
+    "cpu_ms": "CPU ms, mean",
+    "cpu_ms_worst": "  worst second",
+    "cpu_ms_worst_proxy": "  worst proxy",
+    "bytes": "HTTP bytes, mean",
+    "bytes_worst": "  worst second",
+    "bytes_worst_proxy": "  worst proxy",
+    "calls": "discovery calls",
+    "calls_worst": "  worst second",
+    "service_bytes_worst": "  bytes, worst second",
 }
 
 
 class MemoryUse:
-    """The resident bytes of the process in the course of a run."""
+    """The resident memory of the process in the course of a run."""
 
     def __init__(self, before_bytes: int) -> None:
-        self.before_bytes = before_bytes  # the first proxy
-        self.started_bytes = before_bytes  # at the end of the start
+        self.before_bytes = before_bytes  # before the first proxy is created
+        self.started_bytes = before_bytes  # at the end of the start-up phase
         self.max_bytes = before_bytes
 
     def figures(self, proxies: int) -> dict[str, float]:
-        """Return the JSON object, in MB."""
+        """Return the memory use in MB, by the keys of the JSON output."""
         return {
             "mb_a_proxy": round((self.started_bytes - self.before_bytes) / proxies / 1e6, 3),
             "mb_a_proxy_most": round((self.max_bytes - self.before_bytes) / proxies / 1e6, 3),
@@ -49,16 +49,16 @@
 def collect_figures(
     plan: Plan, cluster: SimulatedCluster, proxies: list[SimulatedProxy], memory: MemoryUse, cpu_s: float
 ) -> dict[str, Any]:
-    """Return a JSON object; `a proxy` figures are means over the proxies unless they say otherwise."""
+    """Return the figures as a JSON object; `a_proxy` figures are means unless named otherwise."""
     discovery = cluster.discovery
     loop = cluster.loop
     metrics = [proxy.metrics for proxy in proxies]
     counts: Counter[str] = Counter()
-    for one in metrics:
-        counts.update(one.counts)
+    for proxy_metrics in metrics:
+        counts.update(proxy_metrics.counts)
     boundaries = (0, plan.started_at, plan.event_at, plan.seconds)
     phases = dict(zip(PHASES, map(range, boundaries, boundaries[1:]), strict=True))
-    reasons = f"{Count.FAILED_CALLS}: "
+    reasons = f"{Count.FAILED_DISCOVERY_CALLS}: "
     return {
         "plan": asdict(plan),
         "a_proxy_a_second": {
@@ -70,7 +70,7 @@
             "versions": discovery.revision,
             "wholes": discovery.snapshots_sent,
         },
-        "spread": propagation(plan, cluster, proxies),
+        "spread": propagation_figures(plan, cluster, proxies),
         "counts": {count.value: counts[count] for count in Count},
         "failures": {name: count for name, count in sorted(counts.items()) if name.startswith(reasons)},
         "other_errors": len(loop.errors),
@@ -83,10 +83,10 @@
 def phase_costs(
     cluster: SimulatedCluster, metrics: Sequence[ProxyMetrics], seconds: range
 ) -> dict[str, float]:
-    """Return what a proxy and the service cost a second in one phase of a run."""
+    """Return the cost per second of a proxy and of the discovery service in one phase of a run."""
     discovery = cluster.discovery
-    cpu_ms = [[one.cpu_s.at(second) * 1000 for one in metrics] for second in seconds]
-    http_bytes = [[one.http_bytes.at(second) for one in metrics] for second in seconds]
+    cpu_ms = [[proxy.cpu_s.at(second) * 1000 for proxy in metrics] for second in seconds]
+    http_bytes = [[proxy.http_bytes.at(second) for proxy in metrics] for second in seconds]
     return {
         "cpu_ms": round(mean([mean(row) for row in cpu_ms]), 3),
         "cpu_ms_worst": round(max(mean(row) for row in cpu_ms), 3),
@@ -100,12 +100,15 @@
     }
 
 
-def propagation(plan: Plan, cluster: SimulatedCluster, proxies: list[SimulatedProxy]) -> dict[str, Any]:
-    """Return how long (ms) changes since the end of the start took to each proxy.
+def propagation_figures(
+    plan: Plan, cluster: SimulatedCluster, proxies: list[SimulatedProxy]
+) -> dict[str, Any]:
+    """Return the propagation times (ms) to each proxy of list changes after the start-up phase.
 
-    The time counts from the change's moment or the proxy's start, over those `held`; for `reached`, from when
-    its region could reach the service. `overdue` are those that a proxy had not applied as it counted as
-    notified; `missed` those that it had not applied at the end, without changes of the last seconds.
+    The time counts from the publication of a change or the start of the proxy, whichever is later, over the
+    `held` changes, which the proxy has applied; for `reached`, from when its region could reach discovery.
+    `overdue` changes were not applied when the proxy counted as notified. `missed` changes were not applied
+    at the end of the run, except for changes of the last IN_TRANSIT_S.
     """
     waits_ms: list[float] = []
     reachable_waits_ms: list[float] = []
@@ -141,39 +144,39 @@
 
 
 def mean(values: list[float]) -> float:
-    """Return the mean; 0 of none."""
+    """Return the mean; 0 if there are no values."""
     return sum(values) / max(len(values), 1)
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return the least value that `share` of them do not exceed; 0 of none."""
+    """Return the smallest value that `share` of the values do not exceed; 0 if there are no values."""
     return sorted(values)[max(ceil(len(values) * share) - 1, 0)] if values else 0.0
 
 
 def format_figures(figures: dict[str, Any]) -> str:
-    """Return the figures for a person, in lines."""
+    """Return the figures as printed text."""
     plan = figures["plan"]
     memory = figures["memory"]
     spread = figures["spread"]
     listed = figures["list"]
-    mode = "pushed" if plan["pushed"] else "asked for"
+    mode = "pushed" if plan["pushed"] else "polled"
     weights = ", live weights" if plan["weights"] else ""
     lines = [
-        f"{plan['proxies']} hollow proxies (the settings name {plan['tier'] or plan['proxies']}), "
+        f"{plan['proxies']} simulated proxies (tier of {plan['tier'] or plan['proxies']} in the settings), "
         f"{plan['backends']} backends, {plan['seconds']} s, seed {plan['seed']}, lists {mode}{weights}",
-        f"event: {plan['event']}; the whole list {listed['bytes'] / 1e6:.3f} MB, "
-        f"{listed['versions']} versions, {listed['wholes']} whole lists sent",
-        f"{'a proxy a second':24}" + "".join(f"{phase:>14}" for phase in PHASES),
+        f"event: {plan['event']}; snapshot {listed['bytes'] / 1e6:.3f} MB, "
+        f"{listed['versions']} revisions, {listed['wholes']} snapshots sent",
+        f"{'per proxy per second':24}" + "".join(f"{phase:>14}" for phase in PHASES),
     ]
     for key, label in COST_LABELS.items():
         values = [figures["a_proxy_a_second"][phase][key] for phase in PHASES]
         lines.append(f"{label:24}" + "".join(f"{value:>14}" for value in values))
     lines += [
-        f"memory a proxy: {memory['mb_a_proxy']} MB started, {memory['mb_a_proxy_most']} MB at most "
+        f"memory per proxy: {memory['mb_a_proxy']} MB after start-up, {memory['mb_a_proxy_most']} MB maximum "
         f"(process {memory['mb_most']} MB)",
-        f"a change at 99 in 100 proxies after {spread['p99_ms']} ms, at the last after {spread['last_ms']}; "
-        f"once reachable {spread['reached_p99_ms']} and {spread['reached_last_ms']} ms; "
-        f"{spread['changes']} changes, held {spread['held']}, overdue {spread['overdue']}, "
+        f"propagation of changes: p99 {spread['p99_ms']} ms, maximum {spread['last_ms']} ms; "
+        f"once reachable p99 {spread['reached_p99_ms']} ms, maximum {spread['reached_last_ms']} ms; "
+        f"{spread['changes']} changes, applied {spread['held']}, overdue {spread['overdue']}, "
         f"missed {spread['missed']}",
         ", ".join(f"{name} {count}" for name, count in figures["counts"].items()),
         f"other errors {figures['other_errors']}, process {figures['process_s']} s",
--- a/scale/fleet/metrics.py
+++ b/scale/fleet/metrics.py
@@ -1,4 +1,4 @@
-"""What one simulated proxy used, was notified of and did, second by second."""
+"""Metrics of a simulated proxy: resource use per second, list revisions and counters."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Count(StrEnum):
-    """What is counted of each proxy; the values are keys of the JSON."""
+    """Counters of each proxy; the values are keys in the JSON output."""
 
     REQUESTS = "requests"
     SERVED = "served"
@@ -18,20 +18,20 @@
     UNANSWERED = "unanswered"
     FORWARDS = "sends"
     FORWARDS_AFTER_GRACE = "sends after grace"
-    FORWARDS_TO_GONE = "sends to gone"
+    FORWARDS_TO_STOPPED = "sends to gone"
     FORWARDS_TO_COLD = "sends to cold"
-    FAILED_CALLS = "failed calls"
+    FAILED_DISCOVERY_CALLS = "failed calls"
     BALANCER_ERRORS = "module exceptions"
 
 
 class PerSecondSeries:
-    """Amounts by whole second of the run; seconds without any are 0."""
+    """Amounts per whole second of the run; 0 for seconds without any."""
 
     def __init__(self) -> None:
         self._amounts: list[float] = []
 
     def add(self, second: int, amount: float) -> None:
-        """Add to the amount of a second, counted from the start of the run."""
+        """Add `amount` to a second, which is counted from the start of the run."""
         if second >= len(self._amounts):
             self._amounts.extend([0.0] * (second + 1 - len(self._amounts)))
         self._amounts[second] += amount
@@ -42,7 +42,7 @@
 
 
 class RevisionTimes:
-    """Revisions of the list with the time (s) at which each came, both rising."""
+    """Revisions of the list with the time (s) at which each was received, both in ascending order."""
 
     def __init__(self) -> None:
         self._revisions: list[int] = []
@@ -50,36 +50,39 @@
 
     @property
     def latest(self) -> int | None:
-        """The last revision that came."""
+        """The latest revision; None if there is none."""
         return self._revisions[-1] if self._revisions else None
 
     def record(self, revision: int, now: float) -> None:
-        """Record a revision if it is newer than all before."""
+        """Record a revision if it is newer than the latest one."""
         if self.latest is None or revision > self.latest:
             self._revisions.append(revision)
             self._times.append(now)
 
     def first_at(self, revision: int) -> float | None:
-        """Return when that revision or a later one came first; None if none has."""
+        """Return the time at which that revision or a later one was first received; None if none was."""
         index = bisect_left(self._revisions, revision)
         return self._times[index] if index < len(self._times) else None
 
 
 class ProxyMetrics:
-    """One proxy's figures. Processor time is in seconds; bytes are those of HTTP, with no TCP/IP headers."""
+    """Metrics of one proxy; bytes are those of HTTP, without TCP/IP headers."""
 
     def __init__(self) -> None:
         self.cpu_s = PerSecondSeries()
         self.http_bytes = PerSecondSeries()
-        self.counts: Counter[str] = Counter()  # by Count, and by the reason of a failed call
+        self.counts: Counter[str] = Counter()  # by Count; failed discovery calls also by reason
         self.restart(0.0)
 
     def restart(self, now: float) -> None:
-        """Begin a new process (at `now`, s), which has been notified of nothing and holds nothing."""
+        """Reset the start time to `now` (s) and drop the revisions, since a new process has none."""
         self.started_at = now
-        self.notified = RevisionTimes()  # whole answers of discovery
-        self.applied = RevisionTimes()  # lists that the balancer was given
+        self.notified = RevisionTimes()  # revisions of complete discovery responses
+        self.applied = RevisionTimes()  # revisions passed to the balancer
 
 
 CURRENT_METRICS: ContextVar[ProxyMetrics | None] = ContextVar("CURRENT_METRICS", default=None)
-"""Of the proxy whose callbacks run: tasks, timers and connections inherit it; None: the simulation's."""
+"""Metrics of the proxy whose callback runs; inherited by tasks, timers and connections.
+
+None while a callback of the simulation itself runs.
+"""
--- a/scale/fleet/network.py
+++ b/scale/fleet/network.py
@@ -1,4 +1,4 @@
-"""Simulated connections of proxies to the discovery service: HTTP as bytes, over paths that can be cut."""
+"""Simulated connections to the discovery service, which carry HTTP as bytes and can be partitioned."""
 
 from __future__ import annotations
 
@@ -11,28 +11,30 @@
 from scale.fleet.metrics import CURRENT_METRICS, ProxyMetrics
 
 LIST_PATH = "/registry/instances"
-ONE_WAY_S = 0.001  # from a proxy to the service or back
-BANDWIDTH_BYTES_PER_S = 125_000_000  # of one proxy's connection: a gigabit a second
-READ_BYTES = 64 * 1024  # that one read of a socket brings
+ONE_WAY_DELAY_S = 0.001  # latency from a proxy to the service, and from the service to a proxy
+BANDWIDTH_BYTES_PER_S = 125_000_000  # per connection: one gigabit per second
+READ_BYTES = 64 * 1024  # maximum size of a read from a socket
 RESPONSE_HEAD = b"HTTP/1.1 %b\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 HEAD_END = b"\r\n\r\n"
-UNCONNECTED_SOCKET = socket.socket()  # list code that ends its sending asks a transport for one
+UNCONNECTED_SOCKET = (
+    socket.socket()
+)  # returned by transports, since the discovery client shuts down the socket's sending side
 
 
 class RegionEndpoint:
-    """The service as one region reaches it: what crosses a cut is lost, and connecting hangs."""
+    """The service as reached from one region; while unreachable, data is lost and connecting hangs."""
 
     def __init__(self, discovery: SimulatedDiscovery, region: int) -> None:
         self.discovery = discovery
         self._region = region
 
     def is_unreachable(self) -> bool:
-        """Whether the region is cut off from the service."""
+        """Return whether the service is unreachable from the region."""
         return self._region in self.discovery.unreachable_regions
 
     async def accept(self, protocol: asyncio.Protocol) -> asyncio.Transport:
-        """Connect a proxy's protocol, after a round trip."""
-        await asyncio.sleep(2 * ONE_WAY_S)
+        """Connect a proxy's protocol after a round trip; never return if the service is unreachable."""
+        await asyncio.sleep(2 * ONE_WAY_DELAY_S)
         if self.is_unreachable():
             await self.discovery.loop.create_future()
         connection = DiscoveryConnection(self, protocol)
@@ -41,7 +43,7 @@
 
 
 class ClientTransport(asyncio.Transport):
-    """The proxy's end of a connection."""
+    """The proxy's side of a connection."""
 
     def __init__(self, connection: DiscoveryConnection) -> None:
         super().__init__({"socket": UNCONNECTED_SOCKET})
@@ -49,20 +51,20 @@
         self._is_closing = False
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send bytes of a call."""
+        """Send bytes to the service."""
         self._connection.receive_later(bytes(data))
 
     def pause_reading(self) -> None:
-        """Do nothing: data comes by the clock, and a pause of a turn of the loop changes nothing."""
+        """Do nothing: data arrives at fixed times, and a pause of one loop iteration has no effect."""
 
     def resume_reading(self) -> None:
         """Do nothing: see `pause_reading`."""
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Do nothing: a write is sent as a whole."""
+        """Do nothing: writes are not buffered."""
 
     def is_closing(self) -> bool:
-        """Whether the proxy has closed the connection."""
+        """Return whether the proxy has closed the connection."""
         return self._is_closing
 
     def close(self) -> None:
@@ -77,7 +79,7 @@
 
 
 class DiscoveryConnection:
-    """The service's end of a connection, one call at a time."""
+    """The service's side of a connection, which handles one request at a time."""
 
     def __init__(self, endpoint: RegionEndpoint, protocol: asyncio.Protocol) -> None:
         self._endpoint = endpoint
@@ -86,22 +88,24 @@
         self._loop = endpoint.discovery.loop
         self._metrics: ProxyMetrics | None = CURRENT_METRICS.get()
         self._proxy_context = copy_context()
-        self._service_context = copy_context()  # the service's processor time is nobody's
+        self._service_context = copy_context()  # processor time of the service counts for no proxy
         self._service_context.run(CURRENT_METRICS.set, None)
         self._buffer = b""
         self.client_transport = ClientTransport(self)
 
     def receive_later(self, data: bytes) -> None:
-        """Take bytes that the proxy sends now."""
+        """Receive bytes, which the proxy sends now, after the one-way delay."""
         self._count_bytes(len(data))
         if not self._endpoint.is_unreachable():
-            self._loop.call_later(ONE_WAY_S, self._receive, data, context=self._service_context)
+            self._loop.call_later(ONE_WAY_DELAY_S, self._receive, data, context=self._service_context)
 
     def close_later(self) -> None:
-        """End the connection, which the proxy closes now."""
+        """Close the connection, which the proxy closes now, after the one-way delay."""
         self._loop.call_soon(self._protocol.connection_lost, None)
-        # Also across a cut: the service would hold the watch of a proxy that is gone until its time.
-        self._loop.call_later(ONE_WAY_S, self._discovery.cancel_watch, self, context=self._service_context)
+        # Not lost if unreachable: the service would keep the watch of a closed connection until its timeout.
+        self._loop.call_later(
+            ONE_WAY_DELAY_S, self._discovery.cancel_watch, self, context=self._service_context
+        )
 
     def _count_bytes(self, size: int) -> None:
         second = self._loop.second()
@@ -130,17 +134,17 @@
         self._discovery.handle_call(self, since, wait_ms)
 
     def respond(self, body: bytes, revision: int | None, status: bytes = b"200 OK") -> None:
-        """Send an answer; the proxy is notified of `revision` once the last byte is there."""
+        """Send a response; the proxy counts as notified of `revision` once it is complete."""
         if self.client_transport.is_closing() or self._endpoint.is_unreachable():
             return
-        sent = READ_BYTES // 2  # of the body, behind the head
+        sent = READ_BYTES // 2  # bytes of the body in the first chunk, after the head
         first = RESPONSE_HEAD % (status, len(body)) + body[:sent]
-        self._deliver_later(ONE_WAY_S, first, body, sent, revision)
+        self._deliver_later(ONE_WAY_DELAY_S, first, body, sent, revision)
 
     def _deliver_later(
         self, delay_s: float, chunk: bytes, body: bytes, sent: int, revision: int | None
     ) -> None:
-        """Send a chunk of the answer, after which `sent` bytes of the body are out."""
+        """Send a chunk of the response, with which `sent` bytes of the body have been sent."""
         arrives_s = delay_s + len(chunk) / BANDWIDTH_BYTES_PER_S
         self._loop.call_later(
             arrives_s, self._deliver, chunk, body, sent, revision, context=self._proxy_context
--- a/scale/fleet/plan.py
+++ b/scale/fleet/plan.py
@@ -1,17 +1,17 @@
-"""What a run of the fleet is to do."""
+"""The plan of a fleet run: its options and their validation."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-MIN_SECONDS = 30  # of a run: the event comes after a third, and half of that is given to the start
+MIN_SECONDS = 30  # minimum duration: the event begins after a third, and the start-up phase is half of that
 
 
 class FleetEvent(StrEnum):
-    """What happens after a third of a run; the values are those of the command line and the JSON."""
+    """The event after a third of a run; the values are used on the command line and in the JSON output."""
 
-    STEADY = "steady"  # nothing
+    STEADY = "steady"  # no event
     RACK = "rack"
     ZONE = "zone"
     RELEASE = "release"
@@ -21,14 +21,14 @@
 
 
 class InvalidPlanError(Exception):
-    """A plan that can't be run here; the message is for a person."""
+    """A plan that can't be run; the message is for the user."""
 
 
 @dataclass(frozen=True)
 class Plan:
-    """The options of the command line, by the same names.
+    """The command line options, under the same names.
 
-    Sizes are whole numbers, times seconds of the virtual clock, rates a second.
+    Times are in seconds of the virtual clock unless named otherwise, rates are per second.
     """
 
     backends: int = 1000
@@ -39,23 +39,23 @@
     pushed: bool = False
     weights: bool = False
     rate: float = 3.0  # requests to each proxy
-    churn: float = 1.0  # times the ordinary day's
-    services: int = 1  # into which the backends fall; a release replaces a tenth of one
-    tier: int = 0  # proxies that the settings name; 0 for as many as there are
-    lasting: float = 0.0  # of a lost zone or a cut; 0 for a third of the run
+    churn: float = 1.0  # multiple of the churn on an ordinary day
+    services: int = 1  # number of services of the backends; a release replaces a tenth of one
+    tier: int = 0  # number of proxies in the settings; 0: `proxies`
+    lasting: float = 0.0  # duration of a zone outage or partition; 0: a third of the run
     grace_ms: float = 1000.0
-    frozen: int = 0  # proxies with the planted fault
-    memory_mb: float = 0.0  # to end the run at; 0 for half of the machine's
+    frozen: int = 0  # number of proxies that ignore list updates, as an injected fault
+    memory_mb: float = 0.0  # memory limit of the run; 0: half of the machine's memory
 
     def check(self) -> None:
-        """Raise InvalidPlanError for what can't be run."""
+        """Raise InvalidPlanError if the plan can't be run."""
         for name in ("backends", "proxies", "services"):
             if getattr(self, name) < 1:
                 raise InvalidPlanError(f"{name} must be at least 1")
         if self.seconds < MIN_SECONDS:
             raise InvalidPlanError(f"seconds must be at least {MIN_SECONDS}")
         if self.event not in list(FleetEvent):
-            raise InvalidPlanError(f"event is unknown: {self.event!r}")
+            raise InvalidPlanError(f"event {self.event!r} is unknown")
         for name in ("rate", "churn", "tier", "lasting", "frozen", "memory_mb"):
             if not 0 <= getattr(self, name) < float("inf"):
                 raise InvalidPlanError(f"{name} must not be negative or infinite")
@@ -66,20 +66,20 @@
 
     @property
     def event_at(self) -> int:
-        """The second in which the event begins."""
+        """The second at which the event begins."""
         return self.seconds // 3
 
     @property
     def started_at(self) -> int:
-        """The second in which the start is over."""
+        """The second at which the start-up phase ends."""
         return self.event_at // 2
 
     @property
     def event_duration_s(self) -> float:
-        """How long a lost zone or a cut lasts."""
+        """The duration of a zone outage or partition."""
         return self.lasting or self.seconds / 3
 
     @property
     def configured_proxies(self) -> int:
-        """The number of proxies that the settings name."""
+        """The number of proxies in the settings."""
         return self.tier or self.proxies
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -1,4 +1,4 @@
-"""A simulated proxy: real balancer, real list code; its clients and backends are drawn at random."""
+"""A simulated proxy with the real balancer and discovery client; its requests and outcomes are random."""
 
 from __future__ import annotations
 
@@ -43,17 +43,17 @@
 OBJECTIVE_MS = 300.0
 DEADLINE_MS = 1000.0
 MAX_ATTEMPTS = 3
-NOTIFICATION_LIMIT_S = 6.0  # after which a proxy counts as notified of what discovery could tell it
-SOCKET_SLACK_MS = 50.0  # by which each limit on sockets may exceed the settings
-BALANCER_RESTART_S = 0.1  # until another balancer follows one that failed, as in the real engine
-MEMORY_MB = 128.0  # of each proxy at the target size: a list as long as that allows is read
+NOTIFICATION_LIMIT_S = 6.0  # time after which a proxy that can reach discovery counts as notified
+SOCKET_SLACK_MS = 50.0  # time by which socket operations may exceed each limit in the settings
+BALANCER_RESTART_S = 0.1  # delay until a failed balancer is replaced, as in the real engine
+MEMORY_MB = 128.0  # memory limit of each proxy in the target deployment, which bounds the list that it reads
 SEED_STRIDE = 100_003
 
-assert REGION_COUNT <= 256  # addresses hold the region in one byte
+assert REGION_COUNT <= 256  # the region is one byte of an address
 
 
 def proxy_settings(number: int, tier: int, pushed: bool, cluster: ClusterSettings) -> dict[str, Any]:
-    """Return the settings object that the platform would give to this proxy of `tier` proxies."""
+    """Return the settings object of proxy `number` in a tier of `tier` proxies."""
     return {
         "Lanes": [
             {"Name": "lookup", "AimMs": OBJECTIVE_MS, "HardLimitMs": DEADLINE_MS, "Effect": "read_like"}
@@ -78,7 +78,7 @@
 
 
 def discovery_address(region: int) -> tuple[str, int]:
-    """Return where proxies of a region reach discovery."""
+    """Return the address of discovery for the proxies of a region."""
     return f"10.255.{region}.1", 80
 
 
@@ -86,25 +86,25 @@
 class RequestState:
     """A request that has attempts in flight or no final response."""
 
-    attempts: int = 0  # begun so far
+    attempts: int = 0  # number of attempts so far
     in_flight: int = 0
     is_done: bool = False
 
 
 @dataclass(frozen=True)
 class ProxyOptions:
-    """What all proxies of a run have in common."""
+    """Options shared by all proxies of a run."""
 
     seed: int
-    tier: int  # proxies that the settings name
-    pushed: bool  # lists are pushed by an agent
-    rate: float  # requests a second
+    tier: int  # number of proxies in the settings
+    pushed: bool  # whether an agent pushes the lists
+    rate: float  # requests per second
 
 
 class SimulatedProxy:
-    """One proxy. `frozen` plants a fault: whatever list comes after its first is not passed on.
+    """A simulated proxy; `frozen` injects a fault: lists after the cached one are ignored.
 
-    Callbacks carry the incarnation in which they were scheduled, and do nothing in a later one.
+    Callbacks carry the incarnation in which they were scheduled, and do nothing in a later incarnation.
     """
 
     def __init__(
@@ -125,11 +125,11 @@
         self._discovery: DiscoveryClient | None = None
 
     def start(self, cached: bytes) -> None:
-        """Start a new process with this cached list, as its configuration would hold it."""
+        """Start a new process with a cached list, as from its configuration."""
         self._loop.call_soon(self._start, cached, context=self._context)
 
     def stop(self) -> None:
-        """Kill the process: nothing of it runs on."""
+        """Kill the process and stop all of its callbacks."""
         self._incarnation += 1
         if self._discovery is not None:
             self._discovery.close()
@@ -138,7 +138,7 @@
     def _start(self, cached: bytes) -> None:
         self.stop()
         self.metrics.restart(self._loop.time())
-        # The program reads its configuration at the start only; a whole list is not shared between proxies.
+        # The real proxy reads its configuration only at the start, and shares its list with no other proxy.
         self._settings = read_settings(self._raw_settings)
         wire = read_proxy_settings(self._raw_settings)
         update = read_list_update(orjson.loads(cached), wire)
@@ -171,9 +171,9 @@
             self._discovery.watch()
         if self._options.rate > 0:
             delay_s = self._random.expovariate(self._options.rate)
-            self._loop.call_later(delay_s, self._arrive, self._incarnation)
+            self._loop.call_later(delay_s, self._on_arrival, self._incarnation)
 
-    # The list
+    # List updates
 
     def _on_list(self, update: EndpointListUpdate) -> None:
         if not self._is_frozen:
@@ -187,8 +187,8 @@
         self._schedule_step()
 
     def _on_discovery_failure(self, reason: str) -> None:
-        self.metrics.counts[Count.FAILED_CALLS] += 1
-        self.metrics.counts[f"{Count.FAILED_CALLS}: {reason}"] += 1
+        self.metrics.counts[Count.FAILED_DISCOVERY_CALLS] += 1
+        self.metrics.counts[f"{Count.FAILED_DISCOVERY_CALLS}: {reason}"] += 1
         self._list_updates.append(BackendListUpdate(ListUpdateKind.FAILED))
         self._schedule_step()
 
@@ -216,14 +216,16 @@
             self._replace_balancer()
             return
         for action in actions:
-            self._carry_out(action)
+            self._execute(action)
 
     def _replace_balancer(self) -> None:
-        """Let another balancer take over with the list that the pools have, as in the real engine."""
+        """Replace a failed balancer; the new one gets the connection pool's list, as in the real engine."""
         counts = self.metrics.counts
         if not counts[Count.BALANCER_ERRORS]:
             print(
-                f"fleet: the module of proxy {self._number} broke\n{traceback.format_exc()}", file=sys.stderr
+                f"fleet: the balancer of proxy {self._number} failed and is replaced; further failures are "
+                f"only counted\n{traceback.format_exc()}",
+                file=sys.stderr,
             )
         counts[Count.BALANCER_ERRORS] += 1
         self._incarnation += 1
@@ -236,7 +238,7 @@
         self._loop.call_later(BALANCER_RESTART_S, self._step, self._incarnation)
         self._start_load()
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if isinstance(action, Forward):
             self._forward(action)
         elif isinstance(action, SetTimer):
@@ -253,7 +255,7 @@
 
     # Requests
 
-    def _arrive(self, incarnation: int) -> None:
+    def _on_arrival(self, incarnation: int) -> None:
         if incarnation != self._incarnation:
             return
         self._arrivals += 1
@@ -262,7 +264,7 @@
         self.metrics.counts[Count.REQUESTS] += 1
         self._notify(RequestArrived(request_id, 0, 0, None, self._loop.now_ms() + DEADLINE_MS))
         self._loop.call_later(DEADLINE_MS / 1000, self._on_deadline, request_id, incarnation)
-        self._loop.call_later(self._random.expovariate(self._options.rate), self._arrive, incarnation)
+        self._loop.call_later(self._random.expovariate(self._options.rate), self._on_arrival, incarnation)
 
     def _on_deadline(self, request_id: str, incarnation: int) -> None:
         request = self._requests.get(request_id)
@@ -311,25 +313,25 @@
             del self._requests[request_id]
 
     def _count_forward(self, backend_id: str) -> None:
-        """Count an attempt by what discovery had published of its backend."""
+        """Count a forward, also by the state of its backend."""
         counts = self.metrics.counts
         backend = self._cluster.backends[backend_id]
         counts[Count.FORWARDS] += 1
         if not backend.is_up:
-            counts[Count.FORWARDS_TO_GONE] += 1
+            counts[Count.FORWARDS_TO_STOPPED] += 1
         if self._cluster.is_cold(backend):
             counts[Count.FORWARDS_TO_COLD] += 1
-        revision = self._cluster.ended_by.get(backend_id)
+        revision = self._cluster.end_revisions.get(backend_id)
         if revision is not None and backend.state != ACTIVE:
             grace_ms = self._cluster.settings.drain_grace_ms + SOCKET_SLACK_MS
             if self._loop.now_ms() > self.notified_at(revision) * 1000 + grace_ms:
                 counts[Count.FORWARDS_AFTER_GRACE] += 1
 
     def notified_at(self, revision: int) -> float:
-        """Return when (s) this proxy counts as notified of a revision.
+        """Return the time (s) at which this proxy counts as notified of a revision.
 
-        That is as the revision came, or at the latest 6 s after discovery had it and could be reached; where
-        lists are pushed, as soon as that.
+        That is when it received the revision, but at the latest 6 s after the revision was published and
+        discovery reachable; if lists are pushed, as soon as discovery is reachable.
         """
         received_at = self.metrics.notified.first_at(revision)
         published_at = max(self._cluster.discovery.published_at(revision), self.metrics.started_at)
--- a/scale/fleet/run.py
+++ b/scale/fleet/run.py
@@ -1,4 +1,4 @@
-"""One run: a cluster, its proxies, and one event."""
+"""A fleet run: a cluster, its proxies and an event."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from scale.fleet.proxy import ProxyOptions, SimulatedProxy, discovery_address
 from scale.process_memory import resident_bytes
 
-RESTART_DELAY_S = 0.5  # between the end of all proxies and their new start
-FIRST_WEIGHTS_S = 1.0
-PROGRESS_INTERVAL_S = 10.0  # of real time between two lines of progress
+RESTART_DELAY_S = 0.5  # time from the stop of all proxies to their restart
+FIRST_WEIGHTS_S = 1.0  # time of the first weight update
+PROGRESS_INTERVAL_S = 10.0  # real time between two progress messages
 MEMORY_CHECKS_AT_START = 20
 
 
 class Fleet:
-    """The proxies of one run and all that surrounds them."""
+    """The proxies of one run, their cluster and their event loop."""
 
     def __init__(self, plan: Plan) -> None:
         plan.check()
@@ -46,7 +46,7 @@
         ]
 
     def run(self) -> dict[str, Any]:
-        """Run the whole plan and return its figures. InvalidPlanError where memory does not suffice."""
+        """Run the plan and return its figures; raise InvalidPlanError if the memory limit is exceeded."""
         plan = self.plan
         progress = ProgressReport(self.plan.seconds)
         self._start_proxies()
@@ -58,7 +58,7 @@
             self._check_memory()
             if second == plan.started_at:
                 gc.collect()
-                gc.freeze()  # as the program does once it has started
+                gc.freeze()  # as the real proxy does after its start
                 self._memory.started_bytes = resident_bytes()
             if second == plan.event_at:
                 self._begin_event()
@@ -67,7 +67,7 @@
         return collect_figures(plan, self.cluster, self.proxies, self._memory, process_time())
 
     def _start_proxies(self) -> None:
-        """Start them over a second of the clock, not all in one moment."""
+        """Start the proxies spread over a second of the clock."""
         check_interval = max(1, len(self.proxies) // MEMORY_CHECKS_AT_START)
         for number, proxy in enumerate(self.proxies):
             self.loop.run_until(ORIGIN_S + number / len(self.proxies))
@@ -80,7 +80,7 @@
         if self._memory.max_bytes > self._max_memory_bytes:
             used_mb = self._memory.max_bytes / 1e6
             allowed_mb = self._max_memory_bytes / 1e6
-            raise InvalidPlanError(f"memory: {used_mb:.0f} MB is more than the {allowed_mb:.0f} allowed")
+            raise InvalidPlanError(f"memory use of {used_mb:.0f} MB exceeds the limit of {allowed_mb:.0f} MB")
 
     def _begin_event(self) -> None:
         plan = self.plan
@@ -95,38 +95,38 @@
             case FleetEvent.RELEASE:
                 disruptions.release(plan.seconds / 3)
             case FleetEvent.SPLIT:
-                disruptions.split(plan.event_duration_s)
+                disruptions.partition_regions(plan.event_duration_s)
             case FleetEvent.DOWN:
                 disruptions.stop_discovery()
             case FleetEvent.RESTART:
                 self._restart_proxies()
 
     def _restart_proxies(self) -> None:
-        """Start all proxies anew with a list that is older than any change discovery has kept."""
+        """Restart all proxies with a cached list that is older than discovery's history of changes."""
         for proxy in self.proxies:
             proxy.stop()
         self.cluster.drain_active(self.cluster.active_backends()[:1])
-        self.cluster.discovery.forget_changes()
+        self.cluster.discovery.clear_history()
         for proxy in self.proxies:
             self.loop.call_later(RESTART_DELAY_S, proxy.start, self._cached_list)
 
 
 class ProgressReport:
-    """Prints a line on standard error now and then."""
+    """Prints the progress of a run to standard error at intervals."""
 
     def __init__(self, seconds: int) -> None:
         self._seconds = seconds
         self._started_at = self._printed_at = monotonic()
 
     def update(self, second: int, max_memory_bytes: int) -> None:
-        """Print how far the run is if the last line is long ago."""
+        """Print the progress if the interval since the last message has passed."""
         now = monotonic()
         if now - self._printed_at > PROGRESS_INTERVAL_S:
             self._printed_at = now
-            took = f"{now - self._started_at:.0f} s real, {max_memory_bytes / 1e6:.0f} MB"
-            print(f"fleet: {second} of {self._seconds} s, {took}", file=sys.stderr, flush=True)
+            used = f"{now - self._started_at:.0f} s of real time, {max_memory_bytes / 1e6:.0f} MB"
+            print(f"fleet: simulated {second} of {self._seconds} s in {used}", file=sys.stderr, flush=True)
 
 
 def half_of_machine_memory() -> int:
-    """Return half of the machine's memory, in bytes."""
+    """Return half of the machine's physical memory in bytes."""
     return os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") // 2
--- a/scale/load.py
+++ b/scale/load.py
@@ -1,4 +1,4 @@
-"""`load`: what a real proxy adds to a request, at several rates, and what it costs in processor time."""
+"""The command `load`: measures the latency and processor time that a real proxy adds at several rates."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
     HISTOGRAMS,
     TARGET_RATE,
     format_report,
+    format_verdict,
     percentiles_ms,
     summarize_runs,
-    verdict,
 )
 from scale.measurement import MeasurementError
 from scale.proxy_process import ProxyProcess
 from scale.stub_discovery import StubDiscovery
 
-WARM_S = 1.0  # before that which is counted
+WARM_UP_S = 1.0  # at the start of each run; requests due in it do not count
 DEADLINE_MS = 3000
 MAX_RATE = 100_000
 
-Runs = dict[tuple[float, str], list[dict[str, Any]]]  # by rate and path, repeat by repeat
+Runs = dict[tuple[float, str], list[dict[str, Any]]]  # results of each repeat, by rate and path
 
 
 @dataclass(frozen=True)
 class RunPlan:
-    """The arguments that a result depends on, as they stand in the JSON."""
+    """The arguments that the results depend on; the field names are keys in the JSON output."""
 
     rates: list[float]
     seconds: float
@@ -46,9 +46,9 @@
 
 
 def run_clients(plan: LoadPlan, proxy: ProxyProcess | None) -> dict[str, Any]:
-    """Return the clients' own results, with the proxy's processor time beside them.
+    """Run the clients and return their results, together with the proxy's processor time.
 
-    Raises MeasurementError if nothing was answered.
+    Raise MeasurementError if no request was answered.
     """
     with ChildProcess("load_clients") as clients:
         cpu_ms = proxy.cpu_ms() if proxy else 0.0
@@ -57,7 +57,7 @@
         results: dict[str, Any] = clients.read_json()
     if not results["answered"]:
         log_line = f": {proxy.last_log_line()}" if proxy else ""
-        raise MeasurementError(f"no answer at {plan.rate:g} a second{log_line}")
+        raise MeasurementError(f"no request was answered at {plan.rate:g} requests per second{log_line}")
     results["proxy_cpu_ms"] = proxy.cpu_ms() - cpu_ms if proxy else None
     results["proxy_kept_ms"] = proxy.cpu_wait_ms() - cpu_wait_ms if proxy else None
     for name in HISTOGRAMS:
@@ -66,9 +66,9 @@
 
 
 def run_through_proxy(clients: LoadPlan, listen: str, proxies: int) -> dict[str, Any]:
-    """Run the clients before a new proxy, set up as one of `proxies`, instead of their addresses.
+    """Run the clients through a new proxy, which is configured as one of `proxies`.
 
-    The proxy knows these addresses as its backends.
+    The addresses of `clients` become the backends of the proxy.
     """
     cached = [
         synthetic.list_entry(number, address=address) for number, address in enumerate(clients.addresses)
@@ -82,13 +82,13 @@
 
 
 def run_repeats(plan: RunPlan, listen: str, quiet: bool) -> Runs:
-    """Run each rate straight to stub backends and through a proxy, repeat by repeat."""
+    """Run each rate directly against stub backends and through a proxy, in each repeat."""
     runs: Runs = {}
     with ChildProcess("stub_backends", plan.backends, plan.service_ms) as stub_backends:
         addresses: list[str] = stub_backends.read_json()
         for repeat in range(plan.repeats):
             for rate in plan.rates:
-                clients = LoadPlan(addresses, rate, plan.seconds, WARM_S, plan.seed + repeat)
+                clients = LoadPlan(addresses, rate, plan.seconds, WARM_UP_S, plan.seed + repeat)
                 direct = run_clients(clients, None)
                 proxied = run_through_proxy(clients, listen, plan.proxies)
                 runs.setdefault((rate, "direct"), []).append(direct)
@@ -96,26 +96,26 @@
                 if not quiet:
                     p99s = " and ".join(f"{run['added_ms']['p99']:.3f}" for run in (proxied, direct))
                     click.echo(
-                        f"repeat {repeat + 1} of {plan.repeats}: {rate:g} a second, p99 through the proxy "
-                        f"and straight {p99s} ms",
+                        f"repeat {repeat + 1} of {plan.repeats}: {rate:g} requests per second, "
+                        f"p99 through the proxy and direct: {p99s} ms",
                         err=True,
                     )
     return runs
 
 
 def parse_rates(context: click.Context, parameter: click.Parameter, value: str) -> list[float]:
-    """Parse different rates in rising order. BadParameter for what is none."""
+    """Return the distinct rates in ascending order; raise BadParameter for an invalid list."""
     try:
         rates = {float(part) for part in value.split(",")}
     except ValueError:
         rates = set()
     if not rates or not all(0 < rate <= MAX_RATE for rate in rates):
-        raise click.BadParameter(f"{value!r} is not a list of numbers above 0, {MAX_RATE} at most")
+        raise click.BadParameter(f"{value!r} is not a list of numbers above 0 and at most {MAX_RATE}")
     return sorted(rates)
 
 
 def check_address(context: click.Context, parameter: click.Parameter, value: str) -> str:
-    """Return `host:port` as it is. BadParameter for what is none."""
+    """Return a `host:port` address unchanged; raise BadParameter for an invalid one."""
     try:
         split_address(value)
     except ValueError as error:
@@ -129,10 +129,10 @@
     default="100,500,1000,1324,1500,2000",
     show_default=True,
     callback=parse_rates,
-    help="Requests a second.",
+    help="Request rates per second.",
 )
 @click.option(
-    "--seconds", type=click.FloatRange(0.1), default=10.0, show_default=True, help="Of each repeat."
+    "--seconds", type=click.FloatRange(0.1), default=10.0, show_default=True, help="Duration of each run."
 )
 @click.option("--backends", type=click.IntRange(1, 200), default=20, show_default=True)
 @click.option("--service-ms", type=click.FloatRange(0, 1000), default=5.0, show_default=True)
@@ -143,18 +143,18 @@
     type=click.IntRange(1),
     default=1,
     show_default=True,
-    help="As one of how many the proxy is set up; it runs alone.",
+    help="Number of proxies in the proxy's settings; only one runs.",
 )
 @click.option(
     "--listen",
     default="127.0.0.1:0",
     show_default=True,
     callback=check_address,
-    help="Where the proxy listens.",
+    help="Address that the proxy listens on.",
 )
-@click.option("--json", "json_file", metavar="FILE", help="Save all values, and a histogram for each row.")
-@click.option("--table", "table_file", metavar="FILE", help="Save what is printed.")
-@click.option("--quiet", is_flag=True, help="No progress on standard error.")
+@click.option("--json", "json_file", metavar="FILE", help="Save all values and a histogram per row.")
+@click.option("--table", "table_file", metavar="FILE", help="Save the printed report.")
+@click.option("--quiet", is_flag=True, help="Print no progress on standard error.")
 def load(
     rates: list[float],
     seconds: float,
@@ -168,20 +168,21 @@
     table_file: str | None,
     quiet: bool,
 ) -> None:
-    """Send requests through one real proxy to stub backends, and straight to these."""
+    """Send requests to stub backends, both through one real proxy and directly."""
     plan = RunPlan(rates, seconds, backends, service_ms, repeats, seed, proxies)
     report.check_writable(json_file, table_file)
     machine = report.describe_machine()
     runs = run_repeats(plan, listen, quiet)
     rows = [
-        summarize_runs(rate, path, results, plan.seconds + WARM_S) for (rate, path), results in runs.items()
+        summarize_runs(rate, path, results, plan.seconds + WARM_UP_S)
+        for (rate, path), results in runs.items()
     ]
     data = {
         "machine": machine,
         "arguments": asdict(plan),
         "target_rate": TARGET_RATE,
         "rows": rows,
-        "verdict": verdict(rows),
+        "verdict": format_verdict(rows),
     }
     text = format_report(data)
     click.echo(text, nl=False)
--- a/scale/load_clients.py
+++ b/scale/load_clients.py
@@ -1,9 +1,9 @@
 """A child process with open-loop clients.
 
-One JSON line on standard input says what to do, one on standard output what came of it. Requests are due at
-times drawn ahead (Poisson), whatever becomes of those before them. Latency counts from the time at which a
-request was due, so a stall counts for all that fell due in it. The time that the backend says it took is
-taken off. Both histograms hold us.
+It reads a plan as a JSON line on standard input and writes the results as a JSON line to standard output.
+The times at which requests are due are drawn in advance (a Poisson process) and do not depend on earlier
+responses. Latency counts from the time at which a request was due, so that a stall counts for every request
+that became due during it. The service time that the backend reports is subtracted. Both histograms are in us.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-MAX_CONNECTIONS = 400  # beyond, requests wait for one
+MAX_CONNECTIONS = 400  # requests beyond this number wait for a connection
 INITIAL_CONNECTIONS = 50
-DRAIN_S = 4.0  # after the last request was due, in which responses still count
+DRAIN_S = 4.0  # time after the last request is sent in which responses still count
 START_DELAY_S = 0.1
 DEADLINE_MS = 3000
 MAX_LATENCY_US = 60_000_000
@@ -35,17 +35,17 @@
 
 @dataclass(frozen=True)
 class LoadPlan:
-    """What the clients are to do."""
+    """The load that the clients generate."""
 
     addresses: list[str]
-    rate: float  # requests a second over all addresses
-    seconds: float  # that are counted
-    warm_s: float  # before that
+    rate: float  # requests per second over all addresses
+    seconds: float  # length of the measured period
+    warm_s: float  # warm-up before the measured period
     seed: int
 
 
 class DueRequest(NamedTuple):
-    """A request and when it is due, in seconds after the start."""
+    """A request and the time at which it is due, in seconds after the start."""
 
     due_s: float
     address: Address
@@ -57,12 +57,12 @@
 
 
 def to_microseconds(seconds: float) -> int:
-    """Return whole us within the histogram's range."""
+    """Return a time in whole us, clamped to the range of the histograms."""
     return max(1, min(MAX_LATENCY_US, round(seconds * 1e6)))
 
 
 class LoadClients:
-    """Sends the requests of one plan and counts what comes of them."""
+    """Sends the requests of one plan and records their outcomes."""
 
     def __init__(self, plan: LoadPlan, loop: asyncio.AbstractEventLoop) -> None:
         self._plan = plan
@@ -80,13 +80,13 @@
         self._sent = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._started_at = 0.0
-        self._drained = asyncio.Event()  # nothing is in flight
+        self._drained = asyncio.Event()  # set while no request is in flight
         self._drained.set()
 
     async def run(self) -> None:
-        """Send all requests, and wait for their responses."""
+        """Send all requests and wait for their responses."""
         await self._open_initial_connections()
-        due = self._draw_requests()
+        due = self._schedule_requests()
         self._started_at = self.loop.time() + START_DELAY_S
         for request in due:
             wait_s = self._started_at + request.due_s - self.loop.time()
@@ -94,7 +94,7 @@
                 await asyncio.sleep(wait_s)
             if request.due_s >= self._plan.warm_s:
                 self._counted += 1
-                self._lateness.record_value(to_microseconds(self._since(request.due_s)))
+                self._lateness.record_value(to_microseconds(self._elapsed_since_due(request.due_s)))
             self._in_flight += 1
             self._drained.clear()
             self._send(request)
@@ -116,16 +116,16 @@
             "late": self._lateness.encode().decode(),
         }
 
-    def _since(self, due_s: float) -> float:
+    def _elapsed_since_due(self, due_s: float) -> float:
         return self.loop.time() - self._started_at - due_s
 
     async def _open_initial_connections(self) -> None:
-        """Open some ahead, as clients keep theirs."""
+        """Open connections in advance, since real clients keep connections open."""
         for address in self._addresses:
             for _ in range(min(INITIAL_CONNECTIONS, MAX_CONNECTIONS // 2) // len(self._addresses)):
                 await self._connect(address, None)
 
-    def _draw_requests(self) -> list[DueRequest]:
+    def _schedule_requests(self) -> list[DueRequest]:
         due: list[DueRequest] = []
         due_s = self._random.expovariate(self._plan.rate)
         while due_s < self._plan.warm_s + self._plan.seconds:
@@ -148,7 +148,7 @@
         connection.send(due_s, REQUEST % (self._sent, DEADLINE_MS))
 
     async def _connect(self, address: Address, due_s: float | None) -> None:
-        """Open a connection and send the request that is due, if there is one."""
+        """Open a connection and send a request that was due at `due_s`; None: send none."""
         self._connections += 1
         try:
             _, connection = await self.loop.create_connection(
@@ -165,29 +165,29 @@
             self._send_on(connection, due_s)
 
     def record_response(self, due_s: float, status: int, body: bytes) -> None:
-        """Count a whole response; the body of a success is the service time in us."""
-        self._end_one()
+        """Count a complete response; the body of a 200 response is the service time in us."""
+        self._finish_request()
         if status == 200:
             self._answered += 1
             if due_s >= self._plan.warm_s:
-                self._added.record_value(to_microseconds(self._since(due_s) - int(body) / 1e6))
+                self._added.record_value(to_microseconds(self._elapsed_since_due(due_s) - int(body) / 1e6))
         elif status in REJECTION_STATUSES:
             self._rejected += 1
         else:
             self._failed += 1
 
     def record_failure(self) -> None:
-        """Count a request that ended without a whole response."""
-        self._end_one()
+        """Count a request that ended without a complete response."""
+        self._finish_request()
         self._failed += 1
 
-    def _end_one(self) -> None:
+    def _finish_request(self) -> None:
         self._in_flight -= 1
         if not self._in_flight:
             self._drained.set()
 
     def release(self, connection: ClientConnection) -> None:
-        """Take a connection back, or use it for a request that waits for one to its address."""
+        """Reuse a connection for a request that waits for its address, or add it to the idle ones."""
         for index, (due_s, address) in enumerate(self._waiting):
             if address == connection.address:
                 del self._waiting[index]
@@ -196,14 +196,14 @@
         self._idle[connection.address].append(connection)
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forget a connection that is closed."""
+        """Drop a closed connection."""
         self._connections -= 1
         if connection in self._idle[connection.address]:
             self._idle[connection.address].remove(connection)
 
 
 class ClientConnection(asyncio.Protocol):
-    """A persistent connection with one request at a time on it."""
+    """A persistent connection that carries one request at a time."""
 
     def __init__(self, clients: LoadClients, address: Address) -> None:
         self.address = address
@@ -212,17 +212,17 @@
         self._buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for the requests."""
+        """Store the transport, to which requests are written."""
         self._transport = cast(asyncio.Transport, transport)
 
     def send(self, due_s: float, request: bytes) -> None:
-        """Write a request that was due at `due_s` (s after the start)."""
+        """Write a request that was due `due_s` seconds after the start."""
         self._due_s = due_s
         self._buffer = b""
         self._transport.write(request)
 
     def data_received(self, data: bytes) -> None:
-        """Hand on the response once it is whole."""
+        """Record the response once it is complete."""
         self._buffer += data
         head, found, body = self._buffer.partition(b"\r\n\r\n")
         if not found or self._due_s is None:
@@ -239,21 +239,22 @@
             self._clients.release(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count the request in flight as failed."""
+        """Drop the connection, and count its request in flight as failed."""
         self._clients.remove(self)
         if self._due_s is not None:
             self._clients.record_failure()
 
 
 def encode_plan(plan: LoadPlan) -> str:
-    """Return the line of standard input that the child takes."""
+    """Return a plan as the line that the child process reads on standard input."""
     return json.dumps(asdict(plan))
 
 
 def main() -> None:
-    """Run the plan on standard input."""
+    """Run the plan that is read from standard input, and print the results."""
     plan = LoadPlan(**json.loads(sys.stdin.readline()))
-    # select waits to the microsecond, epoll whole milliseconds: requests should go out when they are due.
+    # select() timeouts have microsecond resolution, epoll() timeouts are whole milliseconds, which would send
+    # requests late.
     loop = asyncio.SelectorEventLoop(selectors.SelectSelector())
     clients = LoadClients(plan, loop)
     loop.run_until_complete(clients.run())
--- a/scale/load_report.py
+++ b/scale/load_report.py
@@ -1,4 +1,4 @@
-"""The result of `load`: all repeats of a rate together, what one core carries, and the table."""
+"""The report of `load`: merged results of the repeats, the rate that one core sustains, and the table."""
 
 from __future__ import annotations
 
@@ -9,47 +9,49 @@
 from scale import report
 from scale.load_clients import create_histogram
 
-TARGET_REQUESTS = 4_500_000  # a second at the peak, over the whole deployment
+TARGET_REQUESTS = 4_500_000  # peak requests per second of the whole deployment
 TARGET_PROXIES = 3400
 TARGET_RATE = TARGET_REQUESTS / TARGET_PROXIES
-MAX_ADDED_MS = 3.7  # that 99 in 100 requests may wait longer for the proxy
-MAX_LOST_SHARE = 0.001  # of the requests may be rejected or failed at a rate that counts as carried
+MAX_ADDED_MS = 3.7  # maximum added latency at p99 at which a rate counts as sustained
+MAX_UNSERVED_SHARE = (
+    0.001  # maximum share of rejected and failed requests at which a rate counts as sustained
+)
 PERCENTILES = {"p50": 50.0, "p99": 99.0, "p99.9": 99.9}
 COUNTS = ("counted", "sent", "answered", "refused", "failed")
 HISTOGRAMS = ("added", "late")
-HEAD = (
+COLUMN_HEADINGS = (
     "rate/s",
     "answered",
     "added p50",
     "p99",
     "p99.9",
-    "p99 least",
-    "most",
+    "p99 min",
+    "max",
     "within",
     "late p99",
     "cpu",
-    "kept",
+    "cpu wait",
     "core",
-    "refused",
+    "rejected",
     "failed",
 )
 EXPLANATION = (
-    "added: from when a request was due to its answer, less the service time that the backend tells, in",
-    "ms, all repeats together; least and most: of single repeats' p99; within: repeats with p99 under",
-    f"{MAX_ADDED_MS} ms; late: how late the tool itself sent, p99 in ms; cpu: the proxy's processor time,",
-    "kept: its wait for a core that others had, both us a request (the middle repeat); core: the part of",
-    "a core that it used. direct: the same clients, straight to the backends.",
+    "added: time from when a request was due to its response, minus the service time that the backend",
+    "reported, in ms, over all repeats; min and max: p99 of single repeats; within: repeats with p99 up to",
+    f"{MAX_ADDED_MS} ms; late: delay at which this tool sent requests, p99 in ms; cpu: processor time of the",
+    "proxy; cpu wait: time that it waited for a core; both in us per request (median of the repeats); core:",
+    "share of a core that the proxy used. direct: the same clients, connected directly to the backends.",
     "",
 )
 
 
 def percentiles_ms(histogram: Any) -> dict[str, float]:
-    """Return the reported percentiles of a histogram of us, in ms."""
+    """Return the reported percentiles (ms) of a histogram in us."""
     return {name: histogram.get_value_at_percentile(percent) / 1000 for name, percent in PERCENTILES.items()}
 
 
 def merge_histograms(runs: list[dict[str, Any]], name: str) -> Any:
-    """Return all repeats' histograms of that name together."""
+    """Return the merged histogram `name` of all runs."""
     merged = create_histogram()
     for run in runs:
         merged.add(HdrHistogram.decode(run[name]))
@@ -57,7 +59,10 @@
 
 
 def median_us_per_request(runs: list[dict[str, Any]], name: str) -> float | None:
-    """Return the upper median over the repeats of a time in ms, as us a request; None if none has it."""
+    """Return the upper median over the runs of the time `name` (ms), in us per request.
+
+    Return None if no run has that time.
+    """
     times = sorted(
         run[name] * 1000 / run["answered"] for run in runs if run.get(name) is not None and run["answered"]
     )
@@ -65,9 +70,10 @@
 
 
 def summarize_runs(rate: float, path: str, runs: list[dict[str, Any]], run_s: float) -> dict[str, Any]:
-    """Return a row of the JSON: all repeats of one rate together, and the spread of p99 over them.
+    """Return a row of the JSON output: the merged repeats of one rate, and the range of their p99.
 
-    Times are in ms, but `..._us_each` in us a request. `run_s` is the length of a run, warm-up included.
+    Times are in ms, except that those named `..._us_each` are in us per request. `run_s` is the length of a
+    run, including the warm-up.
     """
     added = merge_histograms(runs, "added")
     late = merge_histograms(runs, "late")
@@ -92,48 +98,50 @@
     }
 
 
-def is_carried(row: dict[str, Any]) -> bool:
-    """Whether the proxy kept up with the rate of this row."""
+def is_sustained(row: dict[str, Any]) -> bool:
+    """Return whether the proxy sustained the rate of this row within the latency and error limits."""
     lost = row["refused"] + row["failed"]
-    return bool(row["added_ms"]["p99"] <= MAX_ADDED_MS and lost <= MAX_LOST_SHARE * max(row["sent"], 1))
+    return bool(row["added_ms"]["p99"] <= MAX_ADDED_MS and lost <= MAX_UNSERVED_SHARE * max(row["sent"], 1))
 
 
-def verdict(rows: list[dict[str, Any]]) -> str:
-    """Return one plain line on the rates that were carried, from the rows of both paths.
+def format_verdict(rows: list[dict[str, Any]]) -> str:
+    """Return one line on the rates that the proxy sustained, from the rows of both paths.
 
-    Where requests are late straight to the backends, too, it says that this run can't tell.
+    If p99 exceeds half of the limit without the proxy too, the line states that the rate is inconclusive.
     """
     direct_ms = {row["rate"]: row["added_ms"]["p99"] for row in rows if row["path"] == "direct"}
     proxied = sorted((row for row in rows if row["path"] == "proxy"), key=lambda row: float(row["rate"]))
-    failing = next((row["rate"] for row in proxied if not is_carried(row)), None)
+    failing = next((row["rate"] for row in proxied if not is_sustained(row)), None)
     best = max((row["rate"] for row in proxied if failing is None or row["rate"] < failing), default=None)
     is_unclear = failing is not None and direct_ms.get(failing, 0.0) > MAX_ADDED_MS / 2
-    carried = "no rate that was measured" if best is None else f"{best:g} requests a second"
-    line = f"One core carries {carried} at {MAX_ADDED_MS} ms added at p99"
+    sustained = "no measured rate" if best is None else f"{best:g} requests per second"
+    line = f"One core sustains {sustained} at {MAX_ADDED_MS} ms added at p99"
     if is_unclear:
-        line += f"; of {failing:g} this run can't tell, as p99 straight to the backends is"
+        line += f"; {failing:g} is inconclusive in this run, since direct p99 to the backends is"
         line += f" {direct_ms[failing]:.3f} ms"
     elif failing is not None:
-        line += f", and not {failing:g}"
+        line += f", but not {failing:g}"
     line += f". {compare_with_target(best, None if is_unclear else failing)}"
     nearest = min(proxied, key=lambda row: abs(float(row["rate"]) - TARGET_RATE))
     if nearest.get("core_part") is not None:
-        line += f" At {nearest['rate']:g} a second the proxy used {nearest['core_part']:.0%} of a core."
+        line += f" At {nearest['rate']:g} per second the proxy used {nearest['core_part']:.0%} of a core."
     return line
 
 
 def compare_with_target(best: float | None, failing: float | None) -> str:
-    """Say how the target lies to the best rate that was carried and the first that surely was not."""
-    target = f"The target's {TARGET_REQUESTS:,} / {TARGET_PROXIES:,} = {TARGET_RATE:,.0f} a second a proxy"
+    """Return a sentence that compares the target with the best sustained and the first failing rate."""
+    target = (
+        f"The target of {TARGET_REQUESTS:,} / {TARGET_PROXIES:,} = {TARGET_RATE:,.0f} per second per proxy"
+    )
     if best is not None and best >= int(TARGET_RATE):
-        return f"{target} is within it."
+        return f"{target} is met."
     if failing is not None and failing <= TARGET_RATE + 1:
-        return f"{target} is not within it."
-    return f"{target} lies beyond what was shown."
+        return f"{target} is not met."
+    return f"{target} is neither confirmed nor refuted."
 
 
 def format_row(row: dict[str, Any], repeats: int) -> list[str]:
-    """Return the cells of a row, in the order of HEAD."""
+    """Return the cells of a row, in the order of COLUMN_HEADINGS."""
     return [
         f"{row['rate']:g} {row['path']}",
         f"{row['answered']:,}",
@@ -151,13 +159,13 @@
 
 
 def format_report(data: dict[str, Any]) -> str:
-    """Return what is printed."""
+    """Return the printed report."""
     arguments = data["arguments"]
     lines = [
         f"{report.describe_run(data)}{arguments['repeats']} repeats "
         f"of {arguments['seconds']:g} s, {arguments['backends']} backends, "
-        f"{arguments['service_ms']:g} ms of service, set up as one of {arguments['proxies']:,}.",
+        f"{arguments['service_ms']:g} ms service time, proxy configured as one of {arguments['proxies']:,}.",
         *EXPLANATION,
     ]
     cells = [format_row(row, arguments["repeats"]) for row in data["rows"]]
-    return "\n".join([*lines, report.format_table(HEAD, cells), "", data["verdict"]]) + "\n"
+    return "\n".join([*lines, report.format_table(COLUMN_HEADINGS, cells), "", data["verdict"]]) + "\n"
--- a/scale/measure_balancer.py
+++ b/scale/measure_balancer.py
@@ -1,4 +1,4 @@
-"""Processor time of the balancer alone, by events through `Balancer.step`."""
+"""Measures the processor time of the balancer alone, by calls of `Balancer.step`."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 TICK_MS = 25.0
 TICKS_PER_SECOND = 40
-FEW_PROXIES = 3  # with which the balancer chooses among all backends
-CHANGES = 5  # so many are measured together
-MOST_SCANNED_BACKENDS = 2_000_000  # by the requests of one run, so that the largest lists end in time
+FEW_PROXIES = 3  # tier size at which the balancer selects among all backends
+DELTA_COUNT = 5  # deltas that are measured together
+MAX_SCANNED_BACKENDS = 2_000_000  # over the requests of one run, which limits its time with large lists
 WARM_UP_REQUESTS = 50
-START_MS = 1000.0  # on the balancer's clock
-REQUEST_INTERVAL_MS = 200  # one request at a time, so that no limit holds it back
+START_MS = 1000.0  # time on the balancer's clock
+REQUEST_INTERVAL_MS = 200  # keeps one request in flight, so that no limit delays it
 RESPONSE_MS = 20
 DEADLINE_MS = 1000
 
 
 def create_balancer(seed: int, size: int, proxies: int) -> Balancer:
-    """Return one of `proxies` balancers, which holds a list of `size` backends."""
+    """Return the balancer of one of `proxies` proxies, with `size` backends."""
     balancer = Balancer(read_settings(synthetic.settings(proxies, deadline_ms=DEADLINE_MS)), seed)
     balancer.step(START_MS, [BackendListUpdate(ListUpdateKind.SNAPSHOT, synthetic.backend_infos(size))])
     return balancer
@@ -39,11 +39,11 @@
 @measurement(
     "list",
     "backend",
-    Series("list-first", "ms", "the module takes over a whole list, knowing nothing before"),
-    Series("list-again", "ms", "the module takes over the same whole list once more"),
+    Series("list-first", "ms", "the balancer, without backends, applies a snapshot"),
+    Series("list-again", "ms", "the balancer applies the same snapshot again"),
 )
 def snapshot_cpu(parameters: RunParameters, size: int) -> Values:
-    """Measure taking over a snapshot, and the same once more."""
+    """Measure applying a snapshot, and applying the same snapshot again."""
     balancer = Balancer(read_settings(synthetic.settings(parameters.proxies)), parameters.seed)
     update = BackendListUpdate(ListUpdateKind.SNAPSHOT, synthetic.backend_infos(size))
     return {
@@ -52,9 +52,9 @@
     }
 
 
-@measurement("change", "backend", Series("change", "ms", "the module takes a change of two entries"))
+@measurement("change", "backend", Series("change", "ms", "the balancer applies a delta of two entries"))
 def delta_cpu(parameters: RunParameters, size: int) -> Values:
-    """Measure a delta in which one backend drains and one is new."""
+    """Measure a delta in which one backend is draining and one is new."""
     balancer = create_balancer(parameters.seed, size, parameters.proxies)
     updates = [
         BackendListUpdate(
@@ -64,19 +64,19 @@
                 BackendInfo(synthetic.backend_id(size + number)),
             ),
         )
-        for number in range(CHANGES)
+        for number in range(DELTA_COUNT)
     ]
 
     def apply_updates() -> None:
         for number, update in enumerate(updates):
             balancer.step(START_MS + 1 + number, [update])
 
-    return {"change": cpu_time_ms(apply_updates) / CHANGES}
+    return {"change": cpu_time_ms(apply_updates) / DELTA_COUNT}
 
 
-@measurement("beats", "backend", Series("beats", "ms", "a second of the module at rest: 40 beats"))
+@measurement("beats", "backend", Series("beats", "ms", "one second of an idle balancer: 40 ticks"))
 def idle_second_cpu(parameters: RunParameters, size: int) -> Values:
-    """Measure the housekeeping ticks of a second without requests."""
+    """Measure the ticks of one second without requests."""
     balancer = create_balancer(parameters.seed, size, parameters.proxies)
 
     def run_second(start_ms: float) -> None:
@@ -88,17 +88,17 @@
 
 
 @measurement(
-    "weights", "backend", Series("weights", "ms", "all backends' live weights change, in one list event")
+    "weights", "backend", Series("weights", "ms", "one delta changes the live weights of all backends")
 )
 def weights_cpu(parameters: RunParameters, size: int) -> Values:
-    """Measure a delta that renews the weight of each backend."""
+    """Measure a delta that updates the weight of each backend."""
     balancer = create_balancer(parameters.seed, size, parameters.proxies)
     update = BackendListUpdate(ListUpdateKind.DELTA, synthetic.backend_infos(size, 1.25))
     return {"weights": cpu_time_ms(lambda: balancer.step(START_MS + 1, [update]))}
 
 
 class RequestDriver:
-    """Sends requests through a balancer, one after the other."""
+    """Runs requests through a balancer, one at a time."""
 
     def __init__(self, balancer: Balancer) -> None:
         self._balancer = balancer
@@ -106,7 +106,7 @@
         self._sent = 0
 
     def run(self, requests: int) -> None:
-        """Send so many. Raises MeasurementError if one is not forwarded at once."""
+        """Run `requests` requests; raise MeasurementError if one is not forwarded at once."""
         for _ in range(requests):
             self._send_one()
 
@@ -117,16 +117,16 @@
         arrival = RequestArrived(request_id, 0, 0, None, self._now_ms + DEADLINE_MS)
         actions = self._balancer.step(self._now_ms, [arrival])
         if not any(isinstance(action, Forward) for action in actions):
-            raise MeasurementError("the module holds a lone request back")
+            raise MeasurementError("the balancer did not forward the only request in flight at once")
         self._now_ms += RESPONSE_MS
         outcome = AttemptEnded(request_id, 0, AttemptResult.OK, float(RESPONSE_MS), True)
         self._balancer.step(self._now_ms, [outcome])
 
 
 def request_cpu_us(parameters: RunParameters, size: int, proxies: int) -> float:
-    """Return the processor time (us) of one request among `size` backends."""
+    """Return the processor time (us) per request with `size` backends."""
     driver = RequestDriver(create_balancer(parameters.seed, size, proxies))
-    requests = max(20, min(1000, MOST_SCANNED_BACKENDS // size))
+    requests = max(20, min(1000, MAX_SCANNED_BACKENDS // size))
     driver.run(min(requests, WARM_UP_REQUESTS))
     return cpu_time_ms(lambda: driver.run(requests)) / requests * 1000
 
@@ -134,18 +134,18 @@
 @measurement(
     "request",
     "backend",
-    Series("request", "us", "a request through the module: arrival, send, outcome; one of --proxies"),
+    Series("request", "us", "a request in the balancer: arrival, forward, outcome; one of --proxies"),
 )
 def request_cpu(parameters: RunParameters, size: int) -> Values:
-    """Measure a request as one of many proxies, which knows a subset of the backends."""
+    """Measure a request in a large tier, in which each proxy has a subset of the backends."""
     return {"request": request_cpu_us(parameters, size, parameters.proxies)}
 
 
 @measurement(
     "request-few",
     "backend",
-    Series("request-few", "us", f"the same, one of {FEW_PROXIES} proxies: the choice is among all backends"),
+    Series("request-few", "us", f"the same, one of {FEW_PROXIES} proxies: selects among all backends"),
 )
 def request_cpu_few_proxies(parameters: RunParameters, size: int) -> Values:
-    """Measure a request as one of few proxies."""
+    """Measure a request in a small tier, in which each proxy selects among all backends."""
     return {"request-few": request_cpu_us(parameters, size, FEW_PROXIES)}
--- a/scale/measure_discovery.py
+++ b/scale/measure_discovery.py
@@ -1,4 +1,4 @@
-"""Reading and holding the endpoint list on the sockets' side, and the bytes that it takes on the wire."""
+"""Measures parsing the endpoint list, applying it to the connection pool, and its size on the wire."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 @measurement(
     "parse",
     "backend",
-    Series("parse-json", "ms", "the bytes of a whole list become objects: orjson alone"),
-    Series("parse", "ms", "the bytes of a whole list become an EndpointListUpdate"),
+    Series("parse-json", "ms", "decodes the JSON of a snapshot with orjson alone"),
+    Series("parse", "ms", "decodes the JSON of a snapshot into an EndpointListUpdate"),
 )
 def parse_cpu(parameters: RunParameters, size: int) -> Values:
     """Measure decoding a snapshot."""
@@ -48,12 +48,12 @@
 @measurement(
     "pools",
     "backend",
-    Series("pools-list", "ms", "ConnectionPool takes over a whole list, holding nothing before"),
-    Series("pools-again", "ms", "ConnectionPool takes over the same whole list once more"),
-    Series("pools-change", "ms", "ConnectionPool takes a change of two entries"),
+    Series("pools-list", "ms", "an empty ConnectionPool applies a snapshot"),
+    Series("pools-again", "ms", "ConnectionPool applies the same snapshot again"),
+    Series("pools-change", "ms", "ConnectionPool applies a delta of two entries"),
 )
 def pool_update_cpu(parameters: RunParameters, size: int) -> Values:
-    """Measure the connection pools taking a snapshot, the same again, and a delta."""
+    """Measure the connection pool applying a snapshot, the same snapshot again, and a delta."""
     wire = read_proxy_settings(synthetic.settings(parameters.proxies))
     snapshot = synthetic.snapshot_body(1, size)
     updates = {
@@ -78,9 +78,9 @@
 def record_exchanges(
     calls: int, updates: dict[int, bytes], revision: int | None, proxies: int
 ) -> list[Exchange]:
-    """Return the first calls that the proxy's discovery client makes to a service that answers at once.
+    """Return the first `calls` exchanges of a discovery client with a service that responds at once.
 
-    Raises MeasurementError when a call fails or the calls don't come in time.
+    Raise MeasurementError if a call fails or the calls time out.
     """
     with StubDiscovery(synthetic.empty_delta_body(1), answer_at_once=True) as service:
         service.updates.update(updates)
@@ -93,11 +93,11 @@
             give_up_at = asyncio.get_running_loop().time() + CALLS_TIMEOUT_S
             while len(service.exchanges) < calls and not failures:
                 if asyncio.get_running_loop().time() > give_up_at:
-                    failures.append("no answer in time")
+                    failures.append("calls timed out")
                 await asyncio.sleep(POLL_S)
             discovery.close()
             if failures:
-                raise MeasurementError(f"discovery: {failures[0]}")
+                raise MeasurementError(f"discovery call failed: {failures[0]}")
 
         asyncio.run(run())
     return service.exchanges[:calls]
@@ -106,11 +106,11 @@
 @measurement(
     "wire-list",
     "backend",
-    Series("wire-list", "bytes", "discovery's whole list, headers of the answer included"),
+    Series("wire-list", "bytes", "a discovery response with a snapshot, including headers"),
 )
 def snapshot_bytes(parameters: RunParameters, size: int) -> Values:
     """Measure the bytes of a snapshot."""
-    # Not through the discovery client: it may refuse a list so long, which the measurement `process` shows.
+    # Not through the discovery client, which may refuse a list this long; see the measurement `process`.
     body = synthetic.snapshot_body(1, size)
     return {"wire-list": float(len(RESPONSE_HEAD % len(body)) + len(body))}
 
@@ -118,10 +118,10 @@
 @measurement(
     "wire-change",
     "changed-entry",
-    Series("wire-change", "bytes", "a watch call and its answer with so many changed entries"),
+    Series("wire-change", "bytes", "a watch request and its response with N changed entries"),
 )
 def delta_bytes(parameters: RunParameters, size: int) -> Values:
-    """Measure the bytes of a watch that is answered with `size` changed entries."""
+    """Measure the bytes of a watch whose response has `size` changed entries."""
     first = record_exchanges(1, {1: synthetic.delta_body(2, size)}, 1, parameters.proxies)[0]
     return {"wire-change": float(first.request_bytes + first.response_bytes)}
 
@@ -129,11 +129,11 @@
 @measurement(
     "wire-watch",
     "watch-call",
-    Series("wire-watch", "bytes", "so many watch calls and their empty answers (one a second at rest)"),
+    Series("wire-watch", "bytes", "N watch requests and their empty responses (one per second when idle)"),
 )
 def idle_watch_bytes(parameters: RunParameters, size: int) -> Values:
     """Measure the bytes of `size` watches without an update."""
-    # The first call of a watch differs: it waits for 1 ms only.
+    # The first watch request differs: its timeout is only 1 ms.
     exchanges = record_exchanges(size + 1, {}, 1, parameters.proxies)[1:]
     total = sum(exchange.request_bytes + exchange.response_bytes for exchange in exchanges)
     return {"wire-watch": float(total)}
--- a/scale/measure_gossip.py
+++ b/scale/measure_gossip.py
@@ -1,6 +1,6 @@
-"""What the proxies of a deployment tell one another of one bad backend: all tell all.
+"""Counts the gossip messages among all proxies of a deployment about one failing backend.
 
-Balancers alone, on one virtual clock, so that the same seed gives the same counts.
+It runs balancers without sockets on a virtual clock, so that the same seed gives the same counts.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 from scale.measurement import RunParameters, Series, Values, measurement
 
 BACKENDS = 20
-REQUEST_INTERVAL_MS = 100.0  # between two requests that come to one proxy
+REQUEST_INTERVAL_MS = 100.0  # between two requests to one proxy
 DEADLINE_MS = 1000
-HEALTHY_MS = 1000.0  # in which all backends serve
-FAILING_MS = 3000.0  # after that, in which one refuses every connection
+HEALTHY_MS = 1000.0  # time at the start in which all backends are healthy
+FAILING_MS = 3000.0  # time after that in which one backend refuses all connections
 RESPONSE_MS = 20.0
 REFUSAL_MS = 1.0
 DATAGRAM_MS = 1.0
@@ -38,7 +38,7 @@
 
 
 class ScheduledEvent(NamedTuple):
-    """An event of one balancer; events are taken by time, then by the order in which they were scheduled."""
+    """An event of one balancer; events are processed by time, then in the order of scheduling."""
 
     time_ms: float
     order: int
@@ -47,7 +47,7 @@
 
 
 class GossipSimulation:
-    """Balancers that choose among the same backends, one of which fails."""
+    """Balancers that share backends, one of which fails."""
 
     def __init__(self, proxies: int, seed: int) -> None:
         self._balancers = [
@@ -60,7 +60,7 @@
         self._random = Random(seed)
         self._order = count()
         self._scheduled: list[ScheduledEvent] = []
-        self._attempts: dict[str, int] = {}  # begun so far, by request
+        self._attempts: dict[str, int] = {}  # number of attempts so far, by request id
         self.messages = 0
         self.payload_bytes = 0
 
@@ -68,7 +68,7 @@
         heappush(self._scheduled, ScheduledEvent(time_ms, next(self._order), proxy, event))
 
     def run(self) -> None:
-        """Run to the end of the failure."""
+        """Run until the end of the failure."""
         end_ms = HEALTHY_MS + FAILING_MS
         for proxy in range(len(self._balancers)):
             self._schedule_arrivals(proxy, end_ms)
@@ -114,14 +114,14 @@
     Series(
         "tells",
         "messages",
-        f"told by the whole tier of one backend that fails for {FAILING_MS / 1000:.0f} s",
+        f"gossip messages of the whole tier about one backend that fails for {FAILING_MS / 1000:.0f} s",
     ),
-    Series("datagrams", "datagrams", "the same, with each receiver counted"),
-    Series("datagrams-each", "datagrams", "the same, as one proxy receives them"),
-    Series("tell-bytes", "bytes", "of the content of those messages, as one proxy receives them"),
+    Series("datagrams", "datagrams", "the same messages, counted once per receiver"),
+    Series("datagrams-each", "datagrams", "the same messages, as received per proxy"),
+    Series("tell-bytes", "bytes", "payload of the same messages, as received per proxy"),
 )
 def gossip_messages(parameters: RunParameters, size: int) -> Values:
-    """Count the gossip of `size` proxies about one failing backend."""
+    """Count the gossip messages of `size` proxies about one failing backend."""
     simulation = GossipSimulation(size, parameters.seed)
     simulation.run()
     receivers = size - 1
--- a/scale/measure_memory.py
+++ b/scale/measure_memory.py
@@ -1,4 +1,4 @@
-"""Memory of what a proxy holds, each in a fresh child process (`memory_child`)."""
+"""Measures the memory of a proxy's objects, each kind in a new child process (`memory_child`)."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 def memory_series(name: str, subject: str) -> tuple[Series, Series]:
-    """Return the two rows of a measurement, one for each method."""
+    """Return the two series of a measurement, one per method."""
     return (
-        Series(f"traced-{name}", "bytes", f"memory given out for {subject}"),
-        Series(f"resident-{name}", "bytes", f"memory of a process that holds {subject}"),
+        Series(f"traced-{name}", "bytes", f"memory that Python allocated for {subject}"),
+        Series(f"resident-{name}", "bytes", f"resident memory of a process that holds {subject}"),
     )
 
 
 def measure_objects(kind: str, size: int, parameters: RunParameters) -> Values:
-    """Measure a child that holds `size` objects of a kind."""
+    """Measure a child process that holds `size` objects of a kind, by each method."""
     values: Values = {}
     for method in METHODS:
         with ChildProcess("memory_child", kind, size, parameters.seed, method) as child:
@@ -36,7 +36,9 @@
 
 
 @measurement(
-    "memory-backend", "backend", *memory_series("backend", "so many backends: lists, module and pools")
+    "memory-backend",
+    "backend",
+    *memory_series("backend", "N backends: endpoint list, balancer and connection pool"),
 )
 def memory_backend(parameters: RunParameters, size: int) -> Values:
     """Measure the memory of `size` backends."""
@@ -46,7 +48,7 @@
 @measurement(
     "memory-class",
     "class",
-    *memory_series("class", 'so many request classes ("services"), settings and module'),
+    *memory_series("class", "N request classes: settings, balancer and request validator"),
 )
 def memory_class(parameters: RunParameters, size: int) -> Values:
     """Measure the memory of `size` request classes."""
@@ -54,33 +56,35 @@
 
 
 @measurement(
-    "memory-tenant", "tenant", *memory_series("tenant", "so many tenants with a quota, settings and module")
+    "memory-tenant",
+    "tenant",
+    *memory_series("tenant", "N tenants with a quota: settings, balancer and request validator"),
 )
 def memory_tenant(parameters: RunParameters, size: int) -> Values:
     """Measure the memory of `size` tenants."""
     return measure_objects("tenant", size, parameters)
 
 
-@measurement("memory-peer", "peer", *memory_series("peer", "the addresses of so many peers"))
+@measurement("memory-peer", "peer", *memory_series("peer", "the addresses of N peers"))
 def memory_peer(parameters: RunParameters, size: int) -> Values:
     """Measure the memory of `size` peers."""
     return measure_objects("peer", size, parameters)
 
 
 def check_readiness(host: str, port: int, stack: ExitStack) -> socket.socket:
-    """Open a client connection until the end of `stack`, on which the proxy has answered that it is ready."""
+    """Open a client connection, check the proxy's readiness on it, and return it; `stack` closes it."""
     client = stack.enter_context(closing(socket.create_connection((host, port), CONNECT_TIMEOUT_S)))
     client.sendall(READINESS_REQUEST)
     if not client.recv(4096).startswith(b"HTTP/1.1 200"):
-        raise MeasurementError("the proxy held for its memory isn't ready")
+        raise MeasurementError("the proxy whose memory is measured is not ready")
     return client
 
 
 def measure_child_with_clients(method: str, size: int, seed: int, sends_requests: bool) -> float:
-    """Return the bytes (by `method`) of a proxy in a child with `size` connections from here.
+    """Return the memory (bytes, by `method`) of a proxy in a child process with `size` client connections.
 
-    Its one backend takes connections and requests and never answers: the kernel does that for a listening
-    socket that nobody accepts from.
+    The only backend is a listening socket that never accepts: the kernel completes its connections and
+    buffers the requests, and no response is sent.
     """
     with ExitStack() as stack:
         backend = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=4096))
@@ -93,7 +97,7 @@
             if sends_requests:
                 for number, client in enumerate(clients):
                     client.sendall(OPEN_REQUEST % number)
-                # One more is answered only after all that came before it have been read.
+                # The readiness response shows that the proxy has read all requests that were sent before.
                 check_readiness(host, port, stack)
             child.write_line("connected")
             return float(child.read_json())
@@ -107,9 +111,7 @@
     }
 
 
-@measurement(
-    "memory-connection", "connection", *memory_series("connection", "so many idle client connections")
-)
+@measurement("memory-connection", "connection", *memory_series("connection", "N idle client connections"))
 def memory_connection(parameters: RunParameters, size: int) -> Values:
     """Measure the memory of `size` idle client connections."""
     return measure_with_clients("connection", size, parameters, sends_requests=False)
@@ -118,7 +120,7 @@
 @measurement(
     "memory-request",
     "request",
-    *memory_series("request", "so many open requests, each with its client's and its backend's connection"),
+    *memory_series("request", "N open requests, each with a client connection and a backend connection"),
 )
 def memory_request(parameters: RunParameters, size: int) -> Values:
     """Measure the memory of `size` open requests."""
--- a/scale/measurement.py
+++ b/scale/measurement.py
@@ -1,4 +1,4 @@
-"""The registry of measurements: a name, what it grows with, and the series of values that a run gives."""
+"""The registry of measurements, each with its name, its axis and the series that it returns."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 
 
 class MeasurementError(click.ClickException):
-    """What was asked can't be measured; the message is one line for a person."""
+    """A measurement that is not possible; the message is one line for the user."""
 
     exit_code = 2
 
 
 class RunParameters(NamedTuple):
-    """What a run is given besides its size."""
+    """The parameters of a run other than its size."""
 
-    proxies: int  # of the whole deployment
-    seed: int  # of this repeat
+    proxies: int  # number of proxies in the deployment
+    seed: int  # seed of this repeat
 
 
 class Series(NamedTuple):
-    """One row of the result."""
+    """One row of the report."""
 
     name: str
     unit: str
     description: str
 
 
-Values = dict[str, float | None]  # by the series' name; None: could not be measured at that size
+Values = dict[str, float | None]  # by series name; None: could not be measured at that size
 MeasureFunction = Callable[[RunParameters, int], Values]
 
 
 class Measurement(NamedTuple):
-    """A function that measures one or several series at a given size."""
+    """A function that measures one or more series at a given size."""
 
     name: str
-    axis: str  # one of DEFAULT_SIZES
+    axis: str  # a key of DEFAULT_SIZES
     series: tuple[Series, ...]
     run: MeasureFunction
 
 
-# What things grow with, and at which sizes they are measured unless the command line says otherwise. The
-# last of each is the target's size where one machine allows.
+# Axes along which costs grow, with the default sizes. The largest size of each axis is that of the target
+# deployment where one machine can hold it.
 DEFAULT_SIZES: dict[str, tuple[int, ...]] = {
     "backend": (1000, 10000, 150000),
     "changed-entry": (1, 2, 10, 100),
@@ -58,11 +58,11 @@
     "proxy": (10, 50, 100, 200),
 }
 MEASUREMENTS: dict[str, Measurement] = {}
-NOTES: dict[str, None] = {}  # why something could not be measured, in order, each once
+NOTES: dict[str, None] = {}  # reasons why something could not be measured, without duplicates, in order
 
 
 def add_note(text: str) -> None:
-    """Record why something could not be measured, for the end of the report."""
+    """Record why something could not be measured; the report ends with these notes."""
     NOTES[text] = None
 
 
@@ -77,7 +77,7 @@
 
 
 def cpu_time_ms(work: Callable[[], object]) -> float:
-    """Return the processor time (ms) that `work` takes. The garbage collector runs as it does in a proxy."""
+    """Return the processor time (ms) of `work`, with the garbage collector enabled as in a proxy."""
     gc.collect()
     start_ns = time.process_time_ns()
     work()
--- a/scale/memory_child.py
+++ b/scale/memory_child.py
@@ -1,9 +1,9 @@
-"""A child process that holds many objects of one kind and prints what they take.
+"""A child process that holds many objects of one kind and prints their memory use.
 
-Usage: `memory_child KIND COUNT SEED METHOD`. METHOD is `traced` (bytes that Python's allocator has given out
-since before, by tracemalloc) or `resident` (bytes of the process in memory). It prints JSON lines: for
-connections first the address to connect to, and the figure once a line has come on standard input. It imports
-the proxy and no library of this tool's, which would add to the figure.
+Usage: `memory_child KIND COUNT SEED METHOD`. METHOD is `traced` (bytes allocated by Python for the objects,
+measured with tracemalloc) or `resident` (resident bytes of the process). It prints JSON lines: the result, or
+for connections first the address to connect to and, after a line on standard input, the result. The module
+imports the proxy but none of this tool's libraries, which would add to the result.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 
 PROXIES = 3400
 GOSSIP_PORT = 7946
-CONNECTION_BACKENDS = 1000  # among which open requests are spread; all of them at one address
+CONNECTION_BACKENDS = 1000  # backends that receive the open requests, all at one address
 CLIENT_SLOTS = 2000
 BACKEND_ADDRESS_VARIABLE = "SCALE_BACKEND"
 
 
 def create_engine(proxy_settings: dict[str, Any], seed: int, slots: int = 100) -> Engine:
-    """Return the proxy's engine with room for `slots` client connections."""
+    """Return an engine with `slots` slots for client connections."""
     return Engine(read_settings(proxy_settings), read_proxy_settings(proxy_settings), seed, slots)
 
 
 async def hold_backends(count: int, seed: int) -> object:
-    """Return an engine that knows `count` backends."""
+    """Return an engine with `count` backends."""
     proxy_settings = synthetic.settings(PROXIES)
     engine = create_engine(proxy_settings, seed)
     update = read_list_update(
@@ -55,28 +55,28 @@
 
 
 async def hold_classes(count: int, seed: int) -> object:
-    """Return a balancer and a request parser with `count` request classes, each with settings of its own."""
+    """Return a balancer and a request validator with `count` request classes, each with its own settings."""
     raw = synthetic.settings(PROXIES, classes=count)
     return Balancer(read_settings(raw), seed), RequestValidator(read_settings(raw), read_proxy_settings(raw))
 
 
 async def hold_tenants(count: int, seed: int) -> object:
-    """Return a balancer and a request parser with `count` tenants that have a quota; they share settings."""
+    """Return a balancer and a request validator with `count` tenants with quotas, which share settings."""
     raw = synthetic.settings(PROXIES, tenants=count)
     settings = read_settings(raw)
     return Balancer(settings, seed), RequestValidator(settings, read_proxy_settings(raw))
 
 
 async def hold_peers(count: int, seed: int) -> object:
-    """Return the gossip socket's state with the addresses of `count` peers."""
+    """Return a gossip channel with the addresses of `count` peers."""
     addresses = tuple(synthetic.loopback_address(number, GOSSIP_PORT) for number in range(count))
     return GossipChannel(PeerAddresses("127.0.0.1:0", addresses, "127.0.0.1:9"), lambda *_: None)
 
 
 async def hold_connections(count: int, seed: int) -> object:
-    """Run a proxy for clients that connect from outside, until a line comes on standard input.
+    """Run a proxy that accepts clients until a line is read on standard input; return its objects.
 
-    The backends are all at the address that the environment names.
+    All backends have the address in the environment variable `BACKEND_ADDRESS_VARIABLE`.
     """
     proxy_settings = synthetic.settings(1)
     engine = create_engine(proxy_settings, seed, CLIENT_SLOTS)
@@ -103,15 +103,15 @@
 
 
 async def main(kind: str, count: int, seed: int, is_traced: bool) -> None:
-    """Hold `count` objects of `kind`, print what they take in bytes, and exit with all of them."""
+    """Create `count` objects of `kind`, print their memory use in bytes, and exit without cleanup."""
     if is_traced:
         tracemalloc.start()
     held = await HOLDERS[kind](count, seed)
-    await asyncio.sleep(0.01)  # the balancer's step comes in a later turn of the loop
+    await asyncio.sleep(0.01)  # the balancer's step runs in a later iteration of the event loop
     gc.collect()
     print(json.dumps(tracemalloc.get_traced_memory()[0] if is_traced else resident_bytes()), flush=True)
-    del held  # not before it was measured
-    # Connections stay open to the end: an orderly shutdown would only take time.
+    del held  # keeps the objects alive until they are measured
+    # Exit without closing the connections, since an orderly shutdown would only take time.
     os._exit(0)
 
 
--- a/scale/proxy_process.py
+++ b/scale/proxy_process.py
@@ -1,4 +1,4 @@
-"""A real proxy in a process of its own, and what the kernel tells of it."""
+"""A real proxy in its own process, with its resource use as reported by the kernel."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from scale.measurement import MeasurementError
 from scale.process_memory import resident_bytes
 
-START_TIMEOUT_S = 30.0  # until the proxy listens
+START_TIMEOUT_S = 30.0  # time within which the proxy must listen
 START_POLL_S = 0.005
 NEXT_LINE_TIMEOUT_S = 1.0
 LISTENING_LINE = re.compile(r"listens on (\S+)")
 
 
 class ProxyProcess:
-    """`python -m dunecove` with a configuration in a temporary folder; killed at the end of the context.
+    """A process that runs `python -m dunecove` with a configuration file; killed on exit from the context.
 
-    Raises MeasurementError, with the last line of the log, if the proxy doesn't come up.
+    Raise MeasurementError, with the last line of the log, if the proxy does not start.
     """
 
     def __init__(self, configuration: dict[str, Any]) -> None:
@@ -56,14 +56,14 @@
             if found is not None:
                 return found[1]
             time.sleep(START_POLL_S)
-        raise MeasurementError(f"the proxy didn't come up: {self.last_log_line()}")
+        raise MeasurementError(f"the proxy did not start: {self.last_log_line()}")
 
     def last_log_line(self) -> str:
-        """Return the last line of the proxy's log."""
+        """Return the last line of the log, or a placeholder if the log is empty."""
         return (self._log_file.read_text().splitlines() or ["(its log is empty)"])[-1]
 
     def next_log_line(self) -> str:
-        """Return the last line once one follows that of the start, or after a second as it is."""
+        """Wait up to a second for a log line after the one on listening, and return the last line."""
         deadline = time.monotonic() + NEXT_LINE_TIMEOUT_S
         while LISTENING_LINE.search(self.last_log_line()) and time.monotonic() < deadline:
             time.sleep(0.01)
@@ -76,37 +76,37 @@
         self.close()
 
     def close(self) -> None:
-        """Kill the proxy and remove its folder."""
+        """Kill the proxy and remove its temporary folder."""
         stop_process(self._process)
         self._folder.cleanup()
 
     def cpu_ms(self) -> float:
-        """Return the processor time so far (ms)."""
+        """Return the processor time (ms) that the proxy has used so far."""
         return self._schedstat_ms(0)
 
     def cpu_wait_ms(self) -> float:
-        """Return the time so far that the proxy has waited for a core which others had (ms)."""
+        """Return the time (ms) that the proxy has waited so far for a core while runnable."""
         return self._schedstat_ms(1)
 
     def _schedstat_ms(self, field: int) -> float:
-        """Sum a field of the scheduler's own count, which is finer than the 10 ms of `stat`."""
+        """Return the sum of a schedstat field over all threads; `stat` only has a resolution of 10 ms."""
         tasks = Path(f"/proc/{self._process.pid}/task").iterdir()
         return sum(int((task / "schedstat").read_text().split()[field]) for task in tasks) / 1e6
 
     def resident_bytes(self) -> int:
-        """Return the bytes that are in memory now."""
+        """Return the current resident bytes of the proxy."""
         return resident_bytes(self._process.pid)
 
 
 class ProbeResult(NamedTuple):
-    """What a readiness probe saw since it was last asked."""
+    """Results of a readiness probe since its previous result."""
 
-    longest_gap_ms: float  # from one response to the next
+    longest_gap_ms: float  # between two responses
     responses: int
 
 
 class ReadinessProbe:
-    """Asks a proxy's readiness about every millisecond, from a process of its own."""
+    """Requests a proxy's readiness about once per millisecond, from a separate process."""
 
     def __init__(self, address: str) -> None:
         self._child = ChildProcess("readiness_probe", address)
@@ -119,6 +119,6 @@
         self._child.close()
 
     def take_result(self) -> ProbeResult:
-        """Return what was seen since the last call; it comes with the proxy's next response."""
+        """Return the result since the previous call; waits for the next response of the proxy."""
         self._child.write_line("report")
         return ProbeResult(*self._child.read_json())
--- a/scale/readiness_probe.py
+++ b/scale/readiness_probe.py
@@ -1,7 +1,7 @@
-"""A child process that asks `GET /health/ready` about every millisecond: `readiness_probe ADDRESS`.
+"""A child process that requests `GET /health/ready` about once per millisecond.
 
-For each line on standard input it prints, as JSON, the longest time in ms from one response to the next since
-the line before, and the number of responses.
+Usage: `readiness_probe ADDRESS`. For each line on standard input it prints a JSON line with the longest time
+(ms) between two responses and the number of responses since the previous line.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class ReadinessClient:
-    """A client connection that is opened anew whenever the proxy has closed it."""
+    """A client that reconnects whenever the proxy has closed the connection."""
 
     def __init__(self, host: str, port: int) -> None:
         self._address = host, port
         self._socket: socket.socket | None = None
 
-    def ask(self) -> bool:
-        """Send one request; whether a response came."""
+    def probe(self) -> bool:
+        """Send a request and return whether a response was received."""
         try:
             if self._socket is None:
                 self._socket = socket.create_connection(self._address)
@@ -40,14 +40,14 @@
 
 
 def main(address: str) -> None:
-    """Probe `host:port` until standard input ends."""
+    """Probe the `host:port` address until standard input ends."""
     host, port = address.rsplit(":", 1)
     client = ReadinessClient(host, int(port))
     last_response = time.monotonic()
     longest_s = 0.0
     responses = 0
     while True:
-        if not client.ask():
+        if not client.probe():
             time.sleep(PAUSE_S)
             continue
         now = time.monotonic()
--- a/scale/report.py
+++ b/scale/report.py
@@ -1,4 +1,4 @@
-"""What a measurement was made on, tables as plain text, and files."""
+"""Description of the machine, plain-text tables and output files of a report."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def describe_machine() -> dict[str, Any]:
-    """Return the machine, its load as others made it, the Python and the revision of the program.
+    """Return the hardware, the Python version, the program's revision, and the load before the measurement.
 
-    The load is the number of processes that wanted a core, over 1 and 15 minutes.
+    The load is the kernel's load average over 1 and 15 minutes.
     """
     load_1_min, _, load_15_min = os.getloadavg()
     return {
@@ -42,7 +42,7 @@
 
 
 def program_revision() -> str:
-    """Return the checkout's revision, with `+` where dunecove/ differs from it; `?` outside a checkout."""
+    """Return the Git revision, with `+` if dunecove/ has uncommitted changes; `?` outside a checkout."""
     try:
         head = subprocess.run(["git", "rev-parse", "--short=12", "HEAD"], cwd=ROOT, capture_output=True)
         status = subprocess.run(["git", "status", "--porcelain", "dunecove"], cwd=ROOT, capture_output=True)
@@ -52,7 +52,7 @@
 
 
 def describe_run(data: dict[str, Any]) -> str:
-    """Return the line on the machine, the load and the seed with which a report begins."""
+    """Return the start of a report: the revision, the machine, its load and the seed."""
     machine = data["machine"]
     return (
         f"revision {machine['revision']}, Python {machine['python']}, {machine['cpu']}, {machine['cores']} "
@@ -61,7 +61,7 @@
 
 
 def format_table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """Align columns with two spaces between them; the first to the left, the others to the right."""
+    """Return a table with two spaces between columns, the first left-aligned, the others right-aligned."""
     widths = [max(map(len, column)) for column in zip(head, *rows, strict=True)]
     lines = []
     for row in [head, *rows]:
@@ -72,7 +72,7 @@
 
 
 def format_figure(value: float | None) -> str:
-    """Format with four significant digits; `-` for what was not measured."""
+    """Return a value with four significant digits, or `-` for one that was not measured."""
     if value is None:
         return "-"
     if value == 0:
@@ -84,17 +84,17 @@
 
 
 def save_text(path: str | None, text: str) -> None:
-    """Write a file if one was asked for. OSError if it can't be written."""
+    """Write a text file unless `path` is empty; raise OSError if it can't be written."""
     if path:
         Path(path).write_text(text)
 
 
 def save_json(path: str | None, data: dict[str, Any]) -> None:
-    """Write a JSON file if one was asked for. OSError if it can't be written."""
+    """Write a JSON file unless `path` is empty; raise OSError if it can't be written."""
     save_text(path, json.dumps(data, indent=1) + "\n")
 
 
 def check_writable(*paths: str | None) -> None:
-    """Empty the files to be written, so that one that can't be is found before a long measurement."""
+    """Truncate the output files; raise OSError for an unwritable one before a long measurement starts."""
     for path in paths:
         save_text(path, "")
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -1,4 +1,4 @@
-"""`slopes`: each measurement at each size and repeat, and the line through them."""
+"""The command `slopes`: runs each measurement at several sizes and fits a line through the values."""
 
 from __future__ import annotations
 
@@ -22,48 +22,55 @@
 
 Sizes = dict[str, tuple[int, ...]]  # by axis
 
-# Importing a module of measurements registers them, in this order.
+# Importing a module registers its measurements; the report follows this order.
 for module in ("memory", "gossip", "balancer", "process", "discovery"):
     import_module(f"scale.measure_{module}")
 
 
 def parse_sizes(text: str, option: str) -> tuple[int, ...]:
-    """Parse two or more whole numbers from 1 on. BadParameter names the option."""
+    """Return two or more distinct sizes in ascending order; raise BadParameter for an invalid list."""
     try:
         sizes = {int(part) for part in text.split(",")}
     except ValueError:
         sizes = set()
     if len(sizes) < 2 or min(sizes) < 1:
         raise click.BadParameter(
-            f"{text!r} is not a list of two or more different whole numbers, 1 or more", param_hint=option
+            f"{text!r} is not a list of two or more different whole numbers of at least 1", param_hint=option
         )
     return tuple(sorted(sizes))
 
 
 def parse_axes(sizes: str, counts: tuple[str, ...]) -> Sizes:
-    """Return the sizes of each axis: the defaults with what `--sizes` and `--counts` say. BadParameter."""
+    """Return the sizes by axis, with defaults for axes that are not given; raise BadParameter if invalid."""
     parsed = DEFAULT_SIZES | {"backend": parse_sizes(sizes, "--sizes")}
     for text in counts:
         axis, equals, rest = text.partition("=")
         if axis not in DEFAULT_SIZES or not equals:
             names = ", ".join(DEFAULT_SIZES)
-            raise click.BadParameter(f"{text!r} is not NAME=N,N with one of {names}", param_hint="--counts")
+            raise click.BadParameter(
+                f"{text!r} is not NAME=N,N where NAME is one of {names}", param_hint="--counts"
+            )
         parsed[axis] = parse_sizes(rest, "--counts")
     return parsed
 
 
 def select_measurements(names: tuple[str, ...]) -> list[Measurement]:
-    """Return the named measurements, or all of them. MeasurementError for a name that is none."""
+    """Return the named measurements, or all if no names are given; raise MeasurementError if unknown."""
     unknown = [name for name in names if name not in MEASUREMENTS]
     if unknown:
-        raise MeasurementError(f"no measurement {unknown[0]!r}; there are {', '.join(MEASUREMENTS)}")
+        raise MeasurementError(
+            f"unknown measurement {unknown[0]!r}; available measurements: {', '.join(MEASUREMENTS)}"
+        )
     return [measurement for name, measurement in MEASUREMENTS.items() if not names or name in names]
 
 
 def run_repeats(
     measurements: list[Measurement], sizes: Sizes, proxies: int, repeats: int, seed: int, quiet: bool
 ) -> dict[str, list[dict[int, Values]]]:
-    """Run all of them repeat by repeat, so that a spell of other work on the machine falls on all alike."""
+    """Run all measurements once per repeat, so that temporary load on the machine affects all of them alike.
+
+    Return the values of each repeat, by the measurement's name.
+    """
     results: dict[str, list[dict[int, Values]]] = {measurement.name: [] for measurement in measurements}
     for repeat in range(repeats):
         parameters = RunParameters(proxies, seed + repeat)
@@ -80,7 +87,7 @@
 def summarize(
     measurements: list[Measurement], sizes: Sizes, results: dict[str, list[dict[int, Values]]]
 ) -> list[dict[str, Any]]:
-    """Return one object for each series, in the order of the measurements."""
+    """Return one JSON object per series, in the order of the measurements."""
     return [
         summarize_series(series, measurement.axis, sizes[measurement.axis], results[measurement.name])
         for measurement in measurements
@@ -89,20 +96,22 @@
 
 
 @click.command()
-@click.option("--what", multiple=True, metavar="NAME", help="Only this measurement; may be given again.")
+@click.option("--what", multiple=True, metavar="NAME", help="Run only this measurement (repeatable).")
 @click.option("--sizes", default="1000,10000,150000", show_default=True, help="Numbers of backends.")
 @click.option(
     "--counts",
     multiple=True,
     metavar="NAME=N,N",
-    help=f"Sizes of something else: {', '.join(list(DEFAULT_SIZES)[1:])}.",
+    help=f"Sizes along another axis: {', '.join(list(DEFAULT_SIZES)[1:])}.",
+)
+@click.option(
+    "--proxies", type=click.IntRange(1), default=3400, show_default=True, help="Proxies in the tier."
 )
-@click.option("--proxies", type=click.IntRange(1), default=3400, show_default=True, help="In the whole tier.")
 @click.option("--repeats", type=click.IntRange(1), default=5, show_default=True)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--json", "json_file", metavar="FILE", help="Save all values and fits.")
-@click.option("--table", "table_file", metavar="FILE", help="Save what is printed.")
-@click.option("--quiet", is_flag=True, help="No progress on standard error.")
+@click.option("--table", "table_file", metavar="FILE", help="Save the printed report.")
+@click.option("--quiet", is_flag=True, help="Print no progress on standard error.")
 def slopes(
     what: tuple[str, ...],
     sizes: str,
@@ -114,7 +123,7 @@
     table_file: str | None,
     quiet: bool,
 ) -> None:
-    """Measure what each thing costs at several sizes, and fit a line through it."""
+    """Measure costs at several sizes, and fit a line through the values of each series."""
     measurements = select_measurements(what)
     axes = parse_axes(sizes, counts)
     report.check_writable(json_file, table_file)
--- a/scale/slopes_report.py
+++ b/scale/slopes_report.py
@@ -1,4 +1,4 @@
-"""The result of `slopes`: the values of each series, the lines through them, and their tables."""
+"""The report of `slopes`: the values of each series, the fitted lines and the tables."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from scale.measurement import DEFAULT_SIZES, Series, Values
 
 NOT_MEASURED = {
-    "routes": "the program has none: a request's class, the first part of its path, is all that it looks up",
-    "services": "the program has none beyond the classes; `memory-class` counts those",
+    "routes": "the proxy has no routes: it only looks up the request class, the first segment of the path",
+    "services": "the proxy has no services other than request classes, which `memory-class` measures",
 }
 EXPLANATION = (
-    "A size's column holds the middle value. slope and intercept: least squares over all values; min,",
-    "max and sd: of the slopes of single repeats; off: the largest distance of a middle value from the",
-    "line, as a part of the largest middle value. Times are processor time, except the gaps. A number in",
-    "brackets: so many repeats have a value there; the line is through the repeats that lack none.",
+    "The column of a size holds the median. slope and intercept: least squares over all values; min, max",
+    "and sd: over the slopes of single repeats; off: the largest distance of a median from the line, as a",
+    "share of the largest median. Times are processor time, except for the gaps. A number in parentheses:",
+    "repeats that have a value at that size; the line is fitted to the repeats that have all values.",
 )
 FIT_COLUMNS = ("slope", "min", "max", "sd", "intercept", "R2", "off")
 
@@ -24,10 +24,10 @@
 def summarize_series(
     series: Series, axis: str, sizes: tuple[int, ...], repeats: list[dict[int, Values]]
 ) -> dict[str, Any]:
-    """Return the raw values of one series and its line, as an object of the JSON.
+    """Return the values of one series and the line through them, as an object of the JSON output.
 
-    The line leaves out a size without any value, and then a repeat that lacks one; `fit_repeats` tells how
-    many are left.
+    The fit omits sizes without any value, then repeats that lack a value at another size; `fit_repeats` is
+    the number of remaining repeats.
     """
     values = {size: [repeat[size][series.name] for repeat in repeats] for size in sizes}
     measured = [size for size in sizes if any(value is not None for value in values[size])]
@@ -46,20 +46,20 @@
 
 
 def median_value(values: list[float | None]) -> float | None:
-    """Return the upper median of what was measured; None if nothing was."""
+    """Return the upper median of the values that are not None; None if there are none."""
     known = sorted(value for value in values if value is not None)
     return known[len(known) // 2] if known else None
 
 
 def format_values(values: list[float | None]) -> str:
-    """Format the median, with the number of values in brackets where some lack."""
+    """Return the median, followed by the number of values in parentheses if some are missing."""
     missing = sum(value is None for value in values)
     known = f" ({len(values) - missing})" if 0 < missing < len(values) else ""
     return report.format_figure(median_value(values)) + known
 
 
 def format_fit(row: dict[str, Any]) -> list[str]:
-    """Return the cells of a row's line, in the order of FIT_COLUMNS."""
+    """Return the cells on the fitted line of a row, in the order of FIT_COLUMNS."""
     line = row["fit"]
     if line is None:
         return ["-"] * len(FIT_COLUMNS)
@@ -71,7 +71,7 @@
 
 
 def format_axis_table(axis: str, rows: list[dict[str, Any]]) -> list[str]:
-    """Return the lines of the table of what grows with `axis`, and what its rows mean."""
+    """Return the lines of the table for `axis`, followed by the descriptions of its rows."""
     sizes = list(rows[0]["values"])
     head = [f"per {axis}", "unit", *(f"at {int(size):,}" for size in sizes), *FIT_COLUMNS]
     cells = [
@@ -82,11 +82,11 @@
 
 
 def format_report(data: dict[str, Any]) -> str:
-    """Return what is printed: one table for each axis, and what could not be measured."""
+    """Return the printed report: a table per axis, and notes on what could not be measured."""
     arguments = data["arguments"]
     lines = [
         f"{report.describe_run(data)}{arguments['repeats']} repeats, "
-        f"one of {arguments['proxies']:,} proxies.",
+        f"proxy configured as one of {arguments['proxies']:,}.",
         *EXPLANATION,
     ]
     for axis in DEFAULT_SIZES:
@@ -94,5 +94,5 @@
         if rows:
             lines += format_axis_table(axis, rows)
     lines += ["", *data["notes"]]
-    lines += [f"not measured, not in the program: {name}: {reason}" for name, reason in NOT_MEASURED.items()]
+    lines += [f"not measured: {name}: {reason}" for name, reason in NOT_MEASURED.items()]
     return "\n".join(lines) + "\n"
--- a/scale/stub_backends.py
+++ b/scale/stub_backends.py
@@ -1,7 +1,7 @@
-"""A child process with stub backends: `stub_backends COUNT SERVICE_MS`.
+"""A child process with stub backends.
 
-It prints their addresses as a JSON line and ends when its standard input does. The body of a response is the
-time in us that the request has spent here.
+Usage: `stub_backends COUNT SERVICE_MS`. It prints the addresses of the backends as a JSON line and exits when
+standard input ends. The body of a response is the time (us) that the request has spent in the backend.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 
 
 class BackendConnection(asyncio.Protocol):
-    """Answers each request after the service time. Requests have no body and come one at a time."""
+    """Responds to each request after the service time; expects requests without a body, one at a time."""
 
     def __init__(self, service_s: float) -> None:
         self._service_s = service_s
         self._buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for the responses."""
+        """Store the transport, to which responses are written."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Schedule a response to each whole request."""
+        """Schedule a response to each complete request."""
         self._buffer += data
         while HEAD_END in self._buffer:
             self._buffer = self._buffer.split(HEAD_END, 1)[1]
--- a/scale/stub_discovery.py
+++ b/scale/stub_discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in of the discovery service on loopback, in a thread of its own, that counts its bytes."""
+"""A stub discovery service on loopback, which runs in its own thread and counts bytes."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class Exchange(NamedTuple):
-    """The sizes of one call and its answer, in bytes with headers."""
+    """Sizes of a request and its response in bytes, including headers."""
 
     request_bytes: int
     response_bytes: int
 
 
 class WaitingWatch(NamedTuple):
-    """A watch that has nothing new to be told yet."""
+    """An open watch that waits for an update after revision `since`."""
 
     since: int
     request_bytes: int
@@ -30,12 +30,12 @@
 
 
 class _DiscoveryConnection(asyncio.Protocol):
-    """One connection of a proxy to the service."""
+    """A connection from a proxy to the service."""
 
     def __init__(self, discovery: StubDiscovery) -> None:
         self._discovery = discovery
         self._buffer = b""
-        self._update_unacknowledged = False  # the last answer was an update, and no call has come since
+        self._update_unacknowledged = False  # no request has followed the last update
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -55,7 +55,7 @@
             self._discovery.handle_call(self, head + HEAD_END)
 
     def respond(self, request_bytes: int, body: bytes, is_update: bool = False) -> None:
-        """Write a response and count its bytes."""
+        """Write a response and record the sizes of the exchange."""
         if not self.transport.is_closing():
             response = RESPONSE_HEAD % len(body) + body
             self._discovery.exchanges.append(Exchange(request_bytes, len(response)))
@@ -64,20 +64,20 @@
 
 
 class StubDiscovery:
-    """Answers a watch from revision N with `updates[N]` at once, or with an empty delta after its wait.
+    """Answers a watch from revision N with `updates[N]` at once, or with an empty delta after its timeout.
 
-    With `answer_at_once` a watch without an update does not wait either.
+    With `answer_at_once`, a watch without an update gets the empty delta at once.
     """
 
     def __init__(self, snapshot: bytes, answer_at_once: bool = False) -> None:
         self._snapshot = snapshot
         self._answer_at_once = answer_at_once
-        self.updates: dict[int, bytes] = {}  # bodies by the revision that they start from
+        self.updates: dict[int, bytes] = {}  # response bodies, by the revision that they follow
         self.exchanges: list[Exchange] = []
-        self.was_refused = False  # an update was answered with the end of the connection
+        self.was_refused = False  # a proxy closed its connection after an update
         self.connections: set[_DiscoveryConnection] = set()
         self.waiting: dict[_DiscoveryConnection, WaitingWatch] = {}
-        self._watched_revisions: set[int] = set()  # that calls have named so far
+        self._watched_revisions: set[int] = set()  # revisions that watches have started from so far
         self._changed = threading.Condition()
         self._loop = asyncio.new_event_loop()
         self._server = self._loop.run_until_complete(
@@ -102,7 +102,7 @@
         self._loop.call_soon(self._loop.stop)
 
     def handle_call(self, connection: _DiscoveryConnection, head: bytes) -> None:
-        """Answer a call, or let it wait; in the service's thread."""
+        """Respond to a request, or keep the watch open; runs in the service's thread."""
         query = WATCH_QUERY.search(head)
         if query is None:
             connection.respond(len(head), self._snapshot)
@@ -126,7 +126,7 @@
             connection.respond(watch.request_bytes, synthetic.empty_delta_body(watch.since))
 
     def publish(self, since: int, body: bytes) -> None:
-        """Offer an update from revision `since`, also to the watches that wait for it; from any thread."""
+        """Add an update from revision `since` and send it to open watches; may be called in any thread."""
         self._loop.call_soon_threadsafe(self._publish, since, body)
 
     def _publish(self, since: int, body: bytes) -> None:
@@ -138,15 +138,15 @@
                 connection.respond(watch.request_bytes, body, is_update=True)
 
     def record_refusal(self) -> None:
-        """Record that an update was answered with the end of the connection."""
+        """Record that a proxy closed its connection after an update."""
         with self._changed:
             self.was_refused = True
             self._changed.notify_all()
 
     def wait_for_watch(self, revision: int, timeout_s: float) -> bool:
-        """Wait until a watch names `revision`, so that all before it is taken over.
+        """Wait for a watch from `revision`, which shows that the proxy has applied the list up to it.
 
-        Returns False if an update was refused, or when the time is up.
+        Return False if an update was refused or after the timeout.
         """
         with self._changed:
             self._changed.wait_for(lambda: revision in self._watched_revisions or self.was_refused, timeout_s)
--- a/scale/synthetic.py
+++ b/scale/synthetic.py
@@ -1,6 +1,6 @@
-"""Synthetic surroundings of a proxy: settings, configurations, and endpoint lists in discovery's form.
+"""Synthetic input of a proxy: settings, configurations, and endpoint lists in the format of discovery.
 
-All addresses are on loopback, so that whatever goes wrong, nothing leaves the machine.
+All addresses are on loopback, so that no traffic can leave the machine.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 ZONE_COUNT = 11
 KIND_COUNT = 4
 CELL_COUNT = 97
-LONG_DEADLINE_MS = 60000  # beyond any run
+LONG_DEADLINE_MS = 60000  # longer than any run
 BACKEND_PORT = 3000
 
 
 def loopback_address(number: int, port: int = BACKEND_PORT) -> str:
-    """Return `host:port` on loopback, different for each number below 2**16 * 254."""
+    """Return a loopback `host:port` address, which is unique for each number below 2**16 * 254."""
     return f"127.{1 + (number >> 16) % 254}.{number >> 8 & 255}.{number & 255}:{port}"
 
 
 def backend_id(number: int) -> str:
-    """Return the id of the backend with this number."""
+    """Return the id of backend `number`."""
     return f"s-{number:08x}"
 
 
 def list_entry(number: int, state: str = "active", weight: float = 1.0, address: str = "") -> dict[str, Any]:
-    """Return one backend as an entry of discovery's list."""
+    """Return a backend as an entry of the endpoint list."""
     return {
         "uid": backend_id(number),
         "endpoint": address or loopback_address(number),
@@ -43,17 +43,17 @@
 
 
 def endpoint_list(revision: int, entries: list[dict[str, Any]], is_snapshot: bool = True) -> dict[str, Any]:
-    """Return discovery's answer: a whole list, or the changes since an earlier revision."""
+    """Return a discovery response: a snapshot, or a delta since an earlier revision."""
     return {"rev": revision, "all": is_snapshot, "targets": entries}
 
 
 def snapshot_body(revision: int, count: int) -> bytes:
-    """Return the body of discovery's answer with a whole list of `count` backends."""
+    """Return the body of a discovery response with a snapshot of `count` backends."""
     return orjson.dumps(endpoint_list(revision, [list_entry(number) for number in range(count)]))
 
 
 def delta_body(revision: int, count: int) -> bytes:
-    """Return the body of a change of `count` entries, by turns one that drains and a new one."""
+    """Return the body of a delta of `count` entries, alternately a draining and a new backend."""
     entries = [
         list_entry(number, "leaving") if number % 2 == 0 else list_entry(200_000 + revision * 100 + number)
         for number in range(count)
@@ -62,12 +62,12 @@
 
 
 def empty_delta_body(revision: int) -> bytes:
-    """Return the body of discovery's answer when nothing has changed since `revision`."""
+    """Return the body of a discovery response without changes since `revision`."""
     return b'{"rev":%d,"all":false,"targets":[]}' % revision
 
 
 def backend_infos(count: int, weight: float = 1.0) -> tuple[BackendInfo, ...]:
-    """Return the list of `snapshot_body` in the form that the balancer takes."""
+    """Return the backends of `snapshot_body` as the balancer's `BackendInfo`."""
     return tuple(
         BackendInfo(
             backend_id(number),
@@ -83,7 +83,7 @@
 def settings(
     proxies: int, classes: int = 1, tenants: int = 0, deadline_ms: int = LONG_DEADLINE_MS
 ) -> dict[str, Any]:
-    """Return settings in the form of the configuration; the first class is `lookup`, which is idempotent."""
+    """Return settings in the configuration format; the first request class, `lookup`, is idempotent."""
     request_classes = [
         {
             "Name": f"lookup{number or ''}",
@@ -109,7 +109,7 @@
 def configuration(
     discovery: str, listen: str, proxy_settings: dict[str, Any], cached_entries: list[dict[str, Any]]
 ) -> dict[str, Any]:
-    """Return a proxy's configuration file as an object; `discovery` and `listen` are `host:port`."""
+    """Return the configuration file of a proxy as an object; `discovery` and `listen` are `host:port`."""
     return {
         "name": "n0",
         "listen": listen,
--- a/tests/tools/fleet/support.py
+++ b/tests/tools/fleet/support.py
@@ -19,12 +19,12 @@
 
 
 class RawClient(asyncio.Protocol):
-    """Raw bytes to the service and from it."""
+    """A client that sends raw requests to the service and collects the response bytes."""
 
     def __init__(self) -> None:
         self.data = b""
         self.reads = 0
-        self.lost = False
+        self.is_closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -35,12 +35,13 @@
         self.reads += 1
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost = True
+        self.is_closed = True
 
-    def ask(self, query: str = "", line: str = "GET /registry/instances{} HTTP/1.1") -> None:
+    def send_request(self, query: str = "", line: str = "GET /registry/instances{} HTTP/1.1") -> None:
         self.transport.write(line.format(query).encode() + b"\r\nHost: list\r\n\r\n")
 
-    def answer(self) -> Any:
+    def take_response(self) -> Any:
+        """Return the decoded body of the response so far, and drop the received bytes."""
         head, _, body = self.data.partition(b"\r\n\r\n")
         self.data = b""
         assert head.startswith(b"HTTP/1.1 200 ")
--- a/tests/tools/fleet/test_cli.py
+++ b/tests/tools/fleet/test_cli.py
@@ -1,4 +1,4 @@
-"""Plans that can't be run, and the command line."""
+"""Invalid plans and the command line of `fleet`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         {"backends": 0},
         {"proxies": 0},
@@ -28,21 +28,21 @@
         {"services": 0},
     ],
 )
-def test_invalid_plans_are_refused(bad: dict[str, Any]) -> None:
-    with pytest.raises(InvalidPlanError, match=next(iter(bad))):
-        Plan(**(SMALL | bad)).check()
+def test_invalid_plan_is_an_error_that_names_the_field(invalid: dict[str, Any]) -> None:
+    with pytest.raises(InvalidPlanError, match=next(iter(invalid))):
+        Plan(**(SMALL | invalid)).check()
 
 
-def test_command(tmp_path: Path) -> None:
+def test_command_prints_and_saves_the_figures(tmp_path: Path) -> None:
     sizes = ["--backends", "30", "--proxies", "5", "--seconds", "30"]
-    done = CliRunner().invoke(fleet, [*sizes, "--json", str(tmp_path / "out.json")])
-    assert done.exit_code == 0
-    assert "5 hollow proxies" in done.output
+    result = CliRunner().invoke(fleet, [*sizes, "--json", str(tmp_path / "out.json")])
+    assert result.exit_code == 0
+    assert "5 simulated proxies" in result.output
     assert orjson.loads((tmp_path / "out.json").read_bytes())["plan"]["backends"] == 30
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "arguments",
     [
         ["--event", "flood"],
         ["--backends", "0"],
@@ -52,8 +52,8 @@
         ["--json", "/nowhere/out.json"],
     ],
 )
-def test_command_says_in_one_line_what_is_wrong(bad: list[str]) -> None:
-    done = CliRunner().invoke(fleet, bad)
-    assert done.exit_code == 2
-    assert done.stderr.startswith("fleet: ")
-    assert done.stderr.count("\n") == 1
+def test_command_reports_an_error_in_one_line(arguments: list[str]) -> None:
+    result = CliRunner().invoke(fleet, arguments)
+    assert result.exit_code == 2
+    assert result.stderr.startswith("fleet: ")
+    assert result.stderr.count("\n") == 1
--- a/tests/tools/fleet/test_discovery.py
+++ b/tests/tools/fleet/test_discovery.py
@@ -1,4 +1,4 @@
-"""The simulated discovery service, by its bytes."""
+"""The simulated discovery service, tested with raw requests and responses."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from tests.tools.fleet.support import RawClient, advance, connect_client
 
 
-def test_a_call_without_a_revision_gets_a_snapshot() -> None:
+def test_request_without_a_revision_gets_a_snapshot() -> None:
     cluster, client = connect_client(2000)
-    client.ask()
+    client.send_request()
     advance(cluster.loop, 0.1)
     assert client.reads >= len(cluster.discovery.snapshot()) // READ_BYTES
-    answer = client.answer()
-    assert (answer["rev"], answer["all"], len(answer["targets"])) == (1, True, 2000)
-    assert set(answer["targets"][0]) == {
+    response = client.take_response()
+    assert (response["rev"], response["all"], len(response["targets"])) == (1, True, 2000)
+    assert set(response["targets"][0]) == {
         "uid",
         "endpoint",
         "az",
@@ -28,49 +28,49 @@
     }
 
 
-def test_a_watch_waits_for_changes_and_gets_a_delta() -> None:
+def test_watch_waits_for_a_change_and_gets_a_delta() -> None:
     cluster, client = connect_client()
-    client.ask("?since=1&timeout_ms=5000")
+    client.send_request("?since=1&timeout_ms=5000")
     advance(cluster.loop, 1.0)
     assert client.data == b""
     cluster.drain(cluster.active_backends()[:2])
     advance(cluster.loop, 0.1)
-    answer = client.answer()
-    assert (answer["rev"], answer["all"]) == (2, False)
-    assert [entry["state"] for entry in answer["targets"]] == ["leaving", "leaving"]
+    response = client.take_response()
+    assert (response["rev"], response["all"]) == (2, False)
+    assert [entry["state"] for entry in response["targets"]] == ["leaving", "leaving"]
 
 
-def test_a_watch_without_a_change_ends_empty_in_time() -> None:
+def test_watch_without_a_change_gets_an_empty_delta_at_its_timeout() -> None:
     cluster, client = connect_client()
-    client.ask("?since=1&timeout_ms=1000")
+    client.send_request("?since=1&timeout_ms=1000")
     advance(cluster.loop, 0.9)
     assert client.data == b""
     advance(cluster.loop, 0.2)
-    assert client.answer() == {"rev": 1, "all": False, "targets": []}
+    assert client.take_response() == {"rev": 1, "all": False, "targets": []}
 
 
-def test_changes_of_several_revisions_come_as_the_latest() -> None:
+def test_delta_over_several_revisions_has_the_latest_entry_of_each_backend() -> None:
     cluster, client = connect_client()
-    one = cluster.active_backends()[0]
-    cluster.drain([one])
-    advance(cluster.loop, 10.0)  # by now it has left, and another has come
-    client.ask("?since=1&timeout_ms=1000")
+    drained = cluster.active_backends()[0]
+    cluster.drain([drained])
+    advance(cluster.loop, 10.0)  # the drained backend has been removed and replaced
+    client.send_request("?since=1&timeout_ms=1000")
     advance(cluster.loop, 0.1)
-    answer = client.answer()
-    states = {entry["uid"]: entry["state"] for entry in answer["targets"]}
-    assert answer["rev"] == 3
-    assert states.pop(one.backend_id) == "left"
+    response = client.take_response()
+    states = {entry["uid"]: entry["state"] for entry in response["targets"]}
+    assert response["rev"] == 3
+    assert states.pop(drained.backend_id) == "left"
     assert list(states.values()) == ["active"]
 
 
 @pytest.mark.parametrize("since", ["1", "99"])
-def test_a_revision_too_old_or_unknown_gets_a_snapshot(since: str) -> None:
+def test_watch_from_a_too_old_or_unknown_revision_gets_a_snapshot(since: str) -> None:
     cluster, client = connect_client()
     cluster.drain(cluster.active_backends()[:1])
-    cluster.discovery.forget_changes()
-    client.ask(f"?since={since}&timeout_ms=1000")
+    cluster.discovery.clear_history()
+    client.send_request(f"?since={since}&timeout_ms=1000")
     advance(cluster.loop, 0.1)
-    assert client.answer()["all"] is True
+    assert client.take_response()["all"] is True
 
 
 @pytest.mark.parametrize(
@@ -81,40 +81,40 @@
         ("GET /registry/instances?since=x HTTP/1.1", b"400"),
     ],
 )
-def test_other_calls_get_an_error(line: str, status: bytes) -> None:
+def test_invalid_request_gets_an_error_status(line: str, status: bytes) -> None:
     cluster, client = connect_client()
-    client.ask(line=line)
+    client.send_request(line=line)
     advance(cluster.loop, 0.1)
     assert client.data.split(b" ")[1] == status
 
 
-def test_a_cut_connection_is_unresponsive_and_a_new_one_hangs() -> None:
+def test_unreachable_service_sends_no_response_and_accepts_no_connection() -> None:
     cluster, client = connect_client()
-    client.ask("?since=1&timeout_ms=500")
-    cluster.cut_discovery(frozenset([0]), 5.0)
+    client.send_request("?since=1&timeout_ms=500")
+    cluster.disconnect_discovery(frozenset([0]), 5.0)
     advance(cluster.loop, 1.0)
-    late = RawClient()
-    task = cluster.loop.create_task(cluster.loop.create_connection(lambda: late, "10.0.0.1", 80))
+    new_client = RawClient()
+    task = cluster.loop.create_task(cluster.loop.create_connection(lambda: new_client, "10.0.0.1", 80))
     advance(cluster.loop, 1.0)
     assert client.data == b""
     assert not task.done()
     task.cancel()
 
 
-def test_a_closed_connection_ends_its_watch() -> None:
+def test_closed_connection_cancels_its_watch() -> None:
     cluster, client = connect_client()
-    client.ask("?since=1&timeout_ms=500")
+    client.send_request("?since=1&timeout_ms=500")
     advance(cluster.loop, 0.1)
     client.transport.abort()
     advance(cluster.loop, 1.0)
-    assert client.lost
+    assert client.is_closed
     assert client.data == b""
 
 
-def test_changes_beyond_those_kept_are_dropped() -> None:
+def test_watch_from_before_the_history_gets_a_snapshot() -> None:
     cluster, _ = connect_client()
-    service: SimulatedDiscovery = cluster.discovery
+    discovery: SimulatedDiscovery = cluster.discovery
     for _ in range(1200):
         cluster.publish([cluster.active_backends()[0]])
-    assert b'"all":true' in service.delta(1)
-    assert b'"all":false' in service.delta(service.revision - 999)
+    assert b'"all":true' in discovery.delta(1)
+    assert b'"all":false' in discovery.delta(discovery.revision - 999)
--- a/tests/tools/scale/test_cli.py
+++ b/tests/tools/scale/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, and that the program does without the tool."""
+"""Errors of the command line, and the proxy's independence of this tool."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
         ["sing"],
     ],
 )
-def test_what_cannot_be_done_ends_with_one_plain_line(
+def test_invalid_arguments_and_failures_are_reported_in_one_line(
     arguments: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(arguments) == 2
-    said = capsys.readouterr().err
-    assert said.startswith("scale: ") and said.count("\n") == 1 and len(said) > 20
+    output = capsys.readouterr().err
+    assert output.startswith("scale: ") and output.count("\n") == 1 and len(output) > 20
 
 
-def test_the_program_runs_without_the_tool_and_its_libraries() -> None:
+def test_the_proxy_imports_neither_the_tool_nor_its_libraries() -> None:
     code = "import sys, dunecove.__main__, dunecove.adapter; print(*sys.modules)"
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert {"scale", "click", "numpy", "hdrh"}.isdisjoint(loaded.split())
-    done = subprocess.run([sys.executable, "-m", "scale", "slopes", "--sizes", "1"], capture_output=True)
-    assert done.returncode == 2 and done.stderr.count(b"\n") == 1
+    result = subprocess.run([sys.executable, "-m", "scale", "slopes", "--sizes", "1"], capture_output=True)
+    assert result.returncode == 2 and result.stderr.count(b"\n") == 1
