--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -1,10 +1,10 @@
-"""The decisions of one proxy: a batch of events in, the actions to carry out.
+"""The decisions of one proxy: `Balancer.step` takes a batch of events and returns the actions to carry out.
 
-Each rule stands in the module that owns its state; this one passes events on, in this order:
-1. each event by itself: arrivals are admitted or shed, outcomes are learned from and may lead to a retry,
-   list updates move backends, ticks do the housekeeping;
-2. retries that are pinned to their deduplication scope;
-3. dispatch of the queues, and expiry of what waited too long.
+Each rule is in the module that owns its state; this module passes the events on. The order within a step is:
+1. each event: arriving requests are admitted or shed, outcomes of attempts update the estimates and may cause
+   a retry, endpoint list updates change the backends, ticks do the housekeeping;
+2. dispatch of pinned retries, which are restricted to their deduplication scope;
+3. dispatch of the queues, and failure of requests that have waited too long.
 """
 
 from __future__ import annotations
@@ -53,24 +53,27 @@
 from dunecove.policy.slow_start_budget import SlowStartBudget
 from dunecove.policy.subsetting import BackendSet
 
-SLOW_TICK_MS = 1000.0  # between two updates of estimates that age with time
+SLOW_TICK_MS = 1000.0  # minimum interval of updates of the estimates that decay over time
 
 
 class Balancer:
-    """One proxy's decisions. Feed it every event; carry out every action. Times are in ms."""
+    """The decisions of one proxy. It must get every event, and every action must be carried out.
+
+    Times are in ms.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
         self.settings = settings
         rng = Random(seed)
-        sparse = settings.is_sparse_tier
+        is_sparse = settings.is_sparse_tier
         queue_by_objective = create_queues(
             {request_class.latency_objective_ms for request_class in settings.classes},
             settings.step_interval_ms,
         )
         self.queues = list(queue_by_objective.values())
-        self._queue_of_class = [queue_by_objective[c.latency_objective_ms] for c in settings.classes]
-        self.latencies = LatencyTracker(len(settings.classes), sparse)
+        self._queue_by_class = [queue_by_objective[c.latency_objective_ms] for c in settings.classes]
+        self.latencies = LatencyTracker(len(settings.classes), is_sparse)
         self.in_flight = InFlightLimit(settings.proxy_count, self.queues[0].objective_ms, self.latencies)
         self._slow_start = SlowStart(settings.slow_start_ms)
         self._slow_start_budget = SlowStartBudget(settings, rng, self._slow_start)
@@ -92,13 +95,13 @@
         )
         self.pinned_retries = PinnedRetries(self.backends, self._dispatcher)
         self.polling = DiscoveryPolling(settings, rng)
-        self.requests: dict[str, Request] = {}  # those without a final response, or with an open attempt
+        self.requests: dict[str, Request] = {}  # without a final response, or with an open attempt
         self._is_started = False
-        self._slow_tick_at = 0.0  # the last one
+        self._last_slow_tick_at = 0.0
         self._actions: list[Action] = []
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
-        """Take a batch of events that happened up to `now`; return the actions in order."""
+        """Process a batch of events that happened up to `now`; return the actions in order."""
         self._actions = []
         if not self._is_started and events:
             self._start(now)
@@ -107,14 +110,14 @@
         if self.pinned_retries.waiting:
             self._actions += self.pinned_retries.dispatch(now)
         self._actions += self._dispatcher.dispatch(now)
-        self._expire(now)
+        self._process_due_requests(now)
         if self._outliers.backends_to_report:
             self._actions.append(self._outliers.take_gossip())
         return self._actions
 
     def _start(self, now: float) -> None:
         self._is_started = True
-        self._slow_tick_at = now
+        self._last_slow_tick_at = now
         self._slow_start_budget.start(now)
         self.in_flight.start(now)
         self.admission.quotas.start(now)
@@ -144,24 +147,24 @@
 
     def _on_arrival(self, now: float, event: RequestArrived) -> None:
         request_class = self.settings.classes[event.class_index]
-        queue = self._queue_of_class[event.class_index]
+        queue = self._queue_by_class[event.class_index]
         level = self.admission.priority_level(now, request_class, event.tenant, event.work_hint_ms)
         if not event.is_retry:
-            self.admission.quotas.record_first_try(event.tenant)
+            self.admission.quotas.record_original_request(event.tenant)
         self.retry_policy.record_arrival()
-        waited_ms = self.client_retries.waited_ms(now, event, queue.objective_ms)
-        request = Request(event, request_class, queue, now, now - waited_ms)
+        previous_wait_ms = self.client_retries.previous_wait_ms(now, event, queue.objective_ms)
+        request = Request(event, request_class, queue, now, now - previous_wait_ms)
         self.requests[request.id] = request
         if self.admission.should_shed(now, level, queue):
             self.client_retries.expect_retries()
             retry_after_ms = self.admission.retry_after_ms(queue)
             self._actions.append(Reject(request.id, retry_after_ms, EndReason.LOAD_SHED))
             self._finish(request)
-        elif self._timeouts.is_too_late(now, request):
+        elif self._timeouts.is_deadline_too_close(now, request):
             self._fail(request, EndReason.DEADLINE_TOO_CLOSE)
         else:
             queue.push(request)
-            self._timeouts.start_queued(request)
+            self._timeouts.schedule_queued(request)
 
     def _on_attempt_ended(self, now: float, event: AttemptEnded) -> None:
         request = self.requests.get(event.request_id)
@@ -180,22 +183,22 @@
         if event.request_finished or request.is_finished:
             self._finish(request)
         elif request.open_attempt_count == 0:
-            self._continue(request, self.retry_policy.after_failure(now, request, event.result))
+            self._apply_retry_decision(request, self.retry_policy.after_failure(now, request, event.result))
 
-    def _continue(self, request: Request, decision: Retry | EndReason) -> None:
-        """Carry out what was decided on a request after a failed attempt."""
+    def _apply_retry_decision(self, request: Request, decision: Retry | EndReason) -> None:
+        """Retry or fail a request, as decided after a failed attempt."""
         if isinstance(decision, EndReason):
             self._fail(request, decision)
         elif decision is Retry.QUEUED:
             request.queue.push_front(request)
-            self._timeouts.start_queued(request)
+            self._timeouts.schedule_queued(request)
         elif decision is Retry.BACKOFF:
             self._timeouts.schedule(request.retry_at, request)
         else:
             executed = first_executed_attempt(request.attempts)
-            assert executed is not None  # or any backend might get it
+            assert executed is not None  # otherwise the retry would not be restricted to a scope
             self.pinned_retries.add(request)
-            self._timeouts.start_pinned(request, executed)
+            self._timeouts.schedule_pinned_retry(request, executed)
 
     def _on_response_started(self, event: ResponseStarted) -> None:
         request = self.requests.get(event.request_id)
@@ -213,22 +216,22 @@
                     self._actions.append(CancelAttempt(request.id, index))
         self._finish(request)
 
-    def _expire(self, now: float) -> None:
-        """Look at the requests whose timers have run out."""
+    def _process_due_requests(self, now: float) -> None:
+        """Check the waiting requests whose timers have expired."""
         while (request := self._timeouts.pop_due(now)) is not None:
             if request.is_queued:
-                if not self._timeouts.extend(now, request):
+                if not self._timeouts.try_extend(now, request):
                     self._fail(request, EndReason.QUEUE_TIMEOUT)
             elif request.has_backoff_ended(now):
-                self._continue(request, self.retry_policy.after_backoff(now, request))
+                self._apply_retry_decision(request, self.retry_policy.after_backoff(now, request))
 
     def _fail(self, request: Request, reason: EndReason) -> None:
-        """Give the final response to a request that will not be sent again."""
+        """Send a final error response for a request."""
         self._actions.append(Fail(request.id, reason))
         self._finish(request)
 
     def _finish(self, request: Request) -> None:
-        """It has its final response; it is kept only until its open attempts have ended."""
+        """Mark a request as finished, and remove it unless it has open attempts."""
         request.is_finished = True
         request.is_queued = False
         if request.open_attempt_count == 0:
@@ -250,17 +253,17 @@
 
     def _on_tick(self, now: float) -> None:
         self._actions.append(SetTimer(TICK_MS, 0))
-        self._expire(now)  # before dispatch too, so that ended backoffs are sent in this step
+        self._process_due_requests(now)  # also before dispatch: retries after a backoff are sent in this step
         cold = self.backends.cold_subset
         self._slow_start_budget.refill(now, cold, self.backends.proxies_per_backend() if cold else 1.0)
         if self.polling.start_poll_if_due(now):
             self._actions.append(PollDiscovery())
-        if now - self._slow_tick_at >= SLOW_TICK_MS:
+        if now - self._last_slow_tick_at >= SLOW_TICK_MS:
             self._on_slow_tick(now)
 
     def _on_slow_tick(self, now: float) -> None:
-        seconds = (now - self._slow_tick_at) / 1000
-        self._slow_tick_at = now
+        seconds = (now - self._last_slow_tick_at) / 1000
+        self._last_slow_tick_at = now
         self.client_retries.decay()
         self.admission.quotas.update_traffic_share(seconds)
         self.backends.shrink_subscriptions()
