--- a/scale/fleet/discovery.py
+++ b/scale/fleet/discovery.py
@@ -48,9 +48,7 @@
         self.revision = 1
         self.unreachable_regions: set[int] = set()
         self.entries: dict[str, bytes] = {}
-        self._published_at: list[float] = [
-            loop.time()
-        ]  # time (s) of each revision; that of revision 1 is at index 0
+        self._published_at: list[float] = [loop.time()]  # by revision; revision 1 is at index 0
         self.calls = PerSecondSeries()
         self.http_bytes = PerSecondSeries()
         self.snapshots_sent = 0
@@ -106,7 +104,7 @@
         return self._snapshot
 
     def delta(self, since: int) -> bytes:
-        """Return the body of the response to a watch: a delta, or a snapshot if `since` is too old."""
+        """Return the response body for a watch: a delta, or a snapshot if `since` is too old or unknown."""
         if not self._oldest_revision <= since <= self.revision:
             self.snapshots_sent += 1
             return self.snapshot()
--- a/scale/load.py
+++ b/scale/load.py
@@ -25,7 +25,7 @@
 from scale.proxy_process import ProxyProcess
 from scale.stub_discovery import StubDiscovery
 
-WARM_UP_S = 1.0  # at the start of each run; requests due in it do not count
+WARM_UP_S = 1.0  # at the start of each run; latencies are not recorded in it
 DEADLINE_MS = 3000
 MAX_RATE = 100_000
 
@@ -132,7 +132,11 @@
     help="Request rates per second.",
 )
 @click.option(
-    "--seconds", type=click.FloatRange(0.1), default=10.0, show_default=True, help="Duration of each run."
+    "--seconds",
+    type=click.FloatRange(0.1),
+    default=10.0,
+    show_default=True,
+    help="Duration of each run after its warm-up.",
 )
 @click.option("--backends", type=click.IntRange(1, 200), default=20, show_default=True)
 @click.option("--service-ms", type=click.FloatRange(0, 1000), default=5.0, show_default=True)
--- a/scale/load_clients.py
+++ b/scale/load_clients.py
@@ -208,7 +208,7 @@
     def __init__(self, clients: LoadClients, address: Address) -> None:
         self.address = address
         self._clients = clients
-        self._due_s: float | None = None  # of the request in flight
+        self._due_s: float | None = None  # due time of the request in flight; None: no request
         self._buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/scale/memory_child.py
+++ b/scale/memory_child.py
@@ -43,7 +43,7 @@
     return Engine(read_settings(proxy_settings), read_proxy_settings(proxy_settings), seed, slots)
 
 
-async def hold_backends(count: int, seed: int) -> object:
+async def create_backends(count: int, seed: int) -> object:
     """Return an engine with `count` backends."""
     proxy_settings = synthetic.settings(PROXIES)
     engine = create_engine(proxy_settings, seed)
@@ -54,26 +54,26 @@
     return engine
 
 
-async def hold_classes(count: int, seed: int) -> object:
+async def create_classes(count: int, seed: int) -> object:
     """Return a balancer and a request validator with `count` request classes, each with its own settings."""
     raw = synthetic.settings(PROXIES, classes=count)
     return Balancer(read_settings(raw), seed), RequestValidator(read_settings(raw), read_proxy_settings(raw))
 
 
-async def hold_tenants(count: int, seed: int) -> object:
+async def create_tenants(count: int, seed: int) -> object:
     """Return a balancer and a request validator with `count` tenants with quotas, which share settings."""
     raw = synthetic.settings(PROXIES, tenants=count)
     settings = read_settings(raw)
     return Balancer(settings, seed), RequestValidator(settings, read_proxy_settings(raw))
 
 
-async def hold_peers(count: int, seed: int) -> object:
+async def create_peers(count: int, seed: int) -> object:
     """Return a gossip channel with the addresses of `count` peers."""
     addresses = tuple(synthetic.loopback_address(number, GOSSIP_PORT) for number in range(count))
     return GossipChannel(PeerAddresses("127.0.0.1:0", addresses, "127.0.0.1:9"), lambda *_: None)
 
 
-async def hold_connections(count: int, seed: int) -> object:
+async def create_connections(count: int, seed: int) -> object:
     """Run a proxy that accepts clients until a line is read on standard input; return its objects.
 
     All backends have the address in the environment variable `BACKEND_ADDRESS_VARIABLE`.
@@ -93,12 +93,12 @@
     return engine, listener
 
 
-HOLDERS: dict[str, Callable[[int, int], Awaitable[object]]] = {
-    "backend": hold_backends,
-    "class": hold_classes,
-    "tenant": hold_tenants,
-    "peer": hold_peers,
-    "connection": hold_connections,
+FACTORIES: dict[str, Callable[[int, int], Awaitable[object]]] = {
+    "backend": create_backends,
+    "class": create_classes,
+    "tenant": create_tenants,
+    "peer": create_peers,
+    "connection": create_connections,
 }
 
 
@@ -106,11 +106,11 @@
     """Create `count` objects of `kind`, print their memory use in bytes, and exit without cleanup."""
     if is_traced:
         tracemalloc.start()
-    held = await HOLDERS[kind](count, seed)
+    objects = await FACTORIES[kind](count, seed)
     await asyncio.sleep(0.01)  # the balancer's step runs in a later iteration of the event loop
     gc.collect()
     print(json.dumps(tracemalloc.get_traced_memory()[0] if is_traced else resident_bytes()), flush=True)
-    del held  # keeps the objects alive until they are measured
+    del objects  # keeps the objects alive until they are measured
     # Exit without closing the connections, since an orderly shutdown would only take time.
     os._exit(0)
 
--- a/tests/tools/scale/test_load.py
+++ b/tests/tools/scale/test_load.py
@@ -51,4 +51,6 @@
     assert expected in format_verdict(rows)
     for row in rows:
         row["added_ms"] = {"p99": 20.0}  # on the direct path too, so the machine is slow
-    assert "inconclusive in this run" in format_verdict(rows) and "neither confirmed" in format_verdict(rows)
+    assert "is inconclusive in this run" in format_verdict(
+        rows
+    ) and "neither confirmed nor refuted" in format_verdict(rows)
