--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -271,7 +271,7 @@
 
 
 @asynccontextmanager
-async def proxy(backends: int = 1, **overrides: Any) -> AsyncIterator[Proxy]:
+async def run_proxy(backends: int = 1, **overrides: Any) -> AsyncIterator[Proxy]:
     """Run a whole proxy in this process, with scripted backends and a scripted discovery service.
 
     `overrides` are those of `make_configuration`.
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -27,8 +27,8 @@
     ScriptedServer,
     make_endpoint_list,
     make_list_entry,
-    proxy,
     run,
+    run_proxy,
     wait_until,
 )
 from tests.support import Driver, actions_of_type, make_backends, make_settings
@@ -166,19 +166,21 @@
 
 def test_malformed_list_leaves_the_endpoints_unchanged_until_the_next_snapshot() -> None:
     async def test() -> None:
-        async with proxy(backends=2) as p:
-            malformed = await p.discovery_server.requests.get()
+        async with run_proxy(backends=2) as proxy:
+            malformed = await proxy.discovery_server.requests.get()
             malformed.respond(b'{"rev":2,"all":true,"targets":[{"uid":5}]}')
-            client = await p.client()
+            client = await proxy.client()
             assert (await client.exchange("/health/ready", "GET")).status == 200
-            assert set(p.engine.connection_pool.endpoints) == {"s0", "s1"}
-            valid = await p.discovery_server.requests.get()
-            reply(valid, make_endpoint_list(3, make_list_entry("s1", p.backends[1].address)))
-            await p.discovery_server.requests.get()  # the next poll follows after the update was processed
-            assert set(p.engine.connection_pool.endpoints) == {"s1"}
+            assert set(proxy.engine.connection_pool.endpoints) == {"s0", "s1"}
+            valid = await proxy.discovery_server.requests.get()
+            reply(valid, make_endpoint_list(3, make_list_entry("s1", proxy.backends[1].address)))
+            await (
+                proxy.discovery_server.requests.get()
+            )  # the next poll follows after the update was processed
+            assert set(proxy.engine.connection_pool.endpoints) == {"s1"}
             for number in range(5):
                 client.send(x_call_id=f"c{number}")
-                (await p.backends[1].requests.get()).respond()
+                (await proxy.backends[1].requests.get()).respond()
                 assert (await client.read_response()).status == 200
 
     run(test())
@@ -188,20 +190,20 @@
     # With "Discovery": "push" the balancer never polls. Unless the proxy opens the watch, nothing reads the
     # list, and drained backends go on getting requests.
     async def test() -> None:
-        async with proxy(backends=2, discovery_mode="push") as p:
-            first = await p.discovery_server.requests.get()
+        async with run_proxy(backends=2, discovery_mode="push") as proxy:
+            first = await proxy.discovery_server.requests.get()
             assert "?since=1&" in first.request_line
             first.respond(status=503)
-            second = await p.discovery_server.requests.get()
+            second = await proxy.discovery_server.requests.get()
             assert "?since=1&" in second.request_line
             reply(
                 second,
                 make_endpoint_list(
-                    2, make_list_entry("s0", p.backends[0].address, "leaving"), is_snapshot=False
+                    2, make_list_entry("s0", proxy.backends[0].address, "leaving"), is_snapshot=False
                 ),
             )
-            await p.discovery_server.requests.get()
-            assert p.engine.connection_pool.active_count() == 1
+            await proxy.discovery_server.requests.get()
+            assert proxy.engine.connection_pool.active_count() == 1
 
     run(test())
 
@@ -398,14 +400,14 @@
         monkeypatch.setattr(discovery_client_module, limit, 60_000)
 
     async def test() -> None:
-        async with proxy(memory_mb=192) as p:
+        async with run_proxy(memory_mb=192) as proxy:
             targets = [make_list_entry(f"s-{number:08x}", ADDRESS) for number in range(20_000)]
-            first = await p.discovery_server.requests.get()
+            first = await proxy.discovery_server.requests.get()
             first.respond(json.dumps(make_endpoint_list(2, *targets)).encode())
-            call = await p.discovery_server.requests.get()
-            assert "?since=2&" in call.request_line and p.engine.connection_pool.active_count() == 20_000
-            assert p.engine.discovery is not None
-            max_list_bytes = p.engine.discovery.max_list_bytes
+            call = await proxy.discovery_server.requests.get()
+            assert "?since=2&" in call.request_line and proxy.engine.connection_pool.active_count() == 20_000
+            assert proxy.engine.discovery is not None
+            max_list_bytes = proxy.engine.discovery.max_list_bytes
             # A list takes up to three times its bytes.
             assert discovery_client_module.PROCESS_MEMORY_MB + 3 * max_list_bytes / BYTES_PER_MB < 192
             call.writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
@@ -417,8 +419,8 @@
                 with suppress(ConnectionError):
                     await call.writer.drain()
                 await asyncio.sleep(0)
-            assert p.engine.connection_pool.active_count() == 20_000
-            assert "?since=2&" in (await p.discovery_server.requests.get()).request_line
+            assert proxy.engine.connection_pool.active_count() == 20_000
+            assert "?since=2&" in (await proxy.discovery_server.requests.get()).request_line
 
     run(test())
 
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -46,9 +46,9 @@
     ConnectGate,
     Proxy,
     encode_request,
-    proxy,
     reset_connection,
     run,
+    run_proxy,
     wait_until,
 )
 
@@ -95,7 +95,7 @@
 
 def test_cached_list_is_the_first_event(balancer: type[ScriptedBalancer]) -> None:
     async def test() -> None:
-        async with proxy(backends=2):
+        async with run_proxy(backends=2):
             await wait_until(lambda: balancer.batches)
             (cached,) = balancer.batches[0]
             assert (cached.kind, [e.backend_id for e in cached.entries]) == (
@@ -110,8 +110,8 @@
     balancer.act = for_each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             await client.exchange(
                 "/purchase/x", idempotency_key="k", x_route_hash="7f3a9c21e0b4d655", x_again="1"
             )
@@ -132,8 +132,8 @@
     balancer.act = for_each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
-        async with proxy() as p:
-            await (await p.client()).exchange(x_budget_ms="999999999")
+        async with run_proxy() as proxy:
+            await (await proxy.client()).exchange(x_budget_ms="999999999")
             assert events(RequestArrived)[0].deadline <= now_ms() + 30000
 
     run(test())
@@ -150,22 +150,22 @@
     )
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             refused = await client.exchange(x_call_id="r")
             assert (refused.status, refused.headers["retry-after"]) == (503, "0.250")
             plain = await client.exchange(x_call_id="p")
             assert plain.status == 503 and "retry-after" not in plain.headers
             assert (await client.exchange(x_call_id="f")).status == 504
-            assert p.backends[0].connection_count == 0 and not events(ClientDisconnected)
+            assert proxy.backends[0].connection_count == 0 and not events(ClientDisconnected)
 
     run(test())
 
 
 def test_request_without_a_decision_fails_at_its_deadline(balancer: type[ScriptedBalancer]) -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             assert (await client.exchange(x_budget_ms="30")).status == 504
             await wait_until(lambda: events(ClientDisconnected))
 
@@ -176,13 +176,13 @@
     balancer: type[ScriptedBalancer],
 ) -> None:
     async def test() -> None:
-        async with proxy() as p:
+        async with run_proxy() as proxy:
             await wait_until(lambda: balancer.batches)
             balancer.batches.clear()
-            p.engine.requests.client_disconnected("nobody")  # not an open request: no event
-            p.engine._on_timer(7, p.engine._incarnation)
-            p.engine.on_list_failure("test")
-            p.engine._on_timer(8, p.engine._incarnation)
+            proxy.engine.requests.client_disconnected("nobody")  # not an open request: no event
+            proxy.engine._on_timer(7, proxy.engine._incarnation)
+            proxy.engine.on_list_failure("test")
+            proxy.engine._on_timer(8, proxy.engine._incarnation)
             await wait_until(lambda: balancer.batches)
             assert balancer.batches == [
                 [BackendListUpdate(ListUpdateKind.FAILED), TimerFired(7), TimerFired(8)]
@@ -197,8 +197,8 @@
     )
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send()
             await wait_until(lambda: events(AttemptEnded))
             assert not any(
@@ -218,15 +218,15 @@
     )
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             assert (await client.exchange()).status == 504
             await wait_until(lambda: events(AttemptEnded))
             assert [(e.result, e.request_finished) for e in events(AttemptEnded)] == [
                 (AttemptResult.WITHDRAWN, True)
             ]
-            assert p.backends[0].connection_count == 0
-            await wait_until(lambda: not p.engine.requests.open)
+            assert proxy.backends[0].connection_count == 0
+            await wait_until(lambda: not proxy.engine.requests.open)
 
     run(test())
 
@@ -248,20 +248,20 @@
     balancer.act = staticmethod(act)
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send()
-            await p.backends[0].requests.get()
-            open_request = p.engine.requests.open["c1"]
+            await proxy.backends[0].requests.get()
+            open_request = proxy.engine.requests.open["c1"]
             open_request.attempts[0].end(AttemptResult.REJECTED)
-            p.engine.requests.client_disconnected("c1")
+            proxy.engine.requests.client_disconnected("c1")
             await wait_until(lambda: len(events(AttemptEnded)) == 2)
             assert [(e.attempt_index, e.result) for e in events(AttemptEnded)] == [
                 (0, AttemptResult.REJECTED),
                 (1, AttemptResult.WITHDRAWN),
             ]
-            assert p.backends[0].requests.empty()
-            await wait_until(lambda: not p.engine.requests.open)
+            assert proxy.backends[0].requests.empty()
+            await wait_until(lambda: not proxy.engine.requests.open)
 
     run(test())
 
@@ -279,14 +279,14 @@
 def test_disconnect_is_detected_while_reading_is_paused(balancer: type[ScriptedBalancer]) -> None:
     # The client has sent so much pipelined input that reading is paused, so the close is not read either.
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             send_pipelined(client, "c1", "c2", "c3")
-            await wait_until(lambda: p.listener.disconnect_watcher.paused)
+            await wait_until(lambda: proxy.listener.disconnect_watcher.paused)
             client.close()
             await wait_until(lambda: events(ClientDisconnected))
             assert events(ClientDisconnected) == [ClientDisconnected("c1")]
-            await wait_until(lambda: not p.listener.slots.connections)
+            await wait_until(lambda: not proxy.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
 
     run(test())
@@ -303,14 +303,14 @@
         return polls[-1]
 
     async def test() -> None:
-        async with proxy() as p:
-            clients = [await p.client() for _ in range(300)]
+        async with run_proxy() as proxy:
+            clients = [await proxy.client() for _ in range(300)]
             for number, client in enumerate(clients):
                 send_pipelined(client, f"{number}-1", f"{number}-2", f"{number}-3")
-            await wait_until(lambda: len(p.listener.disconnect_watcher.paused) == len(clients))
+            await wait_until(lambda: len(proxy.listener.disconnect_watcher.paused) == len(clients))
             for client in clients[::3]:
                 client.writer.transport.abort()
-            server_connections = list(p.listener.disconnect_watcher.paused)
+            server_connections = list(proxy.listener.disconnect_watcher.paused)
             await wait_until(
                 lambda: (
                     sum(is_closed_by_peer(connection.transport) for connection in server_connections) == 100
@@ -318,16 +318,16 @@
             )
             with monkeypatch.context() as patch:
                 patch.setattr(select, "poll", counting_poll)
-                p.listener.disconnect_watcher.poll()
+                proxy.listener.disconnect_watcher.poll()
             assert len(polls) == 1
-            await wait_until(lambda: len(p.listener.slots.connections) == 200)
-            await wait_until(lambda: not p.engine._events)  # delivered in the next loop iteration
+            await wait_until(lambda: len(proxy.listener.slots.connections) == 200)
+            await wait_until(lambda: not proxy.engine._events)  # delivered in the next loop iteration
             assert {e.request_id for e in events(ClientDisconnected)} == {f"{n}-1" for n in range(0, 300, 3)}
             assert (
-                len(p.listener.disconnect_watcher.paused) == 200
-                and p.listener.disconnect_watcher.poll_timer is not None
+                len(proxy.listener.disconnect_watcher.paused) == 200
+                and proxy.listener.disconnect_watcher.poll_timer is not None
             )
-            p.listener.disconnect_watcher.poll_timer.cancel()
+            proxy.listener.disconnect_watcher.poll_timer.cancel()
 
     run(test())
 
@@ -340,18 +340,18 @@
     balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             send_pipelined(client, "c1", "c2", "c3")
-            call = await p.backends[0].requests.get()
-            await wait_until(lambda: p.listener.disconnect_watcher.paused)
-            (server_connection,) = p.listener.slots.connections
+            call = await proxy.backends[0].requests.get()
+            await wait_until(lambda: proxy.listener.disconnect_watcher.paused)
+            (server_connection,) = proxy.listener.slots.connections
             client.close()
             await wait_until(lambda: is_closed_by_peer(server_connection.transport))
             call.respond()
-            await wait_until(lambda: not p.listener.slots.connections)
+            await wait_until(lambda: not proxy.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
-            assert p.backends[0].requests.empty()
+            assert proxy.backends[0].requests.empty()
 
     run(test())
 
@@ -359,18 +359,18 @@
 def test_disconnect_is_reported_at_once_while_responses_are_unread(balancer: type[ScriptedBalancer]) -> None:
     # connection_lost is not called before the write buffer is flushed, and the client reads nothing.
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send()
             await wait_until(lambda: events(RequestArrived))
-            (server_connection,) = p.listener.slots.connections
+            (server_connection,) = proxy.listener.slots.connections
             size = 0
             while server_connection.transport.get_write_buffer_size() == 0 or size < 8_000_000:
                 server_connection.transport.write(b"x" * 1_000_000)
                 size += 1_000_000
             client.writer.write_eof()
             await wait_until(lambda: events(ClientDisconnected))
-            assert p.listener.slots.connections
+            assert proxy.listener.slots.connections
 
     run(test())
 
@@ -381,19 +381,21 @@
     balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
-        async with proxy() as p:
-            host, port = p.listener.address.split(":")
+        async with run_proxy() as proxy:
+            host, port = proxy.listener.address.split(":")
             with socket.create_connection((host, int(port))) as client:
                 client.sendall(encode_request())
             # The loop has not run since, so it finds the connection, the request and the close together.
-            other = await p.client()
+            other = await proxy.client()
             other.send(x_call_id="other")
-            call = await p.backends[0].requests.get()
-            assert call.headers["x-call-id"] == "other" and p.backends[0].requests.empty()
+            call = await proxy.backends[0].requests.get()
+            assert call.headers["x-call-id"] == "other" and proxy.backends[0].requests.empty()
             call.respond()
             assert (await other.read_response()).status == 200
-            await wait_until(lambda: len(p.listener.slots.connections) == 1 and not p.engine.requests.open)
-            assert p.backends[0].connection_count == 1
+            await wait_until(
+                lambda: len(proxy.listener.slots.connections) == 1 and not proxy.engine.requests.open
+            )
+            assert proxy.backends[0].connection_count == 1
 
     run(test())
 
@@ -415,9 +417,9 @@
     balancer.act = staticmethod(act)
 
     async def test() -> None:
-        async with proxy(MayCancel=may_cancel) as p:
-            gate = ConnectGate.install(p.engine.connection_pool)
-            client, other = await p.client(), await p.client()
+        async with run_proxy(MayCancel=may_cancel) as proxy:
+            gate = ConnectGate.install(proxy.engine.connection_pool)
+            client, other = await proxy.client(), await proxy.client()
             client.send(x_budget_ms="20000" if cause == "disconnect" else "50")
             connect_released = await gate.attempts.get()
             if cause == "disconnect":
@@ -429,17 +431,17 @@
             connect_released.set()
             other.send(x_call_id="other")
             (await gate.attempts.get()).set()
-            call = await p.backends[0].requests.get()
-            assert call.headers["x-call-id"] == "other" and p.backends[0].requests.empty()
+            call = await proxy.backends[0].requests.get()
+            assert call.headers["x-call-id"] == "other" and proxy.backends[0].requests.empty()
             call.respond()
             assert (await other.read_response()).status == 200
 
     run(test())
 
 
-async def disconnect_unnoticed(p: Proxy, client: Client, close_mode: str) -> None:
+async def disconnect_unnoticed(proxy: Proxy, client: Client, close_mode: str) -> None:
     """Disconnect a client without the event loop noticing it, as if the loop had been too busy."""
-    (server_connection,) = p.listener.slots.connections
+    (server_connection,) = proxy.listener.slots.connections
     server_connection.transport.pause_reading()
     if close_mode == "half-close":
         client.writer.write_eof()
@@ -465,26 +467,29 @@
     balancer.act = staticmethod(act)
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send()
             await wait_until(lambda: events(RequestArrived))
             if is_retry:
-                (await p.backends[0].requests.get()).respond(status=500)
+                (await proxy.backends[0].requests.get()).respond(status=500)
                 await wait_until(lambda: events(AttemptEnded))
-            await disconnect_unnoticed(p, client, close_mode)
-            p.engine._on_timer(7, p.engine._incarnation)
+            await disconnect_unnoticed(proxy, client, close_mode)
+            proxy.engine._on_timer(7, proxy.engine._incarnation)
             await wait_until(lambda: len(events(AttemptEnded)) == 1 + is_retry)
             assert events(AttemptEnded)[-1][:3] == ("c1", int(is_retry), AttemptResult.WITHDRAWN)
             await wait_until(
                 lambda: (
                     events(ClientDisconnected)
-                    and not p.engine.requests.open
-                    and not p.listener.slots.connections
+                    and not proxy.engine.requests.open
+                    and not proxy.listener.slots.connections
                 )
             )
-            assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].requests.empty()
-            assert p.backends[0].connection_count == int(is_retry)
+            assert (
+                events(ClientDisconnected) == [ClientDisconnected("c1")]
+                and proxy.backends[0].requests.empty()
+            )
+            assert proxy.backends[0].connection_count == int(is_retry)
 
     run(test())
 
@@ -496,17 +501,22 @@
     balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
-        async with proxy() as p:
-            gate = ConnectGate.install(p.engine.connection_pool)
-            client = await p.client()
+        async with run_proxy() as proxy:
+            gate = ConnectGate.install(proxy.engine.connection_pool)
+            client = await proxy.client()
             client.send()
             connect_released = await gate.attempts.get()
-            await disconnect_unnoticed(p, client, close_mode)
+            await disconnect_unnoticed(proxy, client, close_mode)
             connect_released.set()
             await wait_until(lambda: events(AttemptEnded))
             assert [e[:3] for e in events(AttemptEnded)] == [("c1", 0, AttemptResult.WITHDRAWN)]
-            await wait_until(lambda: not p.engine.requests.open and not p.engine.connection_pool.connections)
-            assert events(ClientDisconnected) == [ClientDisconnected("c1")] and p.backends[0].requests.empty()
+            await wait_until(
+                lambda: not proxy.engine.requests.open and not proxy.engine.connection_pool.connections
+            )
+            assert (
+                events(ClientDisconnected) == [ClientDisconnected("c1")]
+                and proxy.backends[0].requests.empty()
+            )
 
     run(test())
 
@@ -533,18 +543,18 @@
     balancer.act = staticmethod(act)
 
     async def test() -> None:
-        async with proxy() as p:
-            engines.append(p.engine)
-            client = await p.client()
+        async with run_proxy() as proxy:
+            engines.append(proxy.engine)
+            client = await proxy.client()
             if reuses_connection:
                 client.send(x_call_id="first")
-                (await p.backends[0].requests.get()).respond()
+                (await proxy.backends[0].requests.get()).respond()
                 assert (await client.read_response()).status == 200
-                idle = p.engine.connection_pool.connections_by_backend["s0"].idle
+                idle = proxy.engine.connection_pool.connections_by_backend["s0"].idle
                 idle[0].idle_since -= 1000.0  # idle long enough to be reused
             client.send(x_call_id="late")
             if exceeded == "neither":
-                call = await p.backends[0].requests.get()
+                call = await proxy.backends[0].requests.get()
                 assert int(call.headers["x-budget-ms"]) <= 8_000_000
                 call.respond()
                 assert (await client.read_response()).status == 200
@@ -555,7 +565,9 @@
                 0,
                 AttemptResult.NO_LOCAL_RESOURCE,
             )  # does not count as a failure of the backend
-            assert p.backends[0].requests.empty() and p.backends[0].connection_count == int(reuses_connection)
+            assert proxy.backends[0].requests.empty() and proxy.backends[0].connection_count == int(
+                reuses_connection
+            )
 
     run(test())
 
@@ -567,8 +579,8 @@
     monkeypatch.setattr(connection_module, "PARSE_CHUNK_BYTES", 100)
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             sent = [encode_request(x_call_id=f"c{number}", x_budget_ms="200") for number in range(6)]
             client.writer.write(b"".join(sent))
             for _ in sent:
@@ -586,15 +598,15 @@
     balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 20000.0)])
 
     async def test() -> None:
-        async with proxy() as p:
-            client, started = await p.client(), now_ms()
+        async with run_proxy() as proxy:
+            client, started = await proxy.client(), now_ms()
             client.writer.write(
                 encode_request(x_call_id="c1") + encode_request(x_call_id="c2", x_budget_ms="100")
             )
             assert [(await client.read_response()).status for _ in range(2)] == [504, 504]
             assert now_ms() - started < 10000.0  # the budget of the first request is 20 s
-            call = await p.backends[0].requests.get()
-            assert call.headers["x-call-id"] == "c1" and p.backends[0].requests.empty()
+            call = await proxy.backends[0].requests.get()
+            assert call.headers["x-call-id"] == "c1" and proxy.backends[0].requests.empty()
 
     run(test())
 
@@ -604,19 +616,19 @@
     balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
-        async with proxy() as p:
-            p.listener.slots.limit = 1
-            first, second = await p.client(), await p.client()
+        async with run_proxy() as proxy:
+            proxy.listener.slots.limit = 1
+            first, second = await proxy.client(), await proxy.client()
             first.send(x_call_id="c1", connection="close")
-            call = await p.backends[0].requests.get()
+            call = await proxy.backends[0].requests.get()
             second.send(x_call_id="c2", x_budget_ms="9000")
             sent = now_ms()
-            await wait_until(lambda: not p.listener.is_accepting)
+            await wait_until(lambda: not proxy.listener.is_accepting)
             await asyncio.sleep(0.5)
             call.respond()
             assert (await first.read_response()).status == 200
             first.close()
-            (await p.backends[0].requests.get()).respond()
+            (await proxy.backends[0].requests.get()).respond()
             assert (await second.read_response()).status == 200
             assert events(RequestArrived)[1].deadline < sent + 9000.0 + 100.0
 
@@ -639,18 +651,18 @@
     )
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             send_pipelined(client, "c1", "c2", "c3")
-            call = await p.backends[0].requests.get()
-            await wait_until(lambda: p.listener.disconnect_watcher.paused)
-            (server_connection,) = p.listener.slots.connections
+            call = await proxy.backends[0].requests.get()
+            await wait_until(lambda: proxy.listener.disconnect_watcher.paused)
+            (server_connection,) = proxy.listener.slots.connections
             client.send(x_call_id="late", x_budget_ms="9000")
             await wait_until(lambda: has_unread_input(server_connection.transport))
             clock[0] = 5000.0
             call.respond()
             await wait_until(lambda: len(events(RequestArrived)) == 2)
-            p.engine.requests.expire_all()
+            proxy.engine.requests.expire_all()
             for _ in range(6):
                 await client.read_response()
             assert [e.request_id for e in events(RequestArrived)] == ["c1", "c2"]
@@ -671,13 +683,13 @@
     )
 
     async def test() -> None:
-        async with proxy() as p:
-            health_check = await p.backends[0].requests.get()
+        async with run_proxy() as proxy:
+            health_check = await proxy.backends[0].requests.get()
             assert (
                 health_check.request_line == "GET /stats HTTP/1.1" and "x-call-id" not in health_check.headers
             )
             health_check.respond()
-            watch = await p.discovery_server.requests.get()
+            watch = await proxy.discovery_server.requests.get()
             assert watch.request_line.startswith("GET /registry/instances?since=1&")
             await wait_until(lambda: events(TimerFired) and events(HealthCheckResult))
             assert events(TimerFired) == [TimerFired(42)]
@@ -698,15 +710,15 @@
     balancer.act = staticmethod(act)
 
     async def test() -> None:
-        async with proxy() as p:
-            first, second = await p.client(), await p.client()
+        async with run_proxy() as proxy:
+            first, second = await proxy.client(), await proxy.client()
             first.send(x_call_id="held")
-            call = await p.backends[0].requests.get()
+            call = await proxy.backends[0].requests.get()
             assert (await second.exchange(x_call_id="break")).status == 500
             assert (await first.read_response()).status == 500
             await call.closed.wait()
             first.send(x_call_id="later")  # served by the new balancer, which has received the current list
-            (await p.backends[0].requests.get()).respond()
+            (await proxy.backends[0].requests.get()).respond()
             assert (await first.read_response()).status == 200
             assert [e.kind for e in events(BackendListUpdate)] == [
                 ListUpdateKind.CACHED,
@@ -731,12 +743,12 @@
     balancer.act = staticmethod(act)
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send(x_call_id="break")
             client.send(x_call_id="next")
             assert (await client.read_response()).status == 500
-            (await p.backends[0].requests.get()).respond()
+            (await proxy.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
 
     run(test())
@@ -759,17 +771,19 @@
     balancer.act = staticmethod(act)
 
     async def test() -> None:
-        async with proxy(backends=2) as p:
-            clients = {name: await p.client() for name in ("held", "out", "left", "coming", "break", "later")}
+        async with run_proxy(backends=2) as proxy:
+            clients = {
+                name: await proxy.client() for name in ("held", "out", "left", "coming", "break", "later")
+            }
             for name in ("held", "out", "left"):
                 clients[name].send(x_call_id=name)
-            calls = [await p.backends[0].requests.get() for _ in range(2)]
-            gate = ConnectGate.install(p.engine.connection_pool)
+            calls = [await proxy.backends[0].requests.get() for _ in range(2)]
+            gate = ConnectGate.install(proxy.engine.connection_pool)
             clients["coming"].send(x_call_id="coming")
             connect_released = await gate.attempts.get()
-            await wait_until(lambda: "held" in p.engine.requests.open)
+            await wait_until(lambda: "held" in proxy.engine.requests.open)
             # Both are in the batch of the failing step, so no balancer processes the disconnect.
-            p.engine.requests.client_disconnected("left")
+            proxy.engine.requests.client_disconnected("left")
             clients["break"].send(x_call_id="break")
             for name in ("held", "out", "coming", "break"):
                 assert (await clients[name].read_response()).status == 500
@@ -778,11 +792,11 @@
             connect_released.set()
             clients["later"].send(x_call_id="later")
             (await gate.attempts.get()).set()
-            call = await p.backends[0].requests.get()
+            call = await proxy.backends[0].requests.get()
             assert call.headers["x-call-id"] == "later"
             call.respond()
             assert (await clients["later"].read_response()).status == 200
-            assert p.backends[1].requests.empty() and not p.engine.requests.open.keys() - {"later"}
+            assert proxy.backends[1].requests.empty() and not proxy.engine.requests.open.keys() - {"later"}
 
     run(test())
 
@@ -796,9 +810,9 @@
     balancer.act = staticmethod(act)
 
     async def test() -> None:
-        async with proxy(discovery_mode="push") as p:
-            (await p.discovery_server.requests.get()).respond(status=503)
-            assert "?since=1&" in (await p.discovery_server.requests.get()).request_line
+        async with run_proxy(discovery_mode="push") as proxy:
+            (await proxy.discovery_server.requests.get()).respond(status=503)
+            assert "?since=1&" in (await proxy.discovery_server.requests.get()).request_line
             assert balancer.incarnations == 2
 
     run(test())
@@ -810,9 +824,9 @@
     balancer.act = for_each(RequestArrived, lambda e: [SendHealthCheck("s0"), Fail(e.request_id)])
 
     async def test() -> None:
-        async with proxy() as p:
-            monkeypatch.setattr(p.engine.connection_pool, "start", lambda attempt: 1 / 0)
-            assert (await (await p.client()).exchange()).status == 504
+        async with run_proxy() as proxy:
+            monkeypatch.setattr(proxy.engine.connection_pool, "start", lambda attempt: 1 / 0)
+            assert (await (await proxy.client()).exchange()).status == 504
 
     run(test())
     assert "internal error: action SendHealthCheck" in capfd.readouterr().err
@@ -837,8 +851,8 @@
     balancer.act = for_each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
-        async with proxy() as p:
-            assert (await (await p.client()).exchange(x_call_cost=header)).status == 504
+        async with run_proxy() as proxy:
+            assert (await (await proxy.client()).exchange(x_call_cost=header)).status == 504
             assert events(RequestArrived)[0].work_hint_ms == work
 
     run(test())
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -11,13 +11,13 @@
 from dunecove.proxy import client_connection as connection_module
 from dunecove.proxy import connection_slots as slots_module
 from dunecove.proxy import request_registry as request_registry_module
-from tests.loopback import Client, Proxy, encode_request, proxy, run, send_unread, wait_until
+from tests.loopback import Client, Proxy, encode_request, run, run_proxy, send_unread, wait_until
 
 
 def test_request_is_forwarded_unchanged_and_its_response_returned() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send(
                 "/purchase/7?x=1",
                 body=b"\x00body",
@@ -27,7 +27,7 @@
                 connection="x-hop",
                 x_hop="dropped",
             )
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             assert received.request_line == "POST /purchase/7?x=1 HTTP/1.1"
             assert received.body == b"\x00body"
             assert (received.headers["x-call-id"], received.headers["idempotency-key"]) == ("c1", "k1")
@@ -45,10 +45,10 @@
 
 def test_get_is_forwarded_for_an_idempotent_class() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send("/lookup", "GET")
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             assert (received.request_line, received.body) == ("GET /lookup HTTP/1.1", b"")
             received.respond()
             assert (await client.read_response()).status == 200
@@ -84,11 +84,11 @@
     status: int, path: str, method: str, headers: dict[str, str | None]
 ) -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             assert (await client.exchange(path, method, **headers)).status == status
             assert (await client.exchange("/health/ready", "GET")).status == 200
-            assert p.backends[0].connection_count == 0
+            assert proxy.backends[0].connection_count == 0
 
     run(test())
 
@@ -137,13 +137,13 @@
 )
 def test_malformed_request_gets_an_error_and_closes_the_connection(status: int, sent: bytes) -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.writer.write(sent)
             reply = await client.read_response()
             assert (reply.status, reply.headers["connection"]) == (status, "close")
             assert await client.wait_closed()
-            other = await p.client()
+            other = await proxy.client()
             assert (await other.exchange("/health/ready", "GET")).status == 200
 
     run(test())
@@ -151,13 +151,13 @@
 
 def test_chunked_body_of_64_kib_is_accepted() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.writer.write(
                 b"POST /answer HTTP/1.1\r\nhost: a\r\nx-call-id: c\r\nx-budget-ms: 20000\r\n"
                 b"transfer-encoding: chunked\r\n\r\n10000\r\n" + b"z" * 65536 + b"\r\n0\r\n\r\n"
             )
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             assert received.body == b"z" * 65536 and "transfer-encoding" not in received.headers
             received.respond(b"r" * 65536)
             assert (await client.read_response()).body == b"r" * 65536
@@ -167,10 +167,10 @@
 
 def test_request_with_the_id_of_an_open_request_is_rejected() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            first, second = await p.client(), await p.client()
+        async with run_proxy() as proxy:
+            first, second = await proxy.client(), await proxy.client()
             first.send()
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             assert (await second.exchange()).status == 400
             received.respond(b"first")
             assert (await first.read_response()).body == b"first"
@@ -180,12 +180,12 @@
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             for number in range(20):
                 client.send(x_call_id=f"c{number}")
             for number in range(20):
-                received = await p.backends[0].requests.get()
+                received = await proxy.backends[0].requests.get()
                 assert received.headers["x-call-id"] == f"c{number}"
                 received.respond(b"%d" % number)
                 assert (await client.read_response()).body == b"%d" % number
@@ -195,15 +195,15 @@
 
 def test_pipelined_requests_are_answered_before_a_shutdown_closes_the_connection() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send(x_call_id="c0")
             client.send(x_call_id="c1")
-            received = await p.backends[0].requests.get()
-            p.listener.begin_shutdown()
+            received = await proxy.backends[0].requests.get()
+            proxy.listener.begin_shutdown()
             received.respond(b"0")
             assert (await client.read_response()).body == b"0"
-            (await p.backends[0].requests.get()).respond(b"1")
+            (await proxy.backends[0].requests.get()).respond(b"1")
             reply = await client.read_response()
             assert (reply.body, reply.headers["connection"]) == (b"1", "close")
             assert await client.wait_closed()
@@ -213,39 +213,39 @@
 
 def test_budget_of_a_pipelined_request_runs_while_it_waits() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send(x_call_id="c0")
             client.send(x_call_id="c1", x_budget_ms="200")
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             await asyncio.sleep(0.25)  # longer than the budget of the second request
             received.respond()
             assert (await client.read_response()).status == 200
             assert (await client.read_response()).status == 504
-            assert p.backends[0].requests.empty()
+            assert proxy.backends[0].requests.empty()
 
     run(test())
 
 
 def test_client_disconnect_cancels_the_attempt_at_the_backend() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send()
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             client.close()
             await received.closed.wait()
-            await wait_until(lambda: not p.engine.requests.open)
+            await wait_until(lambda: not proxy.engine.requests.open)
 
     run(test())
 
 
 def test_truncated_response_is_not_forwarded_to_the_client() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send()
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             received.writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf of it")
             received.writer.close()
             reply = await client.read_response()
@@ -256,10 +256,10 @@
 
 def test_response_over_64_kib_is_not_forwarded_to_the_client() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send()
-            (await p.backends[0].requests.get()).respond(b"x" * 65537)
+            (await proxy.backends[0].requests.get()).respond(b"x" * 65537)
             assert (await client.read_response()).status == 504
 
     run(test())
@@ -278,21 +278,23 @@
             return sock.recv(1000)
 
     async def test() -> None:
-        async with proxy() as p:
-            assert (await asyncio.to_thread(send_request, p.listener.address)).startswith(b"HTTP/1.1 413 ")
+        async with run_proxy() as proxy:
+            assert (await asyncio.to_thread(send_request, proxy.listener.address)).startswith(
+                b"HTTP/1.1 413 "
+            )
 
     run(test())
 
 
 def test_longest_idle_connection_is_evicted_at_the_limit() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            p.listener.slots.limit = 2
-            busy, idle = await p.client(), await p.client()
+        async with run_proxy() as proxy:
+            proxy.listener.slots.limit = 2
+            busy, idle = await proxy.client(), await proxy.client()
             busy.send()
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             assert (await idle.exchange("/health/ready", "GET")).status == 200
-            third = await p.client()
+            third = await proxy.client()
             assert (await third.exchange("/health/ready", "GET")).status == 200
             assert await idle.wait_closed()
             received.respond()
@@ -307,23 +309,23 @@
     monkeypatch.setattr(slots_module, "IDLE_TIMEOUT_S", 10_000.0)  # only an eviction closes the connection
 
     async def test() -> None:
-        async with proxy() as p:
-            idle = await p.client()
+        async with run_proxy() as proxy:
+            idle = await proxy.client()
             assert (await idle.exchange("/health/ready", "GET")).status == 200
-            assert p.listener.sock is not None
-            sock: socket.socket = p.listener.sock
+            assert proxy.listener.sock is not None
+            sock: socket.socket = proxy.listener.sock
 
             class SocketWithoutDescriptors:
                 def accept(self) -> tuple[socket.socket, object]:
-                    if p.listener.slots.used:
+                    if proxy.listener.slots.used:
                         raise OSError(errno.EMFILE, "Too many open files")
                     return sock.accept()
 
                 def __getattr__(self, name: str) -> object:
                     return getattr(sock, name)
 
-            monkeypatch.setattr(p.listener, "sock", SocketWithoutDescriptors())
-            new = await p.client()
+            monkeypatch.setattr(proxy.listener, "sock", SocketWithoutDescriptors())
+            new = await proxy.client()
             new.send("/health/ready", "GET")
             assert await idle.wait_closed()
             assert (await new.read_response()).status == 200
@@ -334,39 +336,39 @@
 def test_clients_with_unread_responses_never_hold_more_slots_than_the_limit() -> None:
     # Failure: an evicted connection with unsent bytes kept its descriptor, so descriptors ran out.
     async def test() -> None:
-        async with proxy() as p:
-            p.listener.slots.limit = 3
-            clients = [await p.client() for _ in range(3)]
+        async with run_proxy() as proxy:
+            proxy.listener.slots.limit = 3
+            clients = [await proxy.client() for _ in range(3)]
             for client in clients:
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
                 client.send("/health/ready", "GET")
-            await wait_until(lambda: len(p.listener.slots.idle) >= 3)
-            for connection in p.listener.slots.connections:
+            await wait_until(lambda: len(proxy.listener.slots.idle) >= 3)
+            for connection in proxy.listener.slots.connections:
                 while not connection.transport.get_write_buffer_size():
                     connection.transport.write(b"x" * 60_000)
-            new = await p.client()
+            new = await proxy.client()
             new.send("/health/ready", "GET")
-            while p.listener.is_accepting:
-                assert p.listener.slots.used == 3
+            while proxy.listener.is_accepting:
+                assert proxy.listener.slots.used == 3
                 await asyncio.sleep(0.001)
             # From now on, unread responses no longer prevent an eviction.
-            p.engine.requests.max_deadline_ms = -1000.0
+            proxy.engine.requests.max_deadline_ms = -1000.0
             assert (await new.read_response()).status == 200
-            assert p.listener.slots.used <= 3
+            assert proxy.listener.slots.used <= 3
 
     run(test())
 
 
 def test_new_client_waits_while_all_slots_are_active() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            p.listener.slots.limit = 1
-            busy = await p.client()
+        async with run_proxy() as proxy:
+            proxy.listener.slots.limit = 1
+            busy = await proxy.client()
             busy.send()
-            received = await p.backends[0].requests.get()
-            waiting = await p.client()
+            received = await proxy.backends[0].requests.get()
+            waiting = await proxy.client()
             waiting.send("/health/ready", "GET")
-            await wait_until(lambda: not p.listener.is_accepting)
+            await wait_until(lambda: not proxy.listener.is_accepting)
             received.respond()
             assert (await busy.read_response()).status == 200
             assert (await waiting.read_response()).status == 200
@@ -379,8 +381,8 @@
     monkeypatch.setattr(slots_module, "REQUEST_TIMEOUT_S", 0.02)
 
     async def test() -> None:
-        async with proxy() as p:
-            silent, incomplete, kept = await p.client(), await p.client(), await p.client()
+        async with run_proxy() as proxy:
+            silent, incomplete, kept = await proxy.client(), await proxy.client(), await proxy.client()
             incomplete.writer.write(b"POST /answer HTTP/1.1\r\nhost")
             assert (await kept.exchange("/health/ready", "GET")).status == 200
             kept.writer.write(b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 10\r\n\r\nhalf")
@@ -389,21 +391,21 @@
                 assert (reply.status, reply.headers["connection"]) == (408, "close")
                 assert await client.wait_closed()
             assert await silent.wait_closed()
-            assert p.backends[0].connection_count == 0
+            assert proxy.backends[0].connection_count == 0
 
     run(test())
 
 
 def test_single_bytes_do_not_extend_the_request_timeout() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             for byte in (b"G", b"E", b"T"):
                 client.writer.write(byte)
-                await wait_until(lambda: p.listener.slots.awaiting_request)
-                entered_at = next(iter(p.listener.slots.awaiting_request.values()))
+                await wait_until(lambda: proxy.listener.slots.awaiting_request)
+                entered_at = next(iter(proxy.listener.slots.awaiting_request.values()))
                 await asyncio.sleep(0.01)
-                assert next(iter(p.listener.slots.awaiting_request.values())) == entered_at
+                assert next(iter(proxy.listener.slots.awaiting_request.values())) == entered_at
 
     run(test())
 
@@ -414,12 +416,12 @@
     monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", 0.0)
 
     async def test() -> None:
-        async with proxy() as p:
-            p.listener.slots.limit = 2
-            used, silent = await p.client(), await p.client()
+        async with run_proxy() as proxy:
+            proxy.listener.slots.limit = 2
+            used, silent = await proxy.client(), await proxy.client()
             assert (await used.exchange("/health/ready", "GET")).status == 200
-            await wait_until(lambda: len(p.listener.slots.awaiting_request) == 1)
-            third = await p.client()
+            await wait_until(lambda: len(proxy.listener.slots.awaiting_request) == 1)
+            third = await proxy.client()
             assert (await third.exchange("/health/ready", "GET")).status == 200
             assert await silent.wait_closed()
             assert (await used.exchange("/health/ready", "GET")).status == 200
@@ -431,9 +433,9 @@
     monkeypatch.setattr(slots_module, "CROWDED_IDLE_TIMEOUT_S", 0.02)
 
     async def test() -> None:
-        async with proxy() as p:
-            p.listener.slots.limit = 3
-            first, second = await p.client(), await p.client()
+        async with run_proxy() as proxy:
+            proxy.listener.slots.limit = 3
+            first, second = await proxy.client(), await proxy.client()
             for client in (first, second):
                 assert (await client.exchange("/health/ready", "GET")).status == 200
             assert await first.wait_closed()
@@ -444,13 +446,13 @@
 def test_request_with_the_id_of_a_recent_request_is_rejected() -> None:
     # The id may have been reused by another client, whose request a backend would then deduplicate.
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send()
-            (await p.backends[0].requests.get()).respond()
+            (await proxy.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
             assert (await client.exchange()).status == 400
-            assert p.backends[0].requests.empty()
+            assert proxy.backends[0].requests.empty()
 
     run(test())
 
@@ -459,21 +461,21 @@
     monkeypatch.setattr(request_registry_module, "MAX_RECENT_IDS", 3)
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             for number in range(9):
                 client.send(x_call_id=f"c{number}")
-                (await p.backends[0].requests.get()).respond()
+                (await proxy.backends[0].requests.get()).respond()
                 assert (await client.read_response()).status == 200
-            assert len(p.engine.requests.recent_ids) == 3
+            assert len(proxy.engine.requests.recent_ids) == 3
 
     run(test())
 
 
 def test_connection_is_closed_after_consecutive_errors() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             for _ in range(500):
                 client.send("/unknown")
             statuses = [
@@ -487,13 +489,13 @@
 
 def test_trailers_are_dropped() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.writer.write(
                 b"POST /answer HTTP/1.1\r\nhost: a\r\nx-call-id: c\r\nx-budget-ms: 20000\r\n"
                 b"transfer-encoding: chunked\r\n\r\n0\r\nx-call-id: other\r\nx-again: 1\r\n\r\n"
             )
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             assert received.headers["x-call-id"] == "c" and "x-again" not in received.headers
             received.respond()
             assert (await client.read_response()).status == 200
@@ -507,29 +509,29 @@
     monkeypatch.setattr(connection_module, "MAX_LINGER_BYTES", 100_000)
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.writer.write(b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 60000000\r\n\r\n")
             assert (await client.read_response()).status == 413
             client.writer.write(b"x" * 60_000_000)
-            await wait_until(lambda: not p.listener.slots.connections)
+            await wait_until(lambda: not proxy.listener.slots.connections)
 
     run(test())
 
 
 def test_shutdown_serves_open_requests_and_closes_idle_connections() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            busy, idle = await p.client(), await p.client()
+        async with run_proxy() as proxy:
+            busy, idle = await proxy.client(), await proxy.client()
             busy.send()
             assert (await idle.exchange("/health/ready", "GET")).status == 200
-            received = await p.backends[0].requests.get()
-            p.listener.begin_shutdown()
-            new = await Client.open(p.listener.address)
+            received = await proxy.backends[0].requests.get()
+            proxy.listener.begin_shutdown()
+            new = await Client.open(proxy.listener.address)
             reply = await new.exchange("/health/ready", "GET")
             assert (reply.status, reply.headers["connection"]) == (503, "close")
             new.close()
-            shutdown = asyncio.create_task(p.listener.finish_shutdown(30.0))
+            shutdown = asyncio.create_task(proxy.listener.finish_shutdown(30.0))
             assert await idle.wait_closed()
             assert not shutdown.done()
             received.respond(b"last")
@@ -539,7 +541,7 @@
             busy.close()
             await shutdown
             with pytest.raises(ConnectionRefusedError):
-                await p.client()
+                await proxy.client()
 
     run(test())
 
@@ -548,16 +550,16 @@
     """Failure: the shutdown ended as soon as no connection was open, while new ones were still accepted."""
 
     async def test() -> None:
-        async with proxy() as p:
-            first = await p.client()
-            p.listener.begin_shutdown()
+        async with run_proxy() as proxy:
+            first = await proxy.client()
+            proxy.listener.begin_shutdown()
             await first.exchange("/health/ready", "GET")
             first.close()
-            await wait_until(lambda: not p.listener.slots.used)
-            last = await p.client()
+            await wait_until(lambda: not proxy.listener.slots.used)
+            last = await proxy.client()
             last.send()
-            received = await p.backends[0].requests.get()
-            shutdown = asyncio.create_task(p.listener.finish_shutdown(30.0))
+            received = await proxy.backends[0].requests.get()
+            shutdown = asyncio.create_task(proxy.listener.finish_shutdown(30.0))
             await asyncio.sleep(0)
             assert not shutdown.done()
             received.respond(b"last")
@@ -568,9 +570,9 @@
     run(test())
 
 
-def connect_to_backlog(p: Proxy, number: int) -> socket.socket:
+def connect_to_backlog(proxy: Proxy, number: int) -> socket.socket:
     """Open a connection that waits in the accept backlog, and send a request on it."""
-    host, port = p.listener.address.split(":")
+    host, port = proxy.listener.address.split(":")
     sock = socket.create_connection((host, int(port)))
     sock.sendall(encode_request(x_call_id=f"k{number}"))
     sock.setblocking(False)
@@ -582,20 +584,20 @@
     """Failure: closing the listening socket reset the connections in the backlog."""
 
     async def test() -> None:
-        async with proxy() as p:
-            p.listener.slots.limit = slot_limit
+        async with run_proxy() as proxy:
+            proxy.listener.slots.limit = slot_limit
             loop = asyncio.get_running_loop()
-            p.listener.begin_shutdown()
-            socks = [connect_to_backlog(p, number) for number in range(40)]
-            shutdown = asyncio.create_task(p.listener.finish_shutdown(30.0))
+            proxy.listener.begin_shutdown()
+            socks = [connect_to_backlog(proxy, number) for number in range(40)]
+            shutdown = asyncio.create_task(proxy.listener.finish_shutdown(30.0))
             for _ in socks:
-                (await p.backends[0].requests.get()).respond(b"served")
+                (await proxy.backends[0].requests.get()).respond(b"served")
             for sock in socks:
                 assert (await loop.sock_recv(sock, 1000)).startswith(b"HTTP/1.1 200 ")
                 sock.close()
             await shutdown
             with pytest.raises(ConnectionRefusedError):
-                await p.client()
+                await proxy.client()
 
     run(test())
 
@@ -603,17 +605,19 @@
 def test_open_requests_get_an_error_when_the_shutdown_times_out() -> None:
     # The backend does not respond and the deadlines are later than the timeout; one request is pipelined.
     async def test() -> None:
-        async with proxy() as p:
-            client, incomplete = await p.client(), await p.client()
+        async with run_proxy() as proxy:
+            client, incomplete = await proxy.client(), await proxy.client()
             client.send(x_call_id="c1")
             client.send(x_call_id="c2")
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             incomplete.writer.write(encode_request(x_call_id="c3")[:-10])
             await wait_until(
-                lambda: any(connection.reader.is_mid_request for connection in p.listener.slots.connections)
+                lambda: any(
+                    connection.reader.is_mid_request for connection in proxy.listener.slots.connections
+                )
             )
-            p.listener.begin_shutdown()
-            shutdown = asyncio.create_task(p.listener.finish_shutdown(0.0))
+            proxy.listener.begin_shutdown()
+            shutdown = asyncio.create_task(proxy.listener.finish_shutdown(0.0))
             first, second = await client.read_response(), await client.read_response()
             assert [first.status, second.status] == [504, 504]
             assert "connection" not in first.headers and second.headers["connection"] == "close"
@@ -632,15 +636,15 @@
     monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", 100_000.0 if is_new else -1.0)
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
-            await wait_until(lambda: p.listener.slots.awaiting_request)
-            p.listener.begin_shutdown()
-            shutdown = asyncio.create_task(p.listener.finish_shutdown(30.0))
-            await wait_until(lambda: p.listener.sock is None)
+        async with run_proxy() as proxy:
+            client = await proxy.client()
+            await wait_until(lambda: proxy.listener.slots.awaiting_request)
+            proxy.listener.begin_shutdown()
+            shutdown = asyncio.create_task(proxy.listener.finish_shutdown(30.0))
+            await wait_until(lambda: proxy.listener.sock is None)
             if is_new:
                 client.send()
-                (await p.backends[0].requests.get()).respond()
+                (await proxy.backends[0].requests.get()).respond()
                 assert (await client.read_response()).status == 200
             assert await client.wait_closed()
             client.close()
@@ -651,17 +655,17 @@
 
 def test_unread_pipelined_request_is_served_during_shutdown() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send(x_call_id="c1")
-            received = await p.backends[0].requests.get()
-            p.listener.begin_shutdown()
-            (connection,) = p.listener.slots.connections
+            received = await proxy.backends[0].requests.get()
+            proxy.listener.begin_shutdown()
+            (connection,) = proxy.listener.slots.connections
             await send_unread(client, connection, x_call_id="c2")
             received.respond(b"first")
             reply = await client.read_response()
             assert reply.body == b"first" and "connection" not in reply.headers
-            (await p.backends[0].requests.get()).respond(b"second")
+            (await proxy.backends[0].requests.get()).respond(b"second")
             reply = await client.read_response()
             assert (reply.body, reply.headers["connection"]) == (b"second", "close")
             client.close()
@@ -675,10 +679,10 @@
     tenants = [{"Name": name, "QuotaPerS": 100.0} for name in ("tugs", "R\u00eda & Co")]
 
     async def test() -> None:
-        async with proxy(settings={"Lanes": lanes, "Projects": tenants}) as p:
-            client = await p.client()
+        async with run_proxy(settings={"Lanes": lanes, "Projects": tenants}) as proxy:
+            client = await proxy.client()
             client.send(path, "GET", x_caller="R\u00eda & Co")
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             assert (
                 received.request_line == f"GET {path} HTTP/1.1"
                 and received.headers["x-caller"] == "R\u00eda & Co"
@@ -693,18 +697,18 @@
 @pytest.mark.parametrize("occasion", ["timeout", "shutdown"])
 def test_new_connection_with_an_unread_request_is_not_closed(occasion: str) -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
-            await wait_until(lambda: p.listener.slots.awaiting_request)
-            (connection,) = p.listener.slots.connections
+        async with run_proxy() as proxy:
+            client = await proxy.client()
+            await wait_until(lambda: proxy.listener.slots.awaiting_request)
+            (connection,) = proxy.listener.slots.connections
             await send_unread(client, connection)
-            p.listener.slots.awaiting_request[connection] -= 10_000.0
+            proxy.listener.slots.awaiting_request[connection] -= 10_000.0
             if occasion == "timeout":
                 connection.time_out_request()
             else:
-                p.listener.close_between_requests()
+                proxy.listener.close_between_requests()
             connection.transport.resume_reading()
-            (await p.backends[0].requests.get()).respond()
+            (await proxy.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
             client.close()
 
@@ -713,16 +717,18 @@
 
 def test_idle_connection_with_an_unread_request_is_not_evicted() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             assert (await client.exchange("/health/ready", "GET")).status == 200
-            (connection,) = p.listener.slots.connections
-            p.listener.slots.idle[connection] -= 100_000.0
-            assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is connection
+            (connection,) = proxy.listener.slots.connections
+            proxy.listener.slots.idle[connection] -= 100_000.0
+            assert (
+                proxy.listener.slots.eviction_candidate(proxy.engine.requests.max_deadline_ms) is connection
+            )
             await send_unread(client, connection)
-            assert p.listener.slots.eviction_candidate(p.engine.requests.max_deadline_ms) is None
+            assert proxy.listener.slots.eviction_candidate(proxy.engine.requests.max_deadline_ms) is None
             connection.transport.resume_reading()
-            (await p.backends[0].requests.get()).respond()
+            (await proxy.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
             client.close()
 
@@ -735,15 +741,15 @@
     monkeypatch.setattr(request_registry_module, "MAX_RECENT_IDS", 1)
 
     async def test() -> None:
-        async with proxy() as p:
-            first, second = await p.client(), await p.client()
+        async with run_proxy() as proxy:
+            first, second = await proxy.client(), await proxy.client()
             first.send(x_call_id="c1")
-            received = await p.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             for number in range(3):
                 second.send(x_call_id=f"other{number}")
-                (await p.backends[0].requests.get()).respond()
+                (await proxy.backends[0].requests.get()).respond()
                 assert (await second.read_response()).status == 200
-            assert "c1" not in p.engine.requests.recent_ids
+            assert "c1" not in proxy.engine.requests.recent_ids
             assert (await second.exchange(x_call_id="c1")).status == 400
             received.respond(b"its own")
             assert (await first.read_response()).body == b"its own"
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -17,7 +17,7 @@
 from dunecove.proxy.endpoint_list import Endpoint, EndpointListUpdate, decode_endpoint, encode_endpoint
 from dunecove.proxy.long_list import ENDPOINTS_PER_SLICE
 from dunecove.wire.settings import ProxySettings
-from tests.loopback import Proxy, make_endpoint_list, make_list_entry, proxy, run, wait_until
+from tests.loopback import Proxy, make_endpoint_list, make_list_entry, run, run_proxy, wait_until
 from tests.proxy.list_entries import make_entries
 
 
@@ -117,28 +117,32 @@
     run(test())
 
 
-async def until_listed(p: Proxy, n: int) -> None:
-    await wait_until(lambda: p.engine.balancer.backends.listed_count == n and p.engine._next_step is None)
+async def until_listed(proxy: Proxy, n: int) -> None:
+    await wait_until(
+        lambda: proxy.engine.balancer.backends.listed_count == n and proxy.engine._next_step is None
+    )
 
 
 def test_proxy_serves_while_it_reads_a_long_list() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            own = make_list_entry("s0", p.backends[0].address)
-            client = await p.client()
-            (await p.discovery_server.requests.get()).respond(
+        async with run_proxy() as proxy:
+            own = make_list_entry("s0", proxy.backends[0].address)
+            client = await proxy.client()
+            (await proxy.discovery_server.requests.get()).respond(
                 json.dumps(make_endpoint_list(2, own, *make_entries(3000))).encode()
             )
             served = 0
-            while p.engine.balancer.backends.listed_count != 3001:
+            while proxy.engine.balancer.backends.listed_count != 3001:
                 assert (await client.exchange("/health/ready", "GET")).status == 200
                 served += 1
             assert served > 5
-            (await p.discovery_server.requests.get()).respond(json.dumps(make_endpoint_list(3, own)).encode())
-            await until_listed(p, 1)
-            assert set(p.engine.connection_pool.endpoints) == {"s0"}
+            (await proxy.discovery_server.requests.get()).respond(
+                json.dumps(make_endpoint_list(3, own)).encode()
+            )
+            await until_listed(proxy, 1)
+            assert set(proxy.engine.connection_pool.endpoints) == {"s0"}
             client.send()
-            (await p.backends[0].requests.get()).respond()
+            (await proxy.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
 
     run(test())
@@ -146,12 +150,12 @@
 
 def test_list_of_several_megabytes_is_received_in_slices() -> None:
     async def test() -> None:
-        async with proxy(settings={}) as p:
-            p.engine.discovery.max_list_bytes = 2**25  # type: ignore[union-attr]
-            call = await p.discovery_server.requests.get()
+        async with run_proxy(settings={}) as proxy:
+            proxy.engine.discovery.max_list_bytes = 2**25  # type: ignore[union-attr]
+            call = await proxy.discovery_server.requests.get()
             body = json.dumps(make_endpoint_list(2, *make_entries(2)) | {"pad": "x" * 5 * 2**20}).encode()
             call.respond(body)
-            await until_listed(p, 2)
+            await until_listed(proxy, 2)
 
     run(test())
 
@@ -175,16 +179,16 @@
     )
 
 
-def ids(p: Proxy) -> set[str]:
+def ids(proxy: Proxy) -> set[str]:
     """Return the ids of the backends that the balancer knows."""
-    backends = p.engine.balancer.backends
+    backends = proxy.engine.balancer.backends
     return {*(s.id for s in backends.active), *backends.unsubscribed.first(maxsize)}
 
 
-async def iterate_until_notified(p: Proxy) -> int:
+async def iterate_until_notified(proxy: Proxy) -> int:
     """Run the event loop until the balancer has the whole list; return the number of iterations."""
     iterations = 0
-    while p.engine._next_step is not None or not p.engine.cached_list_feed.is_done:
+    while proxy.engine._next_step is not None or not proxy.engine.cached_list_feed.is_done:
         iterations += 1
         await asyncio.sleep(0)
     return iterations
@@ -192,33 +196,35 @@
 
 def test_long_cached_list_creates_no_pools_and_reaches_the_balancer_in_slices() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            p.engine.on_list_update(
+        async with run_proxy() as proxy:
+            proxy.engine.on_list_update(
                 EndpointListUpdate(2, True, make_endpoints(10 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             assert (
-                not p.engine.connection_pool.connections_by_backend
-                and p.engine.connection_pool.active_count() == 10 * ENDPOINTS_PER_SLICE
-            )
-            assert await iterate_until_notified(p) >= 10
-            assert p.engine.balancer.backends.listed_count == 10 * ENDPOINTS_PER_SLICE and ids(p) == set(
-                p.engine.connection_pool.endpoints
+                not proxy.engine.connection_pool.connections_by_backend
+                and proxy.engine.connection_pool.active_count() == 10 * ENDPOINTS_PER_SLICE
             )
+            assert await iterate_until_notified(proxy) >= 10
+            assert proxy.engine.balancer.backends.listed_count == 10 * ENDPOINTS_PER_SLICE and ids(
+                proxy
+            ) == set(proxy.engine.connection_pool.endpoints)
 
     run(test())
 
 
 def test_update_takes_effect_while_a_long_cached_list_is_being_fed_to_the_balancer() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            p.engine.on_list_update(
+        async with run_proxy() as proxy:
+            proxy.engine.on_list_update(
                 EndpointListUpdate(2, True, make_endpoints(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             last = make_endpoints(1, 5 * ENDPOINTS_PER_SLICE - 1, BackendState.DRAINING)
-            p.engine.on_list_update(EndpointListUpdate(3, False, (*last, *make_endpoints(1, 9999))))
-            assert p.engine.connection_pool.active_count() == 5 * ENDPOINTS_PER_SLICE
-            await iterate_until_notified(p)
-            assert ids(p) == set(p.engine.connection_pool.endpoints) and last[0].backend_id not in ids(p)
+            proxy.engine.on_list_update(EndpointListUpdate(3, False, (*last, *make_endpoints(1, 9999))))
+            assert proxy.engine.connection_pool.active_count() == 5 * ENDPOINTS_PER_SLICE
+            await iterate_until_notified(proxy)
+            assert ids(proxy) == set(proxy.engine.connection_pool.endpoints) and last[
+                0
+            ].backend_id not in ids(proxy)
 
     run(test())
 
@@ -229,35 +235,37 @@
 
 def test_replaced_balancer_is_notified_of_the_whole_long_cached_list() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            p.engine.on_list_update(
+        async with run_proxy() as proxy:
+            proxy.engine.on_list_update(
                 EndpointListUpdate(2, True, make_endpoints(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
             await asyncio.sleep(0)
-            old = p.engine.balancer
-            p.engine.balancer.step = failing_step  # type: ignore[method-assign]
-            p.engine._raise_event(TimerFired(0))  # while the old balancer is still being notified
-            await wait_until(lambda: p.engine.balancer is not old)
-            await iterate_until_notified(p)
-            assert p.engine.balancer.backends.listed_count == 5 * ENDPOINTS_PER_SLICE and ids(p) == set(
-                p.engine.connection_pool.endpoints
-            )
+            old = proxy.engine.balancer
+            proxy.engine.balancer.step = failing_step  # type: ignore[method-assign]
+            proxy.engine._raise_event(TimerFired(0))  # while the old balancer is still being notified
+            await wait_until(lambda: proxy.engine.balancer is not old)
+            await iterate_until_notified(proxy)
+            assert proxy.engine.balancer.backends.listed_count == 5 * ENDPOINTS_PER_SLICE and ids(
+                proxy
+            ) == set(proxy.engine.connection_pool.endpoints)
 
     run(test())
 
 
 def test_empty_pools_are_removed() -> None:
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send()
-            (await p.backends[0].requests.get()).respond()
+            (await proxy.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
-            p.engine.connection_pool._close_expired()
-            assert set(p.engine.connection_pool.connections_by_backend) == {"s0"}  # it has an idle connection
-            p.engine.connection_pool.connections_by_backend["s0"].close_idle()
-            await wait_until(lambda: not p.engine.connection_pool.connections)
-            p.engine.connection_pool._close_expired()
-            assert not p.engine.connection_pool.connections_by_backend
+            proxy.engine.connection_pool._close_expired()
+            assert set(proxy.engine.connection_pool.connections_by_backend) == {
+                "s0"
+            }  # it has an idle connection
+            proxy.engine.connection_pool.connections_by_backend["s0"].close_idle()
+            await wait_until(lambda: not proxy.engine.connection_pool.connections)
+            proxy.engine.connection_pool._close_expired()
+            assert not proxy.engine.connection_pool.connections_by_backend
 
     run(test())
--- a/tests/proxy/test_telemetry.py
+++ b/tests/proxy/test_telemetry.py
@@ -22,7 +22,7 @@
 from dunecove.proxy import engine as engine_module
 from dunecove.proxy.log_writer import LibraryLogHandler
 from dunecove.proxy.telemetry import RequestStage, Telemetry
-from tests.loopback import proxy, run
+from tests.loopback import run, run_proxy
 
 UNSAFE = RequestClass(300.0, 1000.0, Idempotency.NON_IDEMPOTENT)
 SAFE = RequestClass(300.0, 1000.0)
@@ -147,13 +147,13 @@
     script_balancer(monkeypatch, action)
 
     async def test() -> None:
-        async with proxy() as p:
-            client = await p.client()
+        async with run_proxy() as proxy:
+            client = await proxy.client()
             client.send("/answer", x_budget_ms="1000")
-            (await p.backends[0].requests.get()).respond(status=500)
+            (await proxy.backends[0].requests.get()).respond(status=500)
             assert (await client.read_response()).status == 504
-            assert p.backends[0].requests.empty()
-            assert p.engine.telemetry.counts[f"violation.{violation.value}"] == 1
+            assert proxy.backends[0].requests.empty()
+            assert proxy.engine.telemetry.counts[f"violation.{violation.value}"] == 1
 
     run(test())
     (line,) = [line for line in capfd.readouterr().err.splitlines() if "violation" in line]
