--- a/dunecove/proxy/disconnect_watcher.py
+++ b/dunecove/proxy/disconnect_watcher.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from dunecove.proxy.client_connection import ClientConnection
 
-DISCONNECT_POLL_S = 0.05
+DISCONNECT_POLL_INTERVAL_S = 0.05
 
 
 class DisconnectWatcher:
@@ -28,7 +28,7 @@
         """Start polling a connection."""
         self.paused.add(connection)
         if self.poll_timer is None:
-            self.poll_timer = self._loop.call_later(DISCONNECT_POLL_S, self.poll)
+            self.poll_timer = self._loop.call_later(DISCONNECT_POLL_INTERVAL_S, self.poll)
 
     def unwatch(self, connection: ClientConnection) -> None:
         """Stop polling a connection, if it is polled."""
@@ -40,4 +40,4 @@
         for transport in find_closed_by_peer(connection.transport for connection in self.paused):
             transport.abort()
         if self.paused:
-            self.poll_timer = self._loop.call_later(DISCONNECT_POLL_S, self.poll)
+            self.poll_timer = self._loop.call_later(DISCONNECT_POLL_INTERVAL_S, self.poll)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -245,11 +245,11 @@
         self.create_task, self.call_later = loop.create_task, loop.call_later
         self.connect = loop.create_connection
         # One event for each connection that the pool opens; setting the event lets the connection open.
-        self.attempts: asyncio.Queue[asyncio.Event] = asyncio.Queue()
+        self.pending_connects: asyncio.Queue[asyncio.Event] = asyncio.Queue()
 
     async def create_connection(self, *args: Any) -> Any:
         may_open = asyncio.Event()
-        await self.attempts.put(may_open)
+        await self.pending_connects.put(may_open)
         await may_open.wait()
         return await self.connect(*args)
 
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -210,11 +210,11 @@
         async with pool_harness() as (harness, backend):
             gate = ConnectGate.install(harness.pool)
             harness.start(write_timeout_ms=30.0)
-            may_open = await gate.attempts.get()
+            may_open = await gate.pending_connects.get()
             assert await harness.result() is AttemptResult.CONNECT_FAILED
             may_open.set()
             harness.start(write_timeout_ms=30_000.0)
-            (await gate.attempts.get()).set()
+            (await gate.pending_connects.get()).set()
             call = await backend.requests.get()
             assert backend.requests.empty()
             call.respond()
@@ -231,12 +231,12 @@
         async with pool_harness() as (harness, backend):
             gate = ConnectGate.install(harness.pool)
             attempt = harness.start(write_timeout_ms=20000.0)
-            may_open = await gate.attempts.get()
+            may_open = await gate.pending_connects.get()
             setattr(attempt, deadline, now_ms() - 1.0)
             may_open.set()
             assert await harness.result() is AttemptResult.CONNECT_FAILED
             harness.start()
-            (await gate.attempts.get()).set()
+            (await gate.pending_connects.get()).set()
             (await backend.requests.get()).respond()
             assert await harness.result() is AttemptResult.OK
             assert backend.requests.empty() and len(harness.pool.connections) == 1
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -295,7 +295,7 @@
 def test_hundreds_of_paused_connections_are_polled_with_one_system_call(
     balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watcher_module, "DISCONNECT_POLL_S", 1000.0)  # the test triggers the poll
+    monkeypatch.setattr(watcher_module, "DISCONNECT_POLL_INTERVAL_S", 1000.0)  # the test triggers the poll
     polls, poll = [], select.poll
 
     def counting_poll() -> Any:
@@ -336,7 +336,7 @@
     balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The close must be found as the second request is about to be accepted, not by the poll.
-    monkeypatch.setattr(watcher_module, "DISCONNECT_POLL_S", 1000.0)
+    monkeypatch.setattr(watcher_module, "DISCONNECT_POLL_INTERVAL_S", 1000.0)
     balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
     async def test() -> None:
@@ -421,16 +421,16 @@
             gate = ConnectGate.install(proxy.engine.connection_pool)
             client, other = await proxy.client(), await proxy.client()
             client.send(x_budget_ms="20000" if cause == "disconnect" else "50")
-            connect_released = await gate.attempts.get()
+            may_open = await gate.pending_connects.get()
             if cause == "disconnect":
                 client.close()
             else:
                 assert (await client.read_response()).status == 504
             await wait_until(lambda: events(AttemptEnded))
             assert events(AttemptEnded)[0].result in (AttemptResult.WITHDRAWN, AttemptResult.CANCELLED)
-            connect_released.set()
+            may_open.set()
             other.send(x_call_id="other")
-            (await gate.attempts.get()).set()
+            (await gate.pending_connects.get()).set()
             call = await proxy.backends[0].requests.get()
             assert call.headers["x-call-id"] == "other" and proxy.backends[0].requests.empty()
             call.respond()
@@ -505,9 +505,9 @@
             gate = ConnectGate.install(proxy.engine.connection_pool)
             client = await proxy.client()
             client.send()
-            connect_released = await gate.attempts.get()
+            may_open = await gate.pending_connects.get()
             await disconnect_unnoticed(proxy, client, close_mode)
-            connect_released.set()
+            may_open.set()
             await wait_until(lambda: events(AttemptEnded))
             assert [e[:3] for e in events(AttemptEnded)] == [("c1", 0, AttemptResult.WITHDRAWN)]
             await wait_until(
@@ -780,7 +780,7 @@
             calls = [await proxy.backends[0].requests.get() for _ in range(2)]
             gate = ConnectGate.install(proxy.engine.connection_pool)
             clients["coming"].send(x_call_id="coming")
-            connect_released = await gate.attempts.get()
+            may_open = await gate.pending_connects.get()
             await wait_until(lambda: "held" in proxy.engine.requests.open)
             # Both are in the batch of the failing step, so no balancer processes the disconnect.
             proxy.engine.requests.client_disconnected("left")
@@ -789,9 +789,9 @@
                 assert (await clients[name].read_response()).status == 500
             for call in calls:
                 await call.closed.wait()
-            connect_released.set()
+            may_open.set()
             clients["later"].send(x_call_id="later")
-            (await gate.attempts.get()).set()
+            (await gate.pending_connects.get()).set()
             call = await proxy.backends[0].requests.get()
             assert call.headers["x-call-id"] == "later"
             call.respond()
