--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -64,8 +64,8 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[:-2]
-    return first, {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
+    start_line, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[:-2]
+    return start_line, {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
 
 
 class ReceivedRequest(NamedTuple):
@@ -110,10 +110,10 @@
         connection_number, closed = self.connection_count, asyncio.Event()
         try:
             while True:
-                line, headers = await read_head(reader)
+                request_line, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
                 await self.requests.put(
-                    ReceivedRequest(line, headers, body, writer, connection_number, closed)
+                    ReceivedRequest(request_line, headers, body, writer, connection_number, closed)
                 )
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
@@ -156,9 +156,9 @@
         self.writer.write(encode_request(path, method, body=body, **headers))
 
     async def read_response(self) -> ReceivedResponse:
-        line, headers = await read_head(self.reader)
+        status_line, headers = await read_head(self.reader)
         body = await self.reader.readexactly(int(headers["content-length"]))
-        return ReceivedResponse(int(line.split()[1]), headers, body)
+        return ReceivedResponse(int(status_line.split()[1]), headers, body)
 
     async def exchange(
         self, path: str = "/answer", method: str = "POST", **headers: str | None
@@ -274,7 +274,7 @@
 async def run_proxy(backends: int = 1, **overrides: Any) -> AsyncIterator[Proxy]:
     """Run a whole proxy in this process, with scripted backends and a scripted discovery service.
 
-    `overrides` are those of `make_configuration`.
+    `overrides` are passed to `make_configuration`.
     """
     backend_servers = [await ScriptedServer().open() for _ in range(backends)]
     discovery = await ScriptedServer().open()
--- a/tests/proxy/test_addresses.py
+++ b/tests/proxy/test_addresses.py
@@ -1,4 +1,4 @@
-"""Hosts that are accepted as IP addresses."""
+"""The check that a host is an IP address."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("host", HOSTS)
-def test_check_ip_accepts_exactly_what_the_standard_library_accepts(host: str) -> None:
+def test_check_ip_accepts_the_same_hosts_as_the_standard_library(host: str) -> None:
     def accepts(check: Any) -> bool:
         try:
             check(host)
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -46,8 +46,8 @@
             await wait_until(lambda: proxy.listener.slots.lingering)
             client.send(x_call_id="c2")
             await wait_until(lambda: connection.discarded_bytes)
-            reply = await client.read_response()
-            assert (reply.body, reply.headers["connection"]) == (b"r" * 65536, "close")
+            response = await client.read_response()
+            assert (response.body, response.headers["connection"]) == (b"r" * 65536, "close")
             assert await client.wait_closed()
             assert proxy.backends[0].requests.empty() and not proxy.engine.requests.open
             client.close()
@@ -87,12 +87,12 @@
             client.send()
             (await proxy.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
-            (connection,), (pooled,) = (
+            (connection,), (backend_connection,) = (
                 proxy.listener.slots.connections,
                 proxy.engine.connection_pool.connections,
             )
-            assert pooled.transport is not None
-            for transport in (connection.transport, pooled.transport):
+            assert backend_connection.transport is not None
+            for transport in (connection.transport, backend_connection.transport):
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
@@ -102,7 +102,7 @@
 async def connect_slow_reader(
     proxy: Proxy, send_buffer_bytes: int = 4096, shutting_down: bool = True
 ) -> Client:
-    """Return a client with an unread last response; most of it is unsent unless the kernel buffers it all."""
+    """Return a client with an unread response; the kernel holds up to `send_buffer_bytes` of it."""
     if shutting_down:
         proxy.listener.begin_shutdown()
     host, port = proxy.listener.address.split(":")
@@ -134,17 +134,17 @@
                 proxy.listener.sweep()
             else:
                 assert proxy.listener.slots.eviction_candidate(proxy.engine.requests.max_deadline_ms) is None
-            reply = await client.read_response()
-            assert reply.body == b"r" * 65536
+            response = await client.read_response()
+            assert response.body == b"r" * 65536
             assert await client.wait_closed()
             client.close()
 
     run(test())
 
 
-@pytest.mark.parametrize("how", ["idle", "crowded", "half-close"])
+@pytest.mark.parametrize("close_cause", ["idle", "crowded", "half-close"])
 def test_client_that_never_reads_holds_no_slot_after_the_close(
-    how: str, monkeypatch: pytest.MonkeyPatch
+    close_cause: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Failure: the transport closes only once its unsent bytes are read, so the slot stayed in use."""
 
@@ -152,24 +152,24 @@
         async with run_proxy() as proxy:
             client = await connect_slow_reader(proxy, shutting_down=False)
             (connection,) = proxy.listener.slots.idle
-            if how == "idle":
+            if close_cause == "idle":
                 monkeypatch.setattr(slots_module, "IDLE_TIMEOUT_S", -1.0)
                 proxy.listener.sweep()
-            elif how == "crowded":
+            elif close_cause == "crowded":
                 monkeypatch.setattr(slots_module, "CROWDED_IDLE_TIMEOUT_S", -1.0)
                 proxy.listener.slots.limit = 1
-                other = await proxy.client()
-                other.send("/health/ready", "GET")
+                new = await proxy.client()
+                new.send("/health/ready", "GET")
                 # The slot is not freed while the client may still read its response.
                 await wait_until(lambda: not proxy.listener.is_accepting)
                 assert proxy.listener.slots.eviction_candidate(proxy.engine.requests.max_deadline_ms) is None
                 assert proxy.listener.slots.used == 1
                 proxy.engine.requests.max_deadline_ms = -1000.0
-                assert (await other.read_response()).status == 200
+                assert (await new.read_response()).status == 200
             else:
                 client.writer.write_eof()
             await wait_until(lambda: connection.transport.is_closing())
-            assert how == "crowded" or connection in proxy.listener.slots.connections
+            assert close_cause == "crowded" or connection in proxy.listener.slots.connections
             monkeypatch.setattr(slots_module, "LINGER_TIMEOUT_S", -1.0)
             monkeypatch.setattr(connection_module, "LINGER_READ_TIMEOUT_S", -1.0)
             proxy.listener.sweep()
@@ -246,8 +246,8 @@
 
             monkeypatch.setattr(proxy.engine.requests, "expire_all", expire_all_and_complete_request)
             await proxy.listener.finish_shutdown(0.0)
-            reply = await client.read_response()
-            assert (reply.status, reply.headers["connection"]) == (503, "close")
+            response = await client.read_response()
+            assert (response.status, response.headers["connection"]) == (503, "close")
             assert proxy.backends[0].requests.empty() and not proxy.engine.requests.open
 
     run(test())
@@ -356,7 +356,7 @@
 WITHOUT_LENGTH = [OK + b"connection: close\r\n\r\nto the end", b"HTTP/1.0 200 OK\r\n\r\nto the end"]
 
 
-async def exchange_interrupted(proxy: Proxy, sent: bytes, how: str) -> ReceivedResponse:
+async def exchange_interrupted(proxy: Proxy, sent: bytes, connection_end: str) -> ReceivedResponse:
     """Return the client's response if the backend closes or resets its connection before the proxy reads."""
     client = await proxy.client()
     client.send()
@@ -367,25 +367,25 @@
     transport.pause_reading()
     received.writer.write(sent)
     await wait_until(lambda: has_unread_input(transport))
-    reset_connection(received.writer) if how == "reset" else received.writer.close()
+    reset_connection(received.writer) if connection_end == "reset" else received.writer.close()
     await wait_until(lambda: is_closed_by_peer(transport))
     transport.resume_reading()
-    reply = await client.read_response()
+    response = await client.read_response()
     assert all(backend.requests.empty() for backend in proxy.backends)
-    return reply
+    return response
 
 
 @pytest.mark.parametrize(
-    ("sent", "how"),
+    ("sent", "connection_end"),
     [*((sent, "end") for sent in TRUNCATED), *((sent, "reset") for sent in TRUNCATED + WITHOUT_LENGTH)],
 )
-def test_truncated_or_reset_response_fails_the_attempt(sent: bytes, how: str) -> None:
+def test_truncated_or_reset_response_fails_the_attempt(sent: bytes, connection_end: str) -> None:
     """A reset does not complete a response, and a request that may have executed is not retried."""
 
     async def test() -> None:
         async with run_proxy(backends=2) as proxy:
-            reply = await exchange_interrupted(proxy, sent, how)
-            assert (reply.status, reply.body) == (504, b"")
+            response = await exchange_interrupted(proxy, sent, connection_end)
+            assert (response.status, response.body) == (504, b"")
 
     run(test())
 
@@ -394,8 +394,8 @@
 def test_response_delimited_by_the_close_is_forwarded(sent: bytes) -> None:
     async def test() -> None:
         async with run_proxy(backends=2) as proxy:
-            reply = await exchange_interrupted(proxy, sent, "end")
-            assert (reply.status, reply.body) == (200, b"to the end")
+            response = await exchange_interrupted(proxy, sent, "end")
+            assert (response.status, response.body) == (200, b"to the end")
 
     run(test())
 
@@ -411,26 +411,26 @@
             client = await proxy.client()
             await wait_until(lambda: proxy.listener.slots.connections)
             (connection,) = proxy.listener.slots.connections
-            sent = encode_request(body=b"by and by")
-            for index in range(len(sent) - 1):
-                client.writer.write(sent[index : index + 1])
+            sent_request = encode_request(body=b"by and by")
+            for index in range(len(sent_request) - 1):
+                client.writer.write(sent_request[index : index + 1])
                 await wait_until(lambda index=index: connection.reader.size_bytes == index + 1)  # type: ignore[misc]
             assert proxy.backends[0].connection_count == 0
-            client.writer.write(sent[-1:])
+            client.writer.write(sent_request[-1:])
             received = await proxy.backends[0].requests.get()
             assert received.body == b"by and by"
-            response = b"HTTP/1.1 103 Hints\r\nlink: </a>\r\n\r\n"
-            response += (
+            sent_response = b"HTTP/1.1 103 Hints\r\nlink: </a>\r\n\r\n"
+            sent_response += (
                 OK + b"transfer-encoding: chunked\r\n\r\n4\r\nslow\r\n3;x=y\r\nly.\r\n0\r\nt: u\r\n\r\n"
             )
             (backend_connection,) = proxy.engine.connection_pool.connections
-            for byte in response:
+            for byte in sent_response:
                 assert backend_connection.is_awaiting_response and client.reader._buffer == b""  # type: ignore[attr-defined]
                 size = backend_connection._received_bytes
                 received.writer.write(bytes([byte]))
                 await wait_until(lambda size=size: backend_connection._received_bytes != size)  # type: ignore[misc]
-            reply = await client.read_response()
-            assert (reply.status, reply.body) == (200, b"slowly.")
+            response = await client.read_response()
+            assert (response.status, response.body) == (200, b"slowly.")
 
     run(test())
 
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -84,7 +84,7 @@
 
 
 def for_each(event_type: type[Any], act: Callable[[Any], list[Action]]) -> Step:
-    """Return a step that calls `act` for each event of a type."""
+    """Return a step function that calls `act` for each event of a type."""
     return staticmethod(lambda batch: [a for e in batch if isinstance(e, event_type) for a in act(e)])
 
 
@@ -127,8 +127,8 @@
 
 
 def test_deadline_is_capped_by_the_request_class(balancer: type[ScriptedBalancer]) -> None:
-    # The balancer assumes that the longest budget seen in a class is that of first attempts. A single client
-    # must not extend it.
+    # The balancer takes the longest budget seen in a class as that of first attempts, so a single client
+    # must not raise it.
     balancer.act = for_each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
@@ -152,10 +152,10 @@
     async def test() -> None:
         async with run_proxy() as proxy:
             client = await proxy.client()
-            refused = await client.exchange(x_call_id="r")
-            assert (refused.status, refused.headers["retry-after"]) == (503, "0.250")
-            plain = await client.exchange(x_call_id="p")
-            assert plain.status == 503 and "retry-after" not in plain.headers
+            rejected = await client.exchange(x_call_id="r")
+            assert (rejected.status, rejected.headers["retry-after"]) == (503, "0.250")
+            without_delay = await client.exchange(x_call_id="p")
+            assert without_delay.status == 503 and "retry-after" not in without_delay.headers
             assert (await client.exchange(x_call_id="f")).status == 504
             assert proxy.backends[0].connection_count == 0 and not events(ClientDisconnected)
 
@@ -203,16 +203,18 @@
             await wait_until(lambda: events(AttemptEnded))
             assert not any(
                 isinstance(e, AttemptEnded)
-                for b in balancer.batches
-                for e in b
-                if RequestArrived in map(type, b)
+                for batch in balancer.batches
+                for e in batch
+                if RequestArrived in map(type, batch)
             )
             assert events(AttemptEnded)[0][:3] == ("c1", 0, AttemptResult.CONNECT_FAILED)
 
     run(test())
 
 
-def test_attempt_of_a_finished_request_is_withdrawn_and_reported(balancer: type[ScriptedBalancer]) -> None:
+def test_attempt_of_a_finished_request_is_withdrawn_and_its_result_reported(
+    balancer: type[ScriptedBalancer],
+) -> None:
     balancer.act = for_each(
         RequestArrived, lambda e: [Fail(e.request_id), Forward(e.request_id, "s0", 1000.0)]
     )
@@ -277,7 +279,7 @@
 
 
 def test_disconnect_is_detected_while_reading_is_paused(balancer: type[ScriptedBalancer]) -> None:
-    # The client has sent so much pipelined input that reading is paused, so the close is not read either.
+    # The pipelined input is so long that reading is paused, so the event loop does not see the close.
     async def test() -> None:
         async with run_proxy() as proxy:
             client = await proxy.client()
@@ -322,7 +324,9 @@
             assert len(polls) == 1
             await wait_until(lambda: len(proxy.listener.slots.connections) == 200)
             await wait_until(lambda: not proxy.engine._events)  # delivered in the next loop iteration
-            assert {e.request_id for e in events(ClientDisconnected)} == {f"{n}-1" for n in range(0, 300, 3)}
+            assert {e.request_id for e in events(ClientDisconnected)} == {
+                f"{index}-1" for index in range(0, 300, 3)
+            }
             assert (
                 len(proxy.listener.disconnect_watcher.paused) == 200
                 and proxy.listener.disconnect_watcher.poll_timer is not None
@@ -335,7 +339,7 @@
 def test_pipelined_request_is_not_accepted_after_its_client_disconnected(
     balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The close must be found as the second request is about to be accepted, not by the poll.
+    # The close must be found when the second request is about to be accepted, not by the disconnect watcher.
     monkeypatch.setattr(watcher_module, "DISCONNECT_POLL_INTERVAL_S", 1000.0)
     balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
 
@@ -343,12 +347,12 @@
         async with run_proxy() as proxy:
             client = await proxy.client()
             send_pipelined(client, "c1", "c2", "c3")
-            call = await proxy.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             await wait_until(lambda: proxy.listener.disconnect_watcher.paused)
             (server_connection,) = proxy.listener.slots.connections
             client.close()
             await wait_until(lambda: is_closed_by_peer(server_connection.transport))
-            call.respond()
+            received.respond()
             await wait_until(lambda: not proxy.listener.slots.connections)
             assert [e.request_id for e in events(RequestArrived)] == ["c1"]
             assert proxy.backends[0].requests.empty()
@@ -364,10 +368,10 @@
             client.send()
             await wait_until(lambda: events(RequestArrived))
             (server_connection,) = proxy.listener.slots.connections
-            size = 0
-            while server_connection.transport.get_write_buffer_size() == 0 or size < 8_000_000:
+            written_bytes = 0
+            while server_connection.transport.get_write_buffer_size() == 0 or written_bytes < 8_000_000:
                 server_connection.transport.write(b"x" * 1_000_000)
-                size += 1_000_000
+                written_bytes += 1_000_000
             client.writer.write_eof()
             await wait_until(lambda: events(ClientDisconnected))
             assert proxy.listener.slots.connections
@@ -375,7 +379,7 @@
     run(test())
 
 
-def test_nothing_is_sent_for_a_client_that_disconnects_in_the_iteration_of_its_arrival(
+def test_no_attempt_is_sent_if_the_client_disconnects_in_the_loop_iteration_of_its_request(
     balancer: type[ScriptedBalancer],
 ) -> None:
     balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
@@ -385,12 +389,12 @@
             host, port = proxy.listener.address.split(":")
             with socket.create_connection((host, int(port))) as client:
                 client.sendall(encode_request())
-            # The loop has not run since, so it finds the connection, the request and the close together.
+            # The event loop has not run since, so it sees the connection, its request and its close at once.
             other = await proxy.client()
             other.send(x_call_id="other")
-            call = await proxy.backends[0].requests.get()
-            assert call.headers["x-call-id"] == "other" and proxy.backends[0].requests.empty()
-            call.respond()
+            received = await proxy.backends[0].requests.get()
+            assert received.headers["x-call-id"] == "other" and proxy.backends[0].requests.empty()
+            received.respond()
             assert (await other.read_response()).status == 200
             await wait_until(
                 lambda: len(proxy.listener.slots.connections) == 1 and not proxy.engine.requests.open
@@ -402,10 +406,10 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("cause", ["disconnect", "deadline"])
-def test_nothing_is_sent_on_a_connection_established_after_its_request_ended(
+def test_no_attempt_is_sent_on_a_connection_established_after_its_request_ended(
     balancer: type[ScriptedBalancer], may_cancel: bool, cause: str
 ) -> None:
-    """Whether attempts may be cancelled or not: one that has not been written may always be withdrawn."""
+    """An attempt that has not been written may be withdrawn even if attempts must not be cancelled."""
 
     def act(batch: list[Any]) -> list[Action]:
         actions: list[Action] = [
@@ -431,9 +435,9 @@
             may_open.set()
             other.send(x_call_id="other")
             (await gate.pending_connects.get()).set()
-            call = await proxy.backends[0].requests.get()
-            assert call.headers["x-call-id"] == "other" and proxy.backends[0].requests.empty()
-            call.respond()
+            received = await proxy.backends[0].requests.get()
+            assert received.headers["x-call-id"] == "other" and proxy.backends[0].requests.empty()
+            received.respond()
             assert (await other.read_response()).status == 200
 
     run(test())
@@ -455,14 +459,14 @@
 
 @pytest.mark.parametrize("close_mode", ["close", "half-close", "reset"])
 @pytest.mark.parametrize("is_retry", [False, True])
-def test_nothing_is_sent_for_a_client_that_disconnected_while_the_loop_was_busy(
+def test_no_attempt_is_sent_for_a_client_that_disconnected_while_the_loop_was_busy(
     balancer: type[ScriptedBalancer], close_mode: str, is_retry: bool
 ) -> None:
     """An attempt or retry over 0.1 s after the close is a violation, however late the loop is."""
 
     def act(batch: list[Any]) -> list[Action]:
-        kinds = (TimerFired, RequestArrived) if is_retry else TimerFired
-        return [Forward("c1", "s0", 9000.0) for e in batch if isinstance(e, kinds)]
+        event_types = (TimerFired, RequestArrived) if is_retry else TimerFired
+        return [Forward("c1", "s0", 9000.0) for e in batch if isinstance(e, event_types)]
 
     balancer.act = staticmethod(act)
 
@@ -495,7 +499,7 @@
 
 
 @pytest.mark.parametrize("close_mode", ["close", "half-close", "reset"])
-def test_nothing_is_sent_on_a_new_connection_after_an_unnoticed_disconnect(
+def test_no_attempt_is_sent_on_a_new_connection_after_an_unnoticed_disconnect(
     balancer: type[ScriptedBalancer], close_mode: str
 ) -> None:
     balancer.act = for_each(RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)])
@@ -554,9 +558,9 @@
                 idle[0].idle_since -= 1000.0  # idle long enough to be reused
             client.send(x_call_id="late")
             if exceeded == "neither":
-                call = await proxy.backends[0].requests.get()
-                assert int(call.headers["x-budget-ms"]) <= 8_000_000
-                call.respond()
+                received = await proxy.backends[0].requests.get()
+                assert int(received.headers["x-budget-ms"]) <= 8_000_000
+                received.respond()
                 assert (await client.read_response()).status == 200
                 return
             await wait_until(lambda: len(events(AttemptEnded)) == 1 + reuses_connection)
@@ -581,12 +585,14 @@
     async def test() -> None:
         async with run_proxy() as proxy:
             client = await proxy.client()
-            sent = [encode_request(x_call_id=f"c{number}", x_budget_ms="200") for number in range(6)]
-            client.writer.write(b"".join(sent))
-            for _ in sent:
+            requests = [encode_request(x_call_id=f"c{number}", x_budget_ms="200") for number in range(6)]
+            client.writer.write(b"".join(requests))
+            for _ in requests:
                 assert (await client.read_response()).status == 504
-            first, *others = [arrival.deadline for arrival in events(RequestArrived)]
-            assert len(others) == 5 and all(abs(deadline - first) < 100.0 for deadline in others)
+            first_deadline, *later_deadlines = [arrival.deadline for arrival in events(RequestArrived)]
+            assert len(later_deadlines) == 5 and all(
+                abs(deadline - first_deadline) < 100.0 for deadline in later_deadlines
+            )
 
     run(test())
 
@@ -605,8 +611,8 @@
             )
             assert [(await client.read_response()).status for _ in range(2)] == [504, 504]
             assert now_ms() - started < 10000.0  # the budget of the first request is 20 s
-            call = await proxy.backends[0].requests.get()
-            assert call.headers["x-call-id"] == "c1" and proxy.backends[0].requests.empty()
+            received = await proxy.backends[0].requests.get()
+            assert received.headers["x-call-id"] == "c1" and proxy.backends[0].requests.empty()
 
     run(test())
 
@@ -620,32 +626,32 @@
             proxy.listener.slots.limit = 1
             first, second = await proxy.client(), await proxy.client()
             first.send(x_call_id="c1", connection="close")
-            call = await proxy.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             second.send(x_call_id="c2", x_budget_ms="9000")
-            sent = now_ms()
+            sent_at = now_ms()
             await wait_until(lambda: not proxy.listener.is_accepting)
             await asyncio.sleep(0.5)
-            call.respond()
+            received.respond()
             assert (await first.read_response()).status == 200
             first.close()
             (await proxy.backends[0].requests.get()).respond()
             assert (await second.read_response()).status == 200
-            assert events(RequestArrived)[1].deadline < sent + 9000.0 + 100.0
+            assert events(RequestArrived)[1].deadline < sent_at + 9000.0 + 100.0
 
     run(test())
 
 
-@pytest.mark.parametrize("arrival_is_known", [True, False])
+@pytest.mark.parametrize("is_arrival_time_known", [True, False])
 def test_budget_of_unread_input_starts_when_it_arrived_or_reading_paused(
-    balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch, arrival_is_known: bool
+    balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch, is_arrival_time_known: bool
 ) -> None:
     """The arrival time is used if the kernel reports it, otherwise the time at which reading was paused."""
-    clock = [0.0]
+    clock_offset_ms = [0.0]
     monkeypatch.setattr(
-        connection_module, "last_data_age_ms", lambda _: clock[0] if arrival_is_known else None
+        connection_module, "last_data_age_ms", lambda _: clock_offset_ms[0] if is_arrival_time_known else None
     )
     for module in (connection_module, listener_module, request_validator_module, slots_module):
-        monkeypatch.setattr(module, "now_ms", lambda: now_ms() + clock[0])
+        monkeypatch.setattr(module, "now_ms", lambda: now_ms() + clock_offset_ms[0])
     balancer.act = for_each(
         RequestArrived, lambda e: [Forward(e.request_id, "s0", 9000.0)] * (e.request_id == "c1")
     )
@@ -654,13 +660,13 @@
         async with run_proxy() as proxy:
             client = await proxy.client()
             send_pipelined(client, "c1", "c2", "c3")
-            call = await proxy.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             await wait_until(lambda: proxy.listener.disconnect_watcher.paused)
             (server_connection,) = proxy.listener.slots.connections
             client.send(x_call_id="late", x_budget_ms="9000")
             await wait_until(lambda: has_unread_input(server_connection.transport))
-            clock[0] = 5000.0
-            call.respond()
+            clock_offset_ms[0] = 5000.0
+            received.respond()
             await wait_until(lambda: len(events(RequestArrived)) == 2)
             proxy.engine.requests.expire_all()
             for _ in range(6):
@@ -713,10 +719,10 @@
         async with run_proxy() as proxy:
             first, second = await proxy.client(), await proxy.client()
             first.send(x_call_id="held")
-            call = await proxy.backends[0].requests.get()
+            received = await proxy.backends[0].requests.get()
             assert (await second.exchange(x_call_id="break")).status == 500
             assert (await first.read_response()).status == 500
-            await call.closed.wait()
+            await received.closed.wait()
             first.send(x_call_id="later")  # served by the new balancer, which has received the current list
             (await proxy.backends[0].requests.get()).respond()
             assert (await first.read_response()).status == 200
@@ -755,13 +761,13 @@
 
 
 def test_balancer_failure_answers_requests_in_all_states_once(balancer: type[ScriptedBalancer]) -> None:
-    """Queued, in flight, waiting for a connection, and with a client that has just disconnected."""
+    """The states: queued, in flight, connecting, and with a client that has just disconnected."""
 
     def act(batch: list[Any]) -> list[Action]:
         arrivals = [e.request_id for e in batch if isinstance(e, RequestArrived)]
         if "break" in arrivals:
             raise ZeroDivisionError("in the balancer")
-        backends_by_request = {"out": "s0", "left": "s0", "coming": "s1", "later": "s0"}
+        backends_by_request = {"in_flight": "s0", "disconnected": "s0", "connecting": "s1", "next": "s0"}
         return [
             Forward(request, backends_by_request[request], 9000.0)
             for request in arrivals
@@ -773,30 +779,32 @@
     async def test() -> None:
         async with run_proxy(backends=2) as proxy:
             clients = {
-                name: await proxy.client() for name in ("held", "out", "left", "coming", "break", "later")
+                name: await proxy.client()
+                for name in ("queued", "in_flight", "disconnected", "connecting", "break", "next")
             }
-            for name in ("held", "out", "left"):
+            for name in ("queued", "in_flight", "disconnected"):
                 clients[name].send(x_call_id=name)
-            calls = [await proxy.backends[0].requests.get() for _ in range(2)]
+            received_requests = [await proxy.backends[0].requests.get() for _ in range(2)]
             gate = ConnectGate.install(proxy.engine.connection_pool)
-            clients["coming"].send(x_call_id="coming")
+            clients["connecting"].send(x_call_id="connecting")
             may_open = await gate.pending_connects.get()
-            await wait_until(lambda: "held" in proxy.engine.requests.open)
-            # Both are in the batch of the failing step, so no balancer processes the disconnect.
-            proxy.engine.requests.client_disconnected("left")
+            await wait_until(lambda: "queued" in proxy.engine.requests.open)
+            # The disconnect and the arrival of `break` are in the batch of the failing step, so no balancer
+            # processes the disconnect.
+            proxy.engine.requests.client_disconnected("disconnected")
             clients["break"].send(x_call_id="break")
-            for name in ("held", "out", "coming", "break"):
+            for name in ("queued", "in_flight", "connecting", "break"):
                 assert (await clients[name].read_response()).status == 500
-            for call in calls:
-                await call.closed.wait()
+            for received in received_requests:
+                await received.closed.wait()
             may_open.set()
-            clients["later"].send(x_call_id="later")
+            clients["next"].send(x_call_id="next")
             (await gate.pending_connects.get()).set()
-            call = await proxy.backends[0].requests.get()
-            assert call.headers["x-call-id"] == "later"
-            call.respond()
-            assert (await clients["later"].read_response()).status == 200
-            assert proxy.backends[1].requests.empty() and not proxy.engine.requests.open.keys() - {"later"}
+            received = await proxy.backends[0].requests.get()
+            assert received.headers["x-call-id"] == "next"
+            received.respond()
+            assert (await clients["next"].read_response()).status == 200
+            assert proxy.backends[1].requests.empty() and not proxy.engine.requests.open.keys() - {"next"}
 
     run(test())
 
@@ -818,7 +826,7 @@
     run(test())
 
 
-def test_failed_action_does_not_prevent_the_others(
+def test_failed_action_does_not_prevent_the_other_actions_of_its_step(
     balancer: type[ScriptedBalancer], monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     balancer.act = for_each(RequestArrived, lambda e: [SendHealthCheck("s0"), Fail(e.request_id)])
@@ -843,16 +851,16 @@
 
 
 @pytest.mark.parametrize(
-    ("header", "work"), [("12500", 12.5), ("-1", 0.0), ("1e9", 0.0), ("", 0.0), (None, 0.0)]
+    ("header", "work_hint_ms"), [("12500", 12.5), ("-1", 0.0), ("1e9", 0.0), ("", 0.0), (None, 0.0)]
 )
-def test_valid_work_hint_is_passed_to_the_balancer(
-    balancer: type[ScriptedBalancer], header: str | None, work: float
+def test_work_hint_is_passed_to_the_balancer_and_zero_if_invalid(
+    balancer: type[ScriptedBalancer], header: str | None, work_hint_ms: float
 ) -> None:
     balancer.act = for_each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
         async with run_proxy() as proxy:
             assert (await (await proxy.client()).exchange(x_call_cost=header)).status == 504
-            assert events(RequestArrived)[0].work_hint_ms == work
+            assert events(RequestArrived)[0].work_hint_ms == work_hint_ms
 
     run(test())
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -36,9 +36,13 @@
             # A header that no backend needs could only make the backend reject the request.
             assert "x-other" not in received.headers and "x-hop" not in received.headers
             received.respond(b"\x01answer", headers={"content-type": "app/x", "x-load-report": "?"})
-            reply = await client.read_response()
-            assert (reply.status, reply.body, reply.headers["content-type"]) == (200, b"\x01answer", "app/x")
-            assert "x-load-report" not in reply.headers
+            response = await client.read_response()
+            assert (response.status, response.body, response.headers["content-type"]) == (
+                200,
+                b"\x01answer",
+                "app/x",
+            )
+            assert "x-load-report" not in response.headers
 
     run(test())
 
@@ -140,8 +144,8 @@
         async with run_proxy() as proxy:
             client = await proxy.client()
             client.writer.write(sent)
-            reply = await client.read_response()
-            assert (reply.status, reply.headers["connection"]) == (status, "close")
+            response = await client.read_response()
+            assert (response.status, response.headers["connection"]) == (status, "close")
             assert await client.wait_closed()
             other = await proxy.client()
             assert (await other.exchange("/health/ready", "GET")).status == 200
@@ -204,8 +208,8 @@
             received.respond(b"0")
             assert (await client.read_response()).body == b"0"
             (await proxy.backends[0].requests.get()).respond(b"1")
-            reply = await client.read_response()
-            assert (reply.body, reply.headers["connection"]) == (b"1", "close")
+            response = await client.read_response()
+            assert (response.body, response.headers["connection"]) == (b"1", "close")
             assert await client.wait_closed()
 
     run(test())
@@ -248,8 +252,8 @@
             received = await proxy.backends[0].requests.get()
             received.writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf of it")
             received.writer.close()
-            reply = await client.read_response()
-            assert (reply.status, reply.body) == (504, b"")
+            response = await client.read_response()
+            assert (response.status, response.body) == (504, b"")
 
     run(test())
 
@@ -377,7 +381,7 @@
 
 
 def test_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Also on a kept-alive connection. A connection without any request is closed without a response.
+    # The timeout also holds on a kept-alive connection. A connection without any request gets no response.
     monkeypatch.setattr(slots_module, "REQUEST_TIMEOUT_S", 0.02)
 
     async def test() -> None:
@@ -387,8 +391,8 @@
             assert (await kept.exchange("/health/ready", "GET")).status == 200
             kept.writer.write(b"POST /answer HTTP/1.1\r\nhost: a\r\ncontent-length: 10\r\n\r\nhalf")
             for client in (incomplete, kept):
-                reply = await client.read_response()
-                assert (reply.status, reply.headers["connection"]) == (408, "close")
+                response = await client.read_response()
+                assert (response.status, response.headers["connection"]) == (408, "close")
                 assert await client.wait_closed()
             assert await silent.wait_closed()
             assert proxy.backends[0].connection_count == 0
@@ -410,7 +414,7 @@
     run(test())
 
 
-def test_silent_connection_is_evicted_before_one_that_was_used(
+def test_connection_without_a_request_is_evicted_before_an_idle_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(slots_module, "EVICTION_GRACE_MS", 0.0)
@@ -444,7 +448,7 @@
 
 
 def test_request_with_the_id_of_a_recent_request_is_rejected() -> None:
-    # The id may have been reused by another client, whose request a backend would then deduplicate.
+    # If two clients use one id, a backend could deduplicate the request of the second.
     async def test() -> None:
         async with run_proxy() as proxy:
             client = await proxy.client()
@@ -528,15 +532,15 @@
             received = await proxy.backends[0].requests.get()
             proxy.listener.begin_shutdown()
             new = await Client.open(proxy.listener.address)
-            reply = await new.exchange("/health/ready", "GET")
-            assert (reply.status, reply.headers["connection"]) == (503, "close")
+            response = await new.exchange("/health/ready", "GET")
+            assert (response.status, response.headers["connection"]) == (503, "close")
             new.close()
             shutdown = asyncio.create_task(proxy.listener.finish_shutdown(30.0))
             assert await idle.wait_closed()
             assert not shutdown.done()
             received.respond(b"last")
-            reply = await busy.read_response()
-            assert (reply.status, reply.body, reply.headers["connection"]) == (200, b"last", "close")
+            response = await busy.read_response()
+            assert (response.status, response.body, response.headers["connection"]) == (200, b"last", "close")
             assert await busy.wait_closed()
             busy.close()
             await shutdown
@@ -588,11 +592,11 @@
             proxy.listener.slots.limit = slot_limit
             loop = asyncio.get_running_loop()
             proxy.listener.begin_shutdown()
-            socks = [connect_to_backlog(proxy, number) for number in range(40)]
+            sockets = [connect_to_backlog(proxy, number) for number in range(40)]
             shutdown = asyncio.create_task(proxy.listener.finish_shutdown(30.0))
-            for _ in socks:
+            for _ in sockets:
                 (await proxy.backends[0].requests.get()).respond(b"served")
-            for sock in socks:
+            for sock in sockets:
                 assert (await loop.sock_recv(sock, 1000)).startswith(b"HTTP/1.1 200 ")
                 sock.close()
             await shutdown
@@ -663,11 +667,11 @@
             (connection,) = proxy.listener.slots.connections
             await send_unread(client, connection, x_call_id="c2")
             received.respond(b"first")
-            reply = await client.read_response()
-            assert reply.body == b"first" and "connection" not in reply.headers
+            response = await client.read_response()
+            assert response.body == b"first" and "connection" not in response.headers
             (await proxy.backends[0].requests.get()).respond(b"second")
-            reply = await client.read_response()
-            assert (reply.body, reply.headers["connection"]) == (b"second", "close")
+            response = await client.read_response()
+            assert (response.body, response.headers["connection"]) == (b"second", "close")
             client.close()
 
     run(test())
--- a/tests/proxy/test_system_call_faults.py
+++ b/tests/proxy/test_system_call_faults.py
@@ -62,23 +62,23 @@
             await process.wait()
 
 
-@pytest.mark.parametrize("log", ["full", "closed", "closed later", "unread"])
-def test_proxy_serves_while_its_log_cannot_be_written(tmp_path: Path, log: str) -> None:
-    """Standard error is a full disk, a closed pipe, or a pipe that nobody reads."""
+@pytest.mark.parametrize("stderr_state", ["full", "closed", "closed later", "unread"])
+def test_proxy_serves_while_its_log_cannot_be_written(tmp_path: Path, stderr_state: str) -> None:
+    """Standard error is a full disk, a pipe closed before or after the start, or a pipe that nobody reads."""
 
     async def test() -> None:
-        backend, later, registry = [await ScriptedServer().open() for _ in range(3)]
+        cached_backend, new_backend, discovery = [await ScriptedServer().open() for _ in range(3)]
         config = make_configuration(
-            registry.address, make_list_entry("s", backend.address), discovery_mode="push"
+            discovery.address, make_list_entry("s", cached_backend.address), discovery_mode="push"
         )
         config["listen"] = free_address()
         read_end, write_end = os.pipe()
-        if log == "full":
+        if stderr_state == "full":
             os.close(write_end)
             write_end = os.open("/dev/full", os.O_WRONLY)
-        if log in ("full", "closed"):
+        if stderr_state in ("full", "closed"):
             os.close(read_end)
-        elif log == "unread":
+        elif stderr_state == "unread":
             os.set_blocking(write_end, False)
             with pytest.raises(BlockingIOError):
                 while True:
@@ -86,28 +86,28 @@
             os.set_blocking(write_end, True)
         async with run_program(tmp_path, config, stderr=write_end) as process:
             os.close(write_end)
-            call = asyncio.ensure_future(registry.requests.get())
-            ended = asyncio.ensure_future(process.wait())
-            await asyncio.wait((call, ended), return_when=asyncio.FIRST_COMPLETED)
+            polled = asyncio.ensure_future(discovery.requests.get())
+            exited = asyncio.ensure_future(process.wait())
+            await asyncio.wait((polled, exited), return_when=asyncio.FIRST_COMPLETED)
             assert process.returncode is None
-            if log == "closed later":
+            if stderr_state == "closed later":
                 os.close(read_end)
-            (await call).respond(status=503)  # a failed call is logged and repeated
-            (await registry.requests.get()).respond(
-                json.dumps(make_endpoint_list(2, make_list_entry("t", later.address))).encode()
+            (await polled).respond(status=503)  # a failed poll is logged and retried
+            (await discovery.requests.get()).respond(
+                json.dumps(make_endpoint_list(2, make_list_entry("t", new_backend.address))).encode()
             )
-            await registry.requests.get()
+            await discovery.requests.get()
             client = await connect_when_listening(config["listen"])
             client.send()
-            (await later.requests.get()).respond(b"served")
+            (await new_backend.requests.get()).respond(b"served")
             assert (await client.read_response()).body == b"served"
             client.close()
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
-        if log == "unread":
+        if stderr_state == "unread":
             os.close(read_end)
-        for peer in (backend, later, registry):
-            peer.close()
+        for server in (cached_backend, new_backend, discovery):
+            server.close()
 
     run(test())
 
@@ -140,7 +140,7 @@
 
 
 def failing_program(call: str, error: int, first: int, last: int) -> list[str]:
-    """Return arguments of a program in which calls number `first` to `last` of `call` fail."""
+    """Return arguments of a program in which the calls `first` to `last` of the system call `call` fail."""
     return ["-c", FAILING_PROGRAM, call, str(error), str(first), str(last)]
 
 
@@ -162,11 +162,11 @@
         config["peers_all"] = "127.0.0.1:1"
         arguments = failing_program(call, error, 1, 3)
         async with run_program(tmp_path, config, *arguments, stderr=asyncio.subprocess.DEVNULL) as process:
-            opened = asyncio.ensure_future(connect_when_listening(config["listen"]))
-            ended = asyncio.ensure_future(process.wait())
-            await asyncio.wait((opened, ended), return_when=asyncio.FIRST_COMPLETED)
+            connected = asyncio.ensure_future(connect_when_listening(config["listen"]))
+            exited = asyncio.ensure_future(process.wait())
+            await asyncio.wait((connected, exited), return_when=asyncio.FIRST_COMPLETED)
             assert process.returncode is None
-            client = await opened
+            client = await connected
             client.send()
             (await backend.requests.get()).respond(b"served")
             assert (await client.read_response()).body == b"served"
@@ -180,27 +180,27 @@
 
 def test_reload_takes_effect_despite_a_temporary_failure_to_open_the_file(tmp_path: Path) -> None:
     async def test() -> None:
-        first, second = await ScriptedServer().open(), await ScriptedServer().open()
-        config = make_configuration(first.address, make_list_entry("s", "127.0.0.1:1"))
+        first_discovery, second_discovery = await ScriptedServer().open(), await ScriptedServer().open()
+        config = make_configuration(first_discovery.address, make_list_entry("s", "127.0.0.1:1"))
         async with run_program(
             tmp_path, config, *failing_program("open", errno.ENFILE, 2, 3), stderr=asyncio.subprocess.PIPE
         ) as process:
             assert process.stderr is not None
-            await first.requests.get()
+            await first_discovery.requests.get()
             write_configuration(
-                tmp_path, make_configuration(second.address, make_list_entry("s", "127.0.0.1:1"))
+                tmp_path, make_configuration(second_discovery.address, make_list_entry("s", "127.0.0.1:1"))
             )
             process.send_signal(signal.SIGHUP)
-            polled = asyncio.ensure_future(second.requests.get())
-            failed = asyncio.ensure_future(
+            polled = asyncio.ensure_future(second_discovery.requests.get())
+            failure_logged = asyncio.ensure_future(
                 process.stderr.readuntil(b"keeping the current configuration and retrying\n")
             )
-            await asyncio.wait((polled, failed), return_when=asyncio.FIRST_COMPLETED)
-            await failed
+            await asyncio.wait((polled, failure_logged), return_when=asyncio.FIRST_COMPLETED)
+            await failure_logged
             assert (await asyncio.wait_for(polled, RELOAD_TIMEOUT_S)).request_line.startswith(
                 "GET /registry/instances"
             )
-        first.close()
-        second.close()
+        first_discovery.close()
+        second_discovery.close()
 
     run(test())
--- a/tests/proxy/test_telemetry.py
+++ b/tests/proxy/test_telemetry.py
@@ -127,9 +127,17 @@
             pass
 
         def step(self, now: float, events: list[Any]) -> list[Action]:
-            forwards = [Forward(e.request_id, "s0", 9000.0) for e in events if isinstance(e, RequestArrived)]
-            ended = [e for e in events if isinstance(e, AttemptEnded) and e.result is AttemptResult.ERROR]
-            return [*forwards, *(action for _ in ended)]
+            forwards = [
+                Forward(event.request_id, "s0", 9000.0)
+                for event in events
+                if isinstance(event, RequestArrived)
+            ]
+            failed_attempts = [
+                event
+                for event in events
+                if isinstance(event, AttemptEnded) and event.result is AttemptResult.ERROR
+            ]
+            return [*forwards, *(action for _ in failed_attempts)]
 
     monkeypatch.setattr(engine_module, "Balancer", StubBalancer)
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("config", "words"),
+    ("config", "expected_text"),
     [
         ("{", "not JSON"),
         ("[]", "configuration"),
@@ -91,7 +91,7 @@
     ],
 )
 def test_invalid_configuration_fails_startup_with_one_log_line(
-    tmp_path: Path, config: Any, words: str
+    tmp_path: Path, config: Any, expected_text: str
 ) -> None:
     completed = subprocess.run(
         COMMAND,
@@ -103,15 +103,15 @@
     )
     assert completed.returncode == 2
     assert completed.stderr.count("\n") == 1 and "Traceback" not in completed.stderr
-    assert words in completed.stderr
+    assert expected_text in completed.stderr
 
 
 def test_address_in_use_fails_startup_with_one_log_line(tmp_path: Path) -> None:
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
+    with socket.socket() as listening_socket:
+        listening_socket.bind(("127.0.0.1", 0))
+        listening_socket.listen()
         config = make_configuration("127.0.0.1:1", discovery_mode="push")
-        config["listen"] = "{}:{}".format(*taken.getsockname())
+        config["listen"] = "{}:{}".format(*listening_socket.getsockname())
         completed = subprocess.run(
             COMMAND,
             env=write_configuration(tmp_path, config),
@@ -125,16 +125,19 @@
 
 
 def test_null_settings_are_treated_as_absent(tmp_path: Path) -> None:
-    def read(value: dict[str, Any]) -> Config:
-        lane = {"Name": "a", "AimMs": 300, "HardLimitMs": 900, "Effect": "read_like"}
-        info = value | {"Lanes": [lane | ({"Points": None, "KeyScope": None} if value else {})]}
+    def read(null_settings: dict[str, Any]) -> Config:
+        request_class = {"Name": "a", "AimMs": 300, "HardLimitMs": 900, "Effect": "read_like"}
+        settings = null_settings | {
+            "Lanes": [request_class | ({"Points": None, "KeyScope": None} if null_settings else {})]
+        }
         return read_config(
             write_configuration(
-                tmp_path, VALID_CONFIG | {"settings": info, "limits": {"sockets": None} if value else {}}
+                tmp_path,
+                VALID_CONFIG | {"settings": settings, "limits": {"sockets": None} if null_settings else {}},
             )
         )
 
-    parts = {
+    names_by_section = {
         "Limits": ("MostTries", "ConnectTimeoutMs", "ConnIdleMs", "MaxRetryAfterMs", "MayCancel", "Peers"),
         "Obligations": (
             "ColdMs",
@@ -145,13 +148,17 @@
             "DrainGraceMs",
         ),
     }
-    empty: dict[str, Any] = {name: dict.fromkeys(members) for name, members in parts.items()}
-    empty |= dict.fromkeys(("Balancers", "Me", "Az", "Dcs", "Kinds", "Projects", "OverShareWorth", "TickMs"))
-    given, absent = read(empty), read({})
-    assert (given.settings, given.proxy_settings, given.max_descriptors) == (
-        absent.settings,
-        absent.proxy_settings,
-        absent.max_descriptors,
+    null_settings_of_all_names: dict[str, Any] = {
+        name: dict.fromkeys(names) for name, names in names_by_section.items()
+    }
+    null_settings_of_all_names |= dict.fromkeys(
+        ("Balancers", "Me", "Az", "Dcs", "Kinds", "Projects", "OverShareWorth", "TickMs")
+    )
+    from_nulls, from_absent = read(null_settings_of_all_names), read({})
+    assert (from_nulls.settings, from_nulls.proxy_settings, from_nulls.max_descriptors) == (
+        from_absent.settings,
+        from_absent.proxy_settings,
+        from_absent.max_descriptors,
     )
 
 
@@ -163,7 +170,7 @@
     assert (completed.returncode, completed.stderr) == (2, "dunecove: LB_CONFIG is not set\n")
 
 
-def test_more_clients_than_descriptors_are_served(tmp_path: Path) -> None:
+def test_more_client_connections_than_descriptors_are_served(tmp_path: Path) -> None:
     def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 
@@ -198,54 +205,56 @@
     run(test())
 
 
-@pytest.mark.parametrize("silent", [True, False])
-@pytest.mark.parametrize(("limit", "sockets"), [(256, 1024), (1024, 64), (64, 1024), (32, 1024)])
+@pytest.mark.parametrize("is_discovery_listening", [True, False])
+@pytest.mark.parametrize(("descriptor_limit", "sockets"), [(256, 1024), (1024, 64), (64, 1024), (32, 1024)])
 def test_full_proxy_polls_discovery_and_serves_waiting_and_new_clients(
-    tmp_path: Path, limit: int, sockets: int, silent: bool
+    tmp_path: Path, descriptor_limit: int, sockets: int, is_discovery_listening: bool
 ) -> None:
     """Waiting and idle clients occupy all slots while discovery is down; the gossip socket is open too."""
 
     async def test() -> None:
-        backend, other, registry = (
+        backend, new_backend, discovery = (
             await ScriptedServer().open(),
             await ScriptedServer().open(),
             ScriptedServer(),
         )
-        down = socket.socket()
-        down.bind(("127.0.0.1", 0))  # refuses connections until it listens
-        address = "{}:{}".format(*down.getsockname())
-        if silent:
-            await registry.open(down)
-        known = [make_list_entry(f"s{number}", backend.address) for number in range(150)]
-        config = make_configuration(address, *known, sockets=sockets, discovery_mode="push", Peers=True)
+        discovery_socket = socket.socket()
+        discovery_socket.bind(("127.0.0.1", 0))  # refuses connections until it listens
+        address = "{}:{}".format(*discovery_socket.getsockname())
+        if is_discovery_listening:
+            await discovery.open(discovery_socket)
+        entries = [make_list_entry(f"s{number}", backend.address) for number in range(150)]
+        config = make_configuration(address, *entries, sockets=sockets, discovery_mode="push", Peers=True)
         config |= {"peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:1"], "peers_all": "127.0.0.1:1"}
-        program, address = await start_with_descriptor_limit(limit, write_configuration(tmp_path, config))
-        client_limit, backend_limit = connection_limits(min(limit, sockets))
-        busy, calls = await occupy_all_slots(address, backend, client_limit, backend_limit)
+        program, address = await start_with_descriptor_limit(
+            descriptor_limit, write_configuration(tmp_path, config)
+        )
+        client_limit, backend_limit = connection_limits(min(descriptor_limit, sockets))
+        busy, received_requests = await occupy_all_slots(address, backend, client_limit, backend_limit)
         descriptors = Path(f"/proc/{program.pid}/fd")
         await wait_until(lambda: len(os.listdir(descriptors)) >= client_limit + backend_limit)
-        assert len(os.listdir(descriptors)) < min(limit, sockets)
+        assert len(os.listdir(descriptors)) < min(descriptor_limit, sockets)
         for client in busy[backend_limit:]:
             client.close()
         idle = await connect_ready_clients(address, client_limit)
-        if not silent:
-            await registry.open(down)
-        body = json.dumps(make_endpoint_list(2, make_list_entry("t", other.address))).encode()
-        while "?since=2&" not in (call := await registry.requests.get()).request_line:
-            call.respond(body)
-        for call in calls:
-            call.respond(b"held")
+        if not is_discovery_listening:
+            await discovery.open(discovery_socket)
+        body = json.dumps(make_endpoint_list(2, make_list_entry("t", new_backend.address))).encode()
+        while "?since=2&" not in (received := await discovery.requests.get()).request_line:
+            received.respond(body)
+        for received in received_requests:
+            received.respond(b"held")
         for client in busy[:backend_limit]:
             assert (await client.read_response()).body == b"held"
-        new = await Client.open(address)
-        new.send(x_call_id="new")
-        (await other.requests.get()).respond(b"new")
-        assert (await new.read_response()).body == b"new"
+        new_client = await Client.open(address)
+        new_client.send(x_call_id="new")
+        (await new_backend.requests.get()).respond(b"new")
+        assert (await new_client.read_response()).body == b"new"
         await stop_cleanly(program)
-        for client in [*busy, *idle, new]:
+        for client in [*busy, *idle, new_client]:
             client.close()
-        for peer in (backend, other, registry):
-            peer.close()
+        for server in (backend, new_backend, discovery):
+            server.close()
 
     run(test())
 
@@ -271,13 +280,13 @@
     address: str, backend: ScriptedServer, client_limit: int, backend_limit: int
 ) -> tuple[list[Client], list[ReceivedRequest]]:
     """Connect `client_limit` clients, each with a request; return them and what the backend has received."""
-    clients, calls = [], []
+    clients, received_requests = [], []
     for number in range(client_limit):
         clients.append(await Client.open(address))
         clients[-1].send("/lookup", "GET", x_call_id=f"c{number}")
         if number < backend_limit:  # further requests are queued
-            calls.append(await backend.requests.get())
-    return clients, calls
+            received_requests.append(await backend.requests.get())
+    return clients, received_requests
 
 
 async def connect_ready_clients(address: str, count: int) -> list[Client]:
@@ -297,25 +306,27 @@
     assert await program.wait() == 0
 
 
-@pytest.mark.parametrize("silent", [True, False])
-@pytest.mark.parametrize("backends", [200, 20_000])
-@pytest.mark.parametrize("mode", ["ask", "push"])
+@pytest.mark.parametrize("is_discovery_listening", [True, False])
+@pytest.mark.parametrize("backend_count", [200, 20_000])
+@pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 def test_proxy_is_ready_and_serves_from_the_cached_list_while_discovery_is_down(
-    tmp_path: Path, backends: int, mode: str, silent: bool
+    tmp_path: Path, backend_count: int, discovery_mode: str, is_discovery_listening: bool
 ) -> None:
     """A restart must not wait for discovery, which refuses connections or accepts them without responding."""
 
     async def test() -> None:
         backend = await ScriptedServer().open()
-        with socket.socket() as down:
-            down.bind(("127.0.0.1", 0))
-            if silent:
-                down.listen()
-            where = "{}:{}".format(*down.getsockname())
-            known = [make_list_entry(f"s{number}", backend.address) for number in range(backends)]
+        with socket.socket() as discovery_socket:
+            discovery_socket.bind(("127.0.0.1", 0))
+            if is_discovery_listening:
+                discovery_socket.listen()
+            discovery_address = "{}:{}".format(*discovery_socket.getsockname())
+            entries = [make_list_entry(f"s{number}", backend.address) for number in range(backend_count)]
             program = await asyncio.create_subprocess_exec(
                 *COMMAND,
-                env=write_configuration(tmp_path, make_configuration(where, *known, discovery_mode=mode)),
+                env=write_configuration(
+                    tmp_path, make_configuration(discovery_address, *entries, discovery_mode=discovery_mode)
+                ),
                 stderr=asyncio.subprocess.PIPE,
             )
             assert program.stderr is not None
@@ -336,8 +347,8 @@
 
 
 def test_objects_created_from_the_cached_list_are_excluded_from_garbage_collection(tmp_path: Path) -> None:
-    """Traversing 20,000 backends in each collection would delay requests."""
-    code = """if True:
+    """Guards against each collection traversing 20,000 backends, which would delay requests."""
+    program_source = """if True:
         import gc, os, signal, sys
         from dunecove import __main__ as program
         from dunecove.policy.balancer import Balancer
@@ -347,7 +358,7 @@
         gc.enable = lambda: (on(), print("enable"), os.kill(os.getpid(), signal.SIGTERM))
         sys.exit(program.main())"""
     completed = subprocess.run(
-        [sys.executable, "-c", code],
+        [sys.executable, "-c", program_source],
         env=write_configuration(tmp_path, VALID_CONFIG),
         capture_output=True,
         text=True,
@@ -371,54 +382,57 @@
         address = line.split()[-1]
         client = await Client.open(address)
         client.send()
-        call = await backend.requests.get()
+        received = await backend.requests.get()
         program.send_signal(signal.SIGTERM)
         while "stopping" not in (await program.stderr.readline()).decode():
             pass
-        late = await Client.open(address)  # new connections are still accepted for a short time
-        ready = await late.exchange("/health/ready", "GET")
-        assert (ready.status, ready.headers["connection"]) == (503, "close")
-        call.respond(b"taken before")
-        reply = await client.read_response()
-        assert (reply.status, reply.body) == (200, b"taken before")
+        new_client = await Client.open(address)  # new connections are still accepted for a short time
+        readiness = await new_client.exchange("/health/ready", "GET")
+        assert (readiness.status, readiness.headers["connection"]) == (503, "close")
+        received.respond(b"taken before")
+        response = await client.read_response()
+        assert (response.status, response.body) == (200, b"taken before")
         client.close()
-        late.close()
-        rest = (await program.stderr.read()).decode()
+        new_client.close()
+        remaining_log = (await program.stderr.read()).decode()
         assert await program.wait() == 0
-        assert "internal error" not in rest and "still open" not in rest
+        assert "internal error" not in remaining_log and "still open" not in remaining_log
         backend.close()
 
     run(test())
 
 
 def test_sighup_polls_the_discovery_address_of_the_new_configuration(tmp_path: Path) -> None:
-    # Guards against SIGHUP ending the program, against sending a revision of the old service to the new one,
-    # which numbers its own, and against retrying a failed first call only after the usual delay.
+    # Guards against three failures: SIGHUP ends the program; a revision of the old service is sent to the new
+    # one, which numbers its revisions independently; a failed first poll of the new address is retried only
+    # after the usual delay.
     async def test() -> None:
-        first, second, old, new = [await ScriptedServer().open() for _ in range(4)]
-        known = make_list_entry("s", old.address)
-        env = write_configuration(tmp_path, make_configuration(first.address, known)) | {
-            "LB_DISCOVERY": first.address
+        first_discovery, second_discovery, old_backend, new_backend = [
+            await ScriptedServer().open() for _ in range(4)
+        ]
+        entry = make_list_entry("s", old_backend.address)
+        env = write_configuration(tmp_path, make_configuration(first_discovery.address, entry)) | {
+            "LB_DISCOVERY": first_discovery.address
         }
         program = await asyncio.create_subprocess_exec(*COMMAND, env=env, stderr=asyncio.subprocess.PIPE)
         assert program.stderr is not None
         address = (await program.stderr.readline()).decode().split()[-1]
-        watch = await first.requests.get()
+        watch = await first_discovery.requests.get()
         assert "?since=1&" in watch.request_line
-        write_configuration(tmp_path, make_configuration(second.address, known))
+        write_configuration(tmp_path, make_configuration(second_discovery.address, entry))
         program.send_signal(signal.SIGHUP)
-        call = await second.requests.get()
-        assert call.request_line == "GET /registry/instances HTTP/1.1"
+        poll = await second_discovery.requests.get()
+        assert poll.request_line == "GET /registry/instances HTTP/1.1"
         await watch.closed.wait()
-        program.send_signal(signal.SIGHUP)  # same address again: the call in flight continues
-        call.respond(status=503)
-        call = await second.requests.get()
-        assert call.request_line == "GET /registry/instances HTTP/1.1"
-        call.respond(json.dumps(make_endpoint_list(7, make_list_entry("t", new.address))).encode())
-        assert "?since=7&" in (await second.requests.get()).request_line
+        program.send_signal(signal.SIGHUP)  # the address is unchanged, so the poll in flight continues
+        poll.respond(status=503)
+        poll = await second_discovery.requests.get()
+        assert poll.request_line == "GET /registry/instances HTTP/1.1"
+        poll.respond(json.dumps(make_endpoint_list(7, make_list_entry("t", new_backend.address))).encode())
+        assert "?since=7&" in (await second_discovery.requests.get()).request_line
         client = await Client.open(address)
         client.send()
-        (await new.requests.get()).respond(b"by the new one")
+        (await new_backend.requests.get()).respond(b"by the new one")
         assert (await client.read_response()).body == b"by the new one"
         write_configuration(tmp_path, "{")
         program.send_signal(signal.SIGHUP)
@@ -428,14 +442,14 @@
         program.send_signal(signal.SIGTERM)
         while "stopping" not in (await program.stderr.readline()).decode():
             pass
-        write_configuration(tmp_path, make_configuration(first.address, known))
+        write_configuration(tmp_path, make_configuration(first_discovery.address, entry))
         program.send_signal(signal.SIGHUP)
-        assert (await first.requests.get()).request_line == "GET /registry/instances HTTP/1.1"
+        assert (await first_discovery.requests.get()).request_line == "GET /registry/instances HTTP/1.1"
         client.close()
         assert "internal error" not in (await program.stderr.read()).decode()
         assert await program.wait() == 0
-        for peer in (first, second, old, new):
-            peer.close()
+        for server in (first_discovery, second_discovery, old_backend, new_backend):
+            server.close()
 
     run(test())
 
@@ -453,10 +467,10 @@
     """SIGHUP arrives while the configuration is read, and SIGTERM twice, with a SIGHUP in between."""
     program, path = start_reading_configuration(tmp_path)
     assert program.stderr is not None
-    with socket.socket() as hung:  # the kernel accepts connections; nothing responds
-        hung.bind(("127.0.0.1", 0))
-        hung.listen()
-        backend = make_list_entry("s", "{}:{}".format(*hung.getsockname()))
+    with socket.socket() as hung_backend:  # the kernel accepts connections; nothing responds
+        hung_backend.bind(("127.0.0.1", 0))
+        hung_backend.listen()
+        backend = make_list_entry("s", "{}:{}".format(*hung_backend.getsockname()))
         with path.open("w") as file:
             program.send_signal(signal.SIGHUP)
             file.write(json.dumps(make_configuration("127.0.0.1:1", backend)))
@@ -471,18 +485,18 @@
             program.send_signal(signal.SIGTERM)
             client.settimeout(TEST_TIMEOUT_S)
             assert client.recv(1000).startswith(b"HTTP/1.1 504 ")
-    rest = program.stderr.read()
+    remaining_log = program.stderr.read()
     assert program.wait() == 0
-    assert "internal error" not in rest and "Traceback" not in rest
+    assert "internal error" not in remaining_log and "Traceback" not in remaining_log
 
 
-def wait_for_log(program: subprocess.Popen[str], words: str) -> None:
+def wait_for_log(program: subprocess.Popen[str], text: str) -> None:
     assert program.stderr is not None
-    while words not in (line := program.stderr.readline()):
+    while text not in (line := program.stderr.readline()):
         assert line
 
 
-def test_sigterm_before_the_event_loop_runs_kills_the_program_silently(tmp_path: Path) -> None:
+def test_sigterm_before_the_event_loop_runs_kills_the_program_without_output(tmp_path: Path) -> None:
     program, path = start_reading_configuration(tmp_path)
     with path.open("w"):
         program.send_signal(signal.SIGTERM)
