--- a/dunecove/proxy/addresses.py
+++ b/dunecove/proxy/addresses.py
@@ -18,7 +18,7 @@
 
 def check_ip(host: str) -> None:
     """Raise ValueError unless `host` is an IP address; there is no DNS to resolve names."""
-    try:  # nearly all hosts are IPv4, which inet_pton checks in a tenth of the time
+    try:  # nearly all hosts are IPv4, which inet_pton checks in a tenth of the time of ip_address
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError):
         ip_address(host)
--- a/dunecove/proxy/client_connection.py
+++ b/dunecove/proxy/client_connection.py
@@ -30,7 +30,7 @@
 PARSE_CHUNK_BYTES = 4096  # parsed at a time, so that a flood of requests is not parsed all at once
 MAX_CONSECUTIVE_ERRORS = 8  # consecutive rejected requests after which a connection is closed
 LINGER_READ_TIMEOUT_S = 5.0  # time for a lingering client to read its last response
-MAX_LINGER_BYTES = 1024 * 1024  # received and discarded while lingering; beyond it the connection is aborted
+MAX_LINGER_BYTES = 1024 * 1024  # received and discarded while lingering; any more abort the connection
 MAX_UNREAD_RESPONSE_BYTES = 2 * MAX_BODY_BYTES  # response bytes that a client may leave unread
 # Maximum time (ms) from the deadline of a pipelined request to its response: well within the grace period in
 # which a response still counts.
@@ -79,7 +79,8 @@
     ) -> None:
         """Initialize the connection.
 
-        `accept_delayed_since` is the time (ms) since which the backlog has waited for a slot; 0: it has not.
+        `accept_delayed_since` is the time, in ms of `now_ms`, since which the connection may have waited in
+        the backlog; 0: it has not waited.
         """
         self.server = server
         self.transport: asyncio.Transport
@@ -87,13 +88,14 @@
         self.buffer = ReceiveBuffer()
         self.pending: deque[HttpRequest | RequestError] = deque()  # parsed but not dispatched yet
         self.request_id: str | None = None  # of the current request, which the engine processes
-        self.keep_alive = True  # as requested by the last dispatched request
+        self.keep_alive = True  # whether the last dispatched request lets the connection stay open
         self.is_closing = False  # no further requests are read
         self.has_responded = False
         self.consecutive_errors = 0
         self.discarded_bytes = 0  # received while lingering
         self.close_reason: CloseReason | None = None
-        self.paused_since = 0.0  # time (ms) since which reading is paused; 0: it is not
+        # Time, in ms of `now_ms`, since which input may be unread because reading was paused; 0: none is.
+        self.paused_since = 0.0
         self._accept_delayed_since = accept_delayed_since
         self._on_lost = on_lost
 
@@ -119,7 +121,7 @@
     def data_received(self, data: bytes) -> None:
         """Handle received bytes."""
         if self.is_closing and self.has_unanswered_request():
-            # Reading on could get the connection aborted as a flood before its responses are written.
+            # If reading continued, a flood could get the connection aborted before its responses are written.
             self.transport.pause_reading()
             self.server.disconnect_watcher.watch(self)
             return
@@ -193,19 +195,19 @@
         if self.reader.is_mid_request:
             if not self.is_closing:
                 self.pending.append(self.reader.time_out())
-                self._stop_reading()
+                self._stop_reading_requests()
             self._process()
         elif self.may_close():
             self.close(CloseReason.REQUEST_TIMEOUT)
 
-    def _stop_reading(self) -> None:
-        """Read no further requests: their boundaries are unknown, or they get no response."""
+    def _stop_reading_requests(self) -> None:
+        """Ignore all further input: the boundaries of its requests are unknown, or they get no response."""
         self.is_closing = True
         self.buffer.clear()
 
     def _abandon_requests(self) -> None:
         """Drop all requests, since the client no longer waits for their responses."""
-        self._stop_reading()
+        self._stop_reading_requests()
         self.pending.clear()
         if self.request_id is not None:
             self.server.engine.requests.client_disconnected(self.request_id)
@@ -232,7 +234,7 @@
         If it were closed at once with unread input, the kernel would reset it, and the client could lose the
         response.
         """
-        self._stop_reading()
+        self._stop_reading_requests()
         self.pending.clear()  # requests behind one that closes the connection get no response
         self._record_close(CloseReason.ANSWERED)
         self.server.disconnect_watcher.unwatch(self)
@@ -295,10 +297,10 @@
         self.transport.resume_reading()
 
     def _may_parse_ahead(self) -> bool:
-        pipelined = len(self.pending)
-        if pipelined < MAX_PIPELINED:
+        pending_count = len(self.pending)
+        if pending_count < MAX_PIPELINED:
             return True
-        if pipelined >= MAX_PIPELINED_SMALL:
+        if pending_count >= MAX_PIPELINED_SMALL:
             return False
         requests = (pending for pending in self.pending if isinstance(pending, HttpRequest))
         return sum(request.size_bytes() for request in requests) < MAX_PIPELINED_SMALL_BYTES
@@ -317,7 +319,7 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         self.pending.extend(completed)
         if self.reader.has_failed:
-            self._stop_reading()
+            self._stop_reading_requests()
 
     # Responses
 
@@ -338,7 +340,8 @@
 
     def _route(self, request: HttpRequest) -> None:
         """Respond to a readiness check, or pass the request to the engine; raise RequestError to reject."""
-        if self.close_if_disconnected():  # while the request waited in the kernel or behind other requests
+        # The client may have disconnected while the request waited in the kernel or behind other requests.
+        if self.close_if_disconnected():
             return
         if request.target.split(b"?", 1)[0] == READY_PATH:
             if request.method != b"GET":
--- a/dunecove/proxy/connection_slots.py
+++ b/dunecove/proxy/connection_slots.py
@@ -19,7 +19,8 @@
 # Time during which a new connection may send its first request, and a lingering one may close, without being
 # evicted.
 EVICTION_GRACE_MS = 250.0
-UNREAD_RESPONSE_GRACE_MS = 500.0  # time after a request's deadline in which its response may be read
+# Time after the longest deadline of all request classes for a client to read its response before an eviction.
+UNREAD_RESPONSE_GRACE_MS = 500.0
 
 
 class AcceptDecision(NamedTuple):
@@ -114,8 +115,8 @@
 
         Lingering connections come first, then those idle for longer than `CROWDED_IDLE_TIMEOUT_S`, those
         awaiting a request, and last all other idle ones. `may_be_evicted` costs a system call, so only the
-        oldest suitable connection of each kind is asked. `max_deadline_ms` is the longest deadline of all
-        request classes: until then a client may still read its response.
+        oldest suitable connection of each of these groups is checked. `max_deadline_ms` is the longest
+        deadline of all request classes: until then a client may still read its response.
         """
         now = now_ms()
         for state, grace_ms in (
@@ -129,7 +130,8 @@
                     break
                 has_unread_response = state is not self.lingering and connection.has_unsent_bytes()
                 if has_unread_response and entered_at > now - max_deadline_ms - UNREAD_RESPONSE_GRACE_MS:
-                    continue  # if closed, it would keep its descriptor until the response is read
+                    # A close frees the slot only once the response is read; an abort drops the response.
+                    continue
                 if connection.may_be_evicted():
                     return connection
                 break
@@ -155,11 +157,12 @@
         return [*self.idle, *silent]
 
 
-def _overdue(entered_at: dict[ClientConnection, float], timeout_ms: float) -> list[ClientConnection]:
+def _overdue(state: dict[ClientConnection, float], timeout_ms: float) -> list[ClientConnection]:
+    """Return the connections that entered a state at least `timeout_ms` ago."""
     entered_before = now_ms() - timeout_ms
     overdue = []
-    for connection, entered in entered_at.items():
-        if entered > entered_before:
+    for connection, entered_at in state.items():
+        if entered_at > entered_before:
             break
         overdue.append(connection)
     return overdue
--- a/dunecove/proxy/disconnect_watcher.py
+++ b/dunecove/proxy/disconnect_watcher.py
@@ -14,7 +14,7 @@
 
 
 class DisconnectWatcher:
-    """Polls the connections that are paused for reading, since the event loop does not report their end.
+    """Polls connections on which reading is paused, since the event loop does not report their end.
 
     A client that has disconnected must not keep using a slot and the capacity of a backend.
     """
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -69,7 +69,7 @@
         self._list_updates: list[BackendListUpdate] = []  # delivered before all other events
         self._events: list[Event] = []
         self._next_step: asyncio.Handle | None = None
-        self._step_time = 0.0  # start of the last step, in ms; the durations in its actions count from it
+        self._step_time = 0.0  # start of the last step, in ms of `now_ms`; durations in actions count from it
         self._incarnation = 0  # number of times that the balancer has been replaced after a failure
         self._loop = asyncio.get_running_loop()
 
@@ -156,7 +156,7 @@
         for action in actions:
             try:
                 self._execute(action)
-            except Exception:  # must not prevent the other actions, which include the timer of the next tick
+            except Exception:  # the other actions, such as the timer of the next tick, must still be executed
                 log(f"internal error: action {action} failed\n{traceback.format_exc()}")
         self.requests.remove_ended(ended)
 
--- a/dunecove/proxy/http_request.py
+++ b/dunecove/proxy/http_request.py
@@ -85,7 +85,8 @@
         self._headers: Headers = []
         self._body = bytearray()
         self._is_head_complete = False
-        self.size_bytes = 0  # size of the current request on the wire
+        # Size of the current request on the wire, without bytes that were fed together with an earlier one.
+        self.size_bytes = 0
 
     def feed(self, data: bytes, arrived_at: float) -> list[HttpRequest | RequestError]:
         """Parse bytes that arrived together; return the requests that they complete, and any error last."""
--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -16,7 +16,7 @@
 from dunecove.proxy.request_validator import RequestValidator
 
 ACCEPT_BACKLOG = 512  # connections that the kernel queues until they are accepted
-MAX_ACCEPTS_PER_ITERATION = 16  # of the event loop; a flood of new connections must not delay open ones
+MAX_ACCEPTS_PER_ITERATION = 16  # per event loop iteration, so that a flood does not delay open connections
 ACCEPT_RETRY_S = 0.05  # delay before accepting again when no slot or file descriptor was free
 BACKLOG_DRAIN_INTERVAL_S = 0.005  # delay between two rounds of accepting at shutdown
 SWEEP_INTERVAL_S = 0.25
@@ -31,10 +31,11 @@
         self.slots = ConnectionSlots(max_connections)
         self.disconnect_watcher = DisconnectWatcher()
         self.server = ServerState(engine, request_validator, self.slots, self.disconnect_watcher)
-        self.sock: socket.socket | None = None
+        self.sock: socket.socket | None = None  # None before `listen`, and once a shutdown has closed it
         self.address = ""  # `host:port` that the socket is bound to
         self.is_accepting = False
-        self.accept_delayed_since = 0.0  # time (ms) since which the backlog waits for a slot; 0: it does not
+        # Time, in ms of `now_ms`, since which the backlog waits for a slot or a descriptor; 0: it does not.
+        self.accept_delayed_since = 0.0
         self._loop = asyncio.get_running_loop()
         self._opening_tasks: set[asyncio.Task[object]] = set()
         self._all_closed = asyncio.Event()
@@ -65,7 +66,7 @@
             self._loop.remove_reader(self.sock.fileno())
 
     def _pause_accepting(self) -> None:
-        """Stop accepting until a connection closes, or until the retry, when an idle one may be evicted."""
+        """Stop accepting until a connection closes, or for `ACCEPT_RETRY_S`: by then one may be evictable."""
         self.accept_delayed_since = self.accept_delayed_since or now_ms()
         self._stop_accepting()
         self._loop.call_later(ACCEPT_RETRY_S, self._resume_accepting)
@@ -96,7 +97,7 @@
             self._evict(decision.evicted)  # only once a new connection has been accepted
             self._open(sock)
             if decision.evicted is not None:
-                return False  # its descriptor is released in the next event loop iteration
+                return False  # the evicted connection's descriptor is free in the next loop iteration
         return False
 
     def _evict(self, connection: ClientConnection | None) -> None:
--- a/dunecove/proxy/log_writer.py
+++ b/dunecove/proxy/log_writer.py
@@ -8,7 +8,7 @@
 
 from dunecove.proxy.clock import now_ms
 
-STDERR = 2
+STDERR_FILENO = 2
 MAX_LINES_PER_S = 20  # a flood of log lines must not keep the proxy from serving requests
 MAX_WRITE_BYTES = 4096  # PIPE_BUF on Linux: a writable pipe accepts this many without blocking
 
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         """Create a writer that has not written or dropped any line."""
         self.line_count = 0  # lines logged in the current second, dropped ones included
-        self._second = 0
+        self._second = 0  # the second of `now_ms` in which `line_count` counts
         self._dropped_count = 0
         self._is_line_truncated = False  # whether the last line was written only partially
 
@@ -33,9 +33,9 @@
         if self.line_count > MAX_LINES_PER_S:
             self._dropped_count += 1
             return
-        dropped = f" ({self._dropped_count} earlier lines dropped)" if self._dropped_count else ""
-        start = "\n" if self._is_line_truncated else ""
-        line = f"{start}dunecove: {message}{dropped}\n"
+        dropped_note = f" ({self._dropped_count} earlier lines dropped)" if self._dropped_count else ""
+        line_break = "\n" if self._is_line_truncated else ""
+        line = f"{line_break}dunecove: {message}{dropped_note}\n"
         if _write_nonblocking(line.encode(errors="backslashreplace")):
             self._dropped_count = 0
             self._is_line_truncated = False
@@ -50,12 +50,12 @@
     A full disk, a closed pipe or a reader that does not read must neither stop nor block the proxy.
     """
     poll = select.poll()
-    poll.register(STDERR, select.POLLOUT)
+    poll.register(STDERR_FILENO, select.POLLOUT)
     while data:
         try:
             if not poll.poll(0):
                 return False
-            written = os.write(STDERR, data[:MAX_WRITE_BYTES])
+            written = os.write(STDERR_FILENO, data[:MAX_WRITE_BYTES])
         except OSError:
             return False
         data = data[written:]
--- a/dunecove/proxy/request_lifecycle.py
+++ b/dunecove/proxy/request_lifecycle.py
@@ -64,7 +64,8 @@
             self._telemetry.count(CounterName.DUPLICATE_REQUEST_ID)
             return False
         self.recent_ids.add(request_id)
-        # Capped by the deadline of the class: a larger budget would skew the state that the balancer learns.
+        # Capped by the deadline of the class: the balancer recognises retries by the longest remaining time
+        # of a class, which a single client must not raise.
         budget_ms = min(parsed.budget_ms, self._settings.classes[parsed.class_index].deadline_ms)
         request = OpenRequest(parsed)
         self.open[request_id] = request
@@ -96,7 +97,7 @@
         self._abandon(request)
 
     def shorten_deadline(self, request_id: str, response_deadline: float) -> None:
-        """Set an earlier response deadline for a request, a time in ms; a later one is ignored.
+        """Set an earlier response deadline for a request, in ms of `now_ms`; a later one is ignored.
 
         Pipelined requests behind it can't be answered before it is.
         """
@@ -180,8 +181,8 @@
     def expire_all(self) -> None:
         """Fail all unanswered requests now, pipelined ones included, and reject new requests."""
         self._is_shutting_down = True
-        while waiting := [request for request in self.open.values() if not request.is_finished]:
-            for request in waiting:
+        while unanswered := [request for request in self.open.values() if not request.is_finished]:
+            for request in unanswered:
                 self._on_deadline(request)
 
     def report_unanswered(self) -> None:
--- a/dunecove/proxy/request_registry.py
+++ b/dunecove/proxy/request_registry.py
@@ -8,7 +8,7 @@
 from dunecove.proxy.client_messages import ParsedRequest
 from dunecove.proxy.clock import now_ms
 
-MIN_ID_RETENTION_MS = 4000.0  # clients do not wait longer for a response
+MIN_ID_RETENTION_MS = 4000.0  # clients do not wait longer than this for a response
 MAX_RECENT_IDS = 20_000
 
 
@@ -19,7 +19,7 @@
         """Create the request; the client's budget starts now."""
         self.parsed = parsed
         self.deadline = now_ms() + parsed.budget_ms  # time at which the client stops waiting
-        self.response_deadline = self.deadline  # earlier if a pipelined request behind it has less time
+        self.response_deadline = self.deadline  # earlier if a pipelined request behind this one has less time
         self.attempts: list[Attempt] = []
         self.is_finished = False  # answered, or the client has disconnected
         self.deadline_timer: asyncio.TimerHandle | None = None
@@ -52,7 +52,7 @@
         expired_before = now_ms() - self._retention_ms
         while self._arrivals:
             oldest = next(iter(self._arrivals))
-            is_kept = self._arrivals[oldest] > expired_before
-            if is_kept and len(self._arrivals) < MAX_RECENT_IDS:
+            is_recent = self._arrivals[oldest] > expired_before
+            if is_recent and len(self._arrivals) < MAX_RECENT_IDS:
                 break
             del self._arrivals[oldest]
--- a/dunecove/proxy/request_validator.py
+++ b/dunecove/proxy/request_validator.py
@@ -93,6 +93,7 @@
         return class_index
 
     def _find_tenant_index(self, name: bytes | None) -> int:
+        """Return the index of a tenant; 0 if the settings define no tenants."""
         if not self.proxy_settings.tenant_indexes:
             return 0
         tenant_index = self.proxy_settings.tenant_indexes.get(decode_name(name or b""))
@@ -102,6 +103,7 @@
 
 
 def _check_headers(request: HttpRequest, headers: dict[bytes, bytes]) -> None:
+    """Raise RequestError for a repeated singleton header, a missing host or an invalid target."""
     names = [name for name, _ in request.headers if name in SINGLETON_HEADERS]
     has_duplicates = len(names) != len(set(names))
     if has_duplicates or b"host" not in headers or not TARGET_PATTERN.fullmatch(request.target):
--- a/dunecove/proxy/telemetry.py
+++ b/dunecove/proxy/telemetry.py
@@ -12,7 +12,7 @@
 from dunecove.proxy.clock import now_ms
 from dunecove.proxy.log_writer import log
 
-MAX_EVENTS = 2048  # for all requests together; about 20 s on an ordinary proxy
+MAX_EVENTS = 2048  # of all requests together; an ordinary proxy records this many in about 20 s
 MAX_EVENTS_PER_LINE = 40  # in the log line of one violation
 
 
@@ -40,18 +40,18 @@
 
 
 class ResponseReason(Enum):
-    """The reason for a response that was not determined by the balancer or by a rule."""
+    """The reason for a response that neither the balancer nor a rule decided on."""
 
     BALANCER_FAILED = "balancer_failed"
     DEADLINE = "deadline"
-    PIPELINE_DEADLINE = "pipeline_deadline"  # deadline of a later request on the same connection
+    PIPELINE_DEADLINE = "pipeline_deadline"  # of a later request on the same connection
     SERVED = "served"  # response from a backend
 
 
 class RequestEvent(NamedTuple):
     """A recorded stage of a request."""
 
-    at_ms: float
+    at_ms: float  # time of `now_ms`
     request_id: str
     stage: str
     detail: str
@@ -79,8 +79,8 @@
         """Count a violation and log it with the recorded events of the request."""
         self.count(CounterName.VIOLATION, violation.value)
         events = [event for event in self._events if event.request_id == request_id][-MAX_EVENTS_PER_LINE:]
-        steps = [f"{event.at_ms:.1f} {event.stage} {event.detail}".rstrip() for event in events]
-        log(f"violation: {violation.value}: request {request_id}: {detail}: {'; '.join(steps)}")
+        stages = [f"{event.at_ms:.1f} {event.stage} {event.detail}".rstrip() for event in events]
+        log(f"violation: {violation.value}: request {request_id}: {detail}: {'; '.join(stages)}")
 
     def violation_count(self) -> int:
         """Return the number of violations so far."""
--- a/dunecove/reload.py
+++ b/dunecove/reload.py
@@ -25,7 +25,7 @@
     def __init__(self, engine: Engine, environment: Mapping[str, str]) -> None:
         """Create a reloader of the configuration that `environment` refers to."""
         self._engine = engine
-        self._environment = {k: value for k, value in environment.items() if k != DISCOVERY_VARIABLE}
+        self._environment = {name: value for name, value in environment.items() if name != DISCOVERY_VARIABLE}
         self._retry_timer: asyncio.TimerHandle | None = None
 
     def reload(self) -> None:
--- a/dunecove/server.py
+++ b/dunecove/server.py
@@ -24,7 +24,8 @@
 
 # New connections still arrive for 0.5 s after SIGTERM; the rest is a margin for a busy machine.
 ACCEPT_AFTER_SIGTERM_S = 0.55
-# The longest deadline that the platform takes into account: it kills a stopping proxy 0.7 s after it.
+# After SIGTERM, the platform waits for the longest class deadline, but at most for this time, and kills the
+# proxy 0.7 s later.
 MAX_SHUTDOWN_DEADLINE_S = 3.0
 GOSSIP_RETRY_S = 1.0
 COUNTERS_INTERVAL_S = 60.0  # between reports; SIGUSR1 triggers one immediately
@@ -57,7 +58,7 @@
     listener = Listener(engine, RequestValidator(config.settings, config.proxy_settings), limits.clients)
     listener.listen(config.listen_address)  # before polling discovery, since a failure ends the process
     if not config.settings.polls_discovery:
-        # A pushed list only reaches the agent on this machine; the proxy must read it from there.
+        # A pushed list only reaches the discovery agent on this machine; the proxy must read it from there.
         engine.discovery.watch()
     return RunningProxy(engine, listener)
 
@@ -94,7 +95,7 @@
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop.set)
     engine, listener = start(config)
-    # In the same loop iteration as `start`, so that signals are handled before a client can see it ready.
+    # In the same loop iteration as `start`, so that signals are handled before any client sees a ready proxy.
     reloader = Reloader(engine, dict(os.environ))
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     loop.add_signal_handler(signal.SIGUSR1, engine.telemetry.report)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -201,7 +201,7 @@
     return {"rev": rev, "all": is_snapshot, "targets": list(targets)}
 
 
-def make_configuration(discovery: str, *targets: dict[str, Any], **overrides: Any) -> dict[str, Any]:
+def make_configuration(discovery_address: str, *targets: dict[str, Any], **overrides: Any) -> dict[str, Any]:
     """Return the content of a configuration file.
 
     `overrides` are keys of `Limits` in the settings, or `settings`, `memory_mb`, `sockets`, `discovery_mode`.
@@ -210,7 +210,7 @@
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
-        "discovery": discovery,
+        "discovery": discovery_address,
         "seed": "8c1f30d27a5be964",
         "limits": {
             "cores": 1.0,
@@ -235,7 +235,9 @@
     """Write the configuration file of a proxy process; return the environment to start the process with."""
     path = folder / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
-    return {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | {"LB_CONFIG": str(path)}
+    return {name: value for name, value in os.environ.items() if not name.startswith("LB_")} | {
+        "LB_CONFIG": str(path)
+    }
 
 
 class ConnectGate:
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -158,14 +158,14 @@
             elif close_cause == "crowded":
                 monkeypatch.setattr(slots_module, "CROWDED_IDLE_TIMEOUT_S", -1.0)
                 proxy.listener.slots.limit = 1
-                new = await proxy.client()
-                new.send("/health/ready", "GET")
+                new_client = await proxy.client()
+                new_client.send("/health/ready", "GET")
                 # The slot is not freed while the client may still read its response.
                 await wait_until(lambda: not proxy.listener.is_accepting)
                 assert proxy.listener.slots.eviction_candidate(proxy.engine.requests.max_deadline_ms) is None
                 assert proxy.listener.slots.used == 1
                 proxy.engine.requests.max_deadline_ms = -1000.0
-                assert (await new.read_response()).status == 200
+                assert (await new_client.read_response()).status == 200
             else:
                 client.writer.write_eof()
             await wait_until(lambda: connection.transport.is_closing())
@@ -320,10 +320,10 @@
 def test_hundreds_of_pipelined_requests_do_not_starve_other_clients() -> None:
     async def test() -> None:
         async with run_proxy() as proxy:
-            flood, other = await proxy.client(), await proxy.client()
+            flood, other_client = await proxy.client(), await proxy.client()
             flood.writer.write(b"".join(encode_request(x_call_id=f"f{number}") for number in range(300)))
             first_requests = [await proxy.backends[0].requests.get()]
-            other.send(x_call_id="other")
+            other_client.send(x_call_id="other")
             first_requests.append(await proxy.backends[0].requests.get())
             assert [received.headers["x-call-id"] for received in first_requests] == ["f0", "other"]
             assert list(proxy.engine.requests.open) == [
@@ -332,7 +332,7 @@
             ]  # one request of each connection at a time
             for received in first_requests:
                 received.respond(received.headers["x-call-id"].encode())
-            assert (await other.read_response()).body == b"other"
+            assert (await other_client.read_response()).body == b"other"
             assert (await flood.read_response()).body == b"f0"
             for number in range(1, 300):
                 received = await proxy.backends[0].requests.get()
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -127,8 +127,8 @@
 
 
 def test_deadline_is_capped_by_the_request_class(balancer: type[ScriptedBalancer]) -> None:
-    # The balancer takes the longest budget seen in a class as that of first attempts, so a single client
-    # must not raise it.
+    # The balancer recognises retries by the longest remaining time seen in a class. A single client must not
+    # raise it.
     balancer.act = for_each(RequestArrived, lambda e: [Fail(e.request_id)])
 
     async def test() -> None:
@@ -390,12 +390,12 @@
             with socket.create_connection((host, int(port))) as client:
                 client.sendall(encode_request())
             # The event loop has not run since, so it sees the connection, its request and its close at once.
-            other = await proxy.client()
-            other.send(x_call_id="other")
+            other_client = await proxy.client()
+            other_client.send(x_call_id="other")
             received = await proxy.backends[0].requests.get()
             assert received.headers["x-call-id"] == "other" and proxy.backends[0].requests.empty()
             received.respond()
-            assert (await other.read_response()).status == 200
+            assert (await other_client.read_response()).status == 200
             await wait_until(
                 lambda: len(proxy.listener.slots.connections) == 1 and not proxy.engine.requests.open
             )
@@ -423,7 +423,7 @@
     async def test() -> None:
         async with run_proxy(MayCancel=may_cancel) as proxy:
             gate = ConnectGate.install(proxy.engine.connection_pool)
-            client, other = await proxy.client(), await proxy.client()
+            client, other_client = await proxy.client(), await proxy.client()
             client.send(x_budget_ms="20000" if cause == "disconnect" else "50")
             may_open = await gate.pending_connects.get()
             if cause == "disconnect":
@@ -433,12 +433,12 @@
             await wait_until(lambda: events(AttemptEnded))
             assert events(AttemptEnded)[0].result in (AttemptResult.WITHDRAWN, AttemptResult.CANCELLED)
             may_open.set()
-            other.send(x_call_id="other")
+            other_client.send(x_call_id="other")
             (await gate.pending_connects.get()).set()
             received = await proxy.backends[0].requests.get()
             assert received.headers["x-call-id"] == "other" and proxy.backends[0].requests.empty()
             received.respond()
-            assert (await other.read_response()).status == 200
+            assert (await other_client.read_response()).status == 200
 
     run(test())
 
@@ -605,12 +605,12 @@
 
     async def test() -> None:
         async with run_proxy() as proxy:
-            client, started = await proxy.client(), now_ms()
+            client, started_at = await proxy.client(), now_ms()
             client.writer.write(
                 encode_request(x_call_id="c1") + encode_request(x_call_id="c2", x_budget_ms="100")
             )
             assert [(await client.read_response()).status for _ in range(2)] == [504, 504]
-            assert now_ms() - started < 10000.0  # the budget of the first request is 20 s
+            assert now_ms() - started_at < 10000.0  # the budget of the first request is 20 s
             received = await proxy.backends[0].requests.get()
             assert received.headers["x-call-id"] == "c1" and proxy.backends[0].requests.empty()
 
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -147,8 +147,8 @@
             response = await client.read_response()
             assert (response.status, response.headers["connection"]) == (status, "close")
             assert await client.wait_closed()
-            other = await proxy.client()
-            assert (await other.exchange("/health/ready", "GET")).status == 200
+            other_client = await proxy.client()
+            assert (await other_client.exchange("/health/ready", "GET")).status == 200
 
     run(test())
 
@@ -329,10 +329,10 @@
                     return getattr(sock, name)
 
             monkeypatch.setattr(proxy.listener, "sock", SocketWithoutDescriptors())
-            new = await proxy.client()
-            new.send("/health/ready", "GET")
+            new_client = await proxy.client()
+            new_client.send("/health/ready", "GET")
             assert await idle.wait_closed()
-            assert (await new.read_response()).status == 200
+            assert (await new_client.read_response()).status == 200
 
     run(test())
 
@@ -350,14 +350,14 @@
             for connection in proxy.listener.slots.connections:
                 while not connection.transport.get_write_buffer_size():
                     connection.transport.write(b"x" * 60_000)
-            new = await proxy.client()
-            new.send("/health/ready", "GET")
+            new_client = await proxy.client()
+            new_client.send("/health/ready", "GET")
             while proxy.listener.is_accepting:
                 assert proxy.listener.slots.used == 3
                 await asyncio.sleep(0.001)
             # From now on, unread responses no longer prevent an eviction.
             proxy.engine.requests.max_deadline_ms = -1000.0
-            assert (await new.read_response()).status == 200
+            assert (await new_client.read_response()).status == 200
             assert proxy.listener.slots.used <= 3
 
     run(test())
@@ -422,13 +422,13 @@
     async def test() -> None:
         async with run_proxy() as proxy:
             proxy.listener.slots.limit = 2
-            used, silent = await proxy.client(), await proxy.client()
-            assert (await used.exchange("/health/ready", "GET")).status == 200
+            idle, without_request = await proxy.client(), await proxy.client()
+            assert (await idle.exchange("/health/ready", "GET")).status == 200
             await wait_until(lambda: len(proxy.listener.slots.awaiting_request) == 1)
             third = await proxy.client()
             assert (await third.exchange("/health/ready", "GET")).status == 200
-            assert await silent.wait_closed()
-            assert (await used.exchange("/health/ready", "GET")).status == 200
+            assert await without_request.wait_closed()
+            assert (await idle.exchange("/health/ready", "GET")).status == 200
 
     run(test())
 
@@ -531,10 +531,10 @@
             assert (await idle.exchange("/health/ready", "GET")).status == 200
             received = await proxy.backends[0].requests.get()
             proxy.listener.begin_shutdown()
-            new = await Client.open(proxy.listener.address)
-            response = await new.exchange("/health/ready", "GET")
+            new_client = await Client.open(proxy.listener.address)
+            response = await new_client.exchange("/health/ready", "GET")
             assert (response.status, response.headers["connection"]) == (503, "close")
-            new.close()
+            new_client.close()
             shutdown = asyncio.create_task(proxy.listener.finish_shutdown(30.0))
             assert await idle.wait_closed()
             assert not shutdown.done()
@@ -679,11 +679,11 @@
 
 @pytest.mark.parametrize("path", ["/se%C3%B1al/7", "/se%c3%b1al?x=%20"])
 def test_names_of_classes_and_tenants_may_contain_non_ascii_characters(path: str) -> None:
-    lanes = [{"Name": "se\u00f1al", "AimMs": 20000, "HardLimitMs": 30000, "Effect": "read_like"}]
+    classes = [{"Name": "se\u00f1al", "AimMs": 20000, "HardLimitMs": 30000, "Effect": "read_like"}]
     tenants = [{"Name": name, "QuotaPerS": 100.0} for name in ("tugs", "R\u00eda & Co")]
 
     async def test() -> None:
-        async with run_proxy(settings={"Lanes": lanes, "Projects": tenants}) as proxy:
+        async with run_proxy(settings={"Lanes": classes, "Projects": tenants}) as proxy:
             client = await proxy.client()
             client.send(path, "GET", x_caller="R\u00eda & Co")
             received = await proxy.backends[0].requests.get()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -41,8 +41,8 @@
 }
 
 
-def without(name: str, config: dict[str, Any] = VALID_CONFIG) -> dict[str, Any]:
-    return {k: v for k, v in config.items() if k != name}
+def without(removed_key: str, config: dict[str, Any] = VALID_CONFIG) -> dict[str, Any]:
+    return {key: value for key, value in config.items() if key != removed_key}
 
 
 @pytest.mark.parametrize(
@@ -163,9 +163,9 @@
 
 
 def test_missing_configuration_variable_is_reported() -> None:
-    env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
     completed = subprocess.run(
-        COMMAND, env=env, capture_output=True, text=True, timeout=TEST_TIMEOUT_S, check=False
+        COMMAND, env=environment, capture_output=True, text=True, timeout=TEST_TIMEOUT_S, check=False
     )
     assert (completed.returncode, completed.stderr) == (2, "dunecove: LB_CONFIG is not set\n")
 
