--- a/tests/docs/test_documents.py
+++ b/tests/docs/test_documents.py
@@ -1,4 +1,4 @@
-"""What the texts say of the program holds: the example runs as printed, and the tests named are there."""
+"""The pages match the program: the example runs as printed, and the tests, members and files named exist."""
 
 import ast
 import re
@@ -25,7 +25,7 @@
 
 
 def members_by_class() -> dict[str, set[str]]:
-    """The methods and attributes of each class of the program."""
+    """Return the methods and attributes of each class of the program."""
     members: dict[str, set[str]] = {}
     for path in (ROOT / "dunecove").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
