--- a/dunecove/config.py
+++ b/dunecove/config.py
@@ -37,11 +37,11 @@
 RESERVED_DESCRIPTORS = 40
 # With few descriptors a quarter of them is reserved, but at least this number: a running program has 16 of
 # its own, including those for peers and discovery, and one more for each connection that is accepted or
-# opened as another closes.
+# opened while another is being closed.
 MIN_RESERVED_DESCRIPTORS = 24
-# Fraction of the remaining descriptors for backend connections. Requests use at most a third of all for
-# client connections and, with one attempt at a time each, no more for backend connections. The rest is for
-# client connections that are idle or silent.
+# Fraction of the unreserved descriptors for backend connections. Requests hold at most a third of all
+# descriptors as client connections and, with one attempt at a time each, no more as backend connections. The
+# rest is for client connections that are idle or have not sent a request.
 BACKEND_SHARE = 0.42
 
 
--- a/dunecove/proxy/backend_connection.py
+++ b/dunecove/proxy/backend_connection.py
@@ -25,7 +25,7 @@
         """End an attempt if it must not be written any more."""
 
     def release(self, connection: BackendConnection) -> None:
-        """Accept a connection whose exchange has ended for reuse."""
+        """Keep a connection whose exchange has ended for reuse, or close it."""
 
     def discard(self, connection: BackendConnection) -> None:
         """Remove a closed connection."""
@@ -104,6 +104,6 @@
             self.attempt.end(AttemptResult.CONNECT_FAILED if is_incomplete else AttemptResult.RESET)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the pool, then fail the attempt in progress, if any."""
+        """Remove the connection from the pool, then fail the attempt in progress, if any."""
         self.owner.discard(self)
         super().connection_lost(exc)
--- a/dunecove/proxy/backend_connections.py
+++ b/dunecove/proxy/backend_connections.py
@@ -14,7 +14,7 @@
 class BackendConnections:
     """The connections to one backend that are idle or being opened.
 
-    Connections of an earlier generation are not reused: the process that they lead to has ended or drains.
+    Connections of an earlier generation are not reused: their backend process has ended, drains or has moved.
     """
 
     def __init__(self) -> None:
@@ -49,10 +49,10 @@
 
         Connections that have unsolicited input, or were closed by the backend, are closed.
         """
-        idle_long_enough = now_ms() - MIN_IDLE_MS
+        latest_idle_since = now_ms() - MIN_IDLE_MS
         for index in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[index]
-            if connection.idle_since > idle_long_enough:
+            if connection.idle_since > latest_idle_since:
                 continue
             del self.idle[index]
             assert connection.transport is not None
--- a/dunecove/proxy/connection_pool.py
+++ b/dunecove/proxy/connection_pool.py
@@ -26,8 +26,9 @@
 KEEPALIVE_FRACTION = 0.6
 EXPIRY_CHECKS_PER_KEEPALIVE = 20  # checks for expired connections per `ConnectionPool.keepalive_ms`
 
-# The result of an attempt that must not be written, by the reason; WITHDRAWN for any other reason. An expired
-# deadline has this result only before connecting, when this proxy caused the delay; later the backend did.
+# Results of attempts that must not be written, by reason; WITHDRAWN for any other reason. DEADLINE_EXCEEDED
+# has this result only before connecting, when this proxy caused the delay; later, when the backend caused it,
+# `_on_deadline` determines the result.
 RESULT_BY_DENIAL = {
     Denial.BACKEND_REMOVED: AttemptResult.CONNECT_FAILED,
     Denial.DEADLINE_EXCEEDED: AttemptResult.NO_LOCAL_RESOURCE,
@@ -143,7 +144,7 @@
             attempt.end(AttemptResult.NO_LOCAL_RESOURCE)
 
     def _make_room(self) -> bool:
-        """Return whether a connection may be opened; at the limit, close the one idle for longest."""
+        """Return whether a connection may be opened; at the limit, close the longest idle connection."""
         if len(self.connections) < self.max_connections:
             return True
         oldest = min(
@@ -198,7 +199,7 @@
     def _find_denial(self, attempt: Attempt) -> Denial | None:
         """Return why an attempt must not be written, or None; called before its first byte is written.
 
-        A denial by the rules of the request is recorded by `Attempt.record_denial`.
+        Denials by the rules of the request are returned and recorded by `Attempt.record_denial`.
         """
         if self.endpoints.get(attempt.backend_id) is None:
             return Denial.BACKEND_REMOVED
@@ -250,7 +251,7 @@
             self.connections.discard(connection)
 
     def release(self, connection: BackendConnection) -> None:
-        """Return a connection whose exchange has ended to its backend's idle connections."""
+        """Keep a connection whose exchange has ended as an idle one, or close it if it can't be reused."""
         connection.backend_connections.release(connection)
 
     def discard(self, connection: BackendConnection) -> None:
@@ -270,7 +271,9 @@
             backend_connections.close_idle_since(idle_since)
         in_use = {connection.backend_connections for connection in self.connections}
         self.connections_by_backend = {
-            backend_id: pool for backend_id, pool in self.connections_by_backend.items() if pool in in_use
+            backend_id: connections
+            for backend_id, connections in self.connections_by_backend.items()
+            if connections in in_use
         }
 
     def close(self) -> None:
--- a/dunecove/proxy/discovery_client.py
+++ b/dunecove/proxy/discovery_client.py
@@ -27,19 +27,19 @@
 from dunecove.wire.settings import ProxySettings
 
 OPENING_LONG_POLL_MS = 1  # the service responds at once, which shows that the watch works
-# An update that an unresponsive watch missed counts as notified 6 s after the watch became unresponsive. By
-# then the watch must have timed out and been reopened, with a second try if connecting hangs. So the service
-# may wait for a change for 1 s, and then has 1 s to respond.
+# A proxy counts as notified of an update that its unresponsive watch missed 6 s after the watch became
+# unresponsive. By then the watch must have timed out and been reopened, with a second try if connecting
+# hangs. So the service may wait for a change for 1 s, and then has 1 s to respond.
 LONG_POLL_MS = 1000.0
 RESPONSE_TIMEOUT_MS = 1000.0
-# An opening call may hang, or be queued by the service if many proxies call at once. After this time another
-# call is made, up to this number in flight, while earlier calls keep their places in the service's queue: if
-# each try started at the end of the queue, some proxies might never be served.
+# An opening call may hang, or be queued by the service if many proxies call at once. After this timeout
+# another call is made, up to MAX_OPENING_CALLS in flight, while earlier calls keep their places in the
+# service's queue: if each try started at the end of the queue, some proxies might never be served.
 OPENING_TIMEOUT_MS = 2000.0
 MAX_OPENING_CALLS = 3
-# An update of a pushed list counts as notified as soon as its service, an agent on this machine, is back. A
-# watch that hangs until then must time out and be reopened within the drain grace: each timeout is limited to
-# this fraction of it. The agent is slow only when the machine is.
+# A proxy counts as notified of an update of a pushed list as soon as the service, an agent on this machine,
+# has recovered. A watch that hangs until then must time out and be reopened within the drain grace: each
+# timeout is limited to this fraction of the drain grace. The agent is slow only when the machine is.
 DRAIN_GRACE_FRACTION = 0.4
 MIN_PUSHED_TIMEOUT_MS = 200.0
 # The maximum size of a list, as a fraction of the memory that the process itself leaves free: a list that
@@ -49,7 +49,7 @@
 MIN_LIST_LIMIT_BYTES = 1024 * 1024
 BYTES_PER_MB = 1024 * 1024
 LONG_LIST_BYTES = 64 * 1024  # a longer list is read in slices
-LONG_LIST_ENDPOINTS = 1000  # so is any snapshot while more endpoints than this are known
+LONG_LIST_ENDPOINTS = 1000  # while more endpoints than this are known, any snapshot is read in slices
 LIST_PATH = "/registry/instances"
 
 BodyParts = list[bytes | bytearray]
@@ -125,7 +125,8 @@
         self.close()  # a cancelled watch is not reported as failed
         self._watch_task = None
         self.address = address
-        self.revision = None  # each service has its own revisions: asking since this one would skip changes
+        # Each service has its own revisions: asking the new one for changes since this one would skip some.
+        self.revision = None
         return True
 
     def close(self) -> None:
@@ -153,10 +154,10 @@
 
     async def _run_watch(self) -> None:
         try:
-            parts = await self._open_watch()
+            body_parts = await self._open_watch()
             while True:
-                self.revision = await self._process_list(parts)
-                parts = await self._long_poll()
+                self.revision = await self._process_list(body_parts)
+                body_parts = await self._long_poll()
         except Exception as error:
             # Every failure must be reported: without a watch, the balancer would keep using an outdated list
             # and forward requests to backends that drain.
@@ -185,13 +186,13 @@
         except DiscoveryTimeoutError:
             self.connection = None  # the call stays in flight, as one of the opening calls
             if self.max_opening_calls == 1:
-                self._close_opening_calls(keep=0)  # the next call replaces it
+                self._close_opening_calls(keep=0)  # the next call replaces this one
             raise
         answered = self._find_answered_call() or latest
         self.connection = self.opening_calls.pop(answered)
-        parts = answered.result()  # raises the error of a failed call
+        body_parts = answered.result()  # raises the error of a failed call
         self._close_opening_calls(keep=0)
-        return parts
+        return body_parts
 
     def _start_opening_call(self) -> asyncio.Task[BodyParts]:
         connection = DiscoveryConnection(self.max_list_bytes)
@@ -241,17 +242,17 @@
             raise DiscoveryStatusError(f"unexpected status {response.status}")
         return list(response.body_parts)
 
-    async def _process_list(self, parts: BodyParts) -> int:
+    async def _process_list(self, body_parts: BodyParts) -> int:
         """Publish the list and return its revision."""
-        if sum(map(len, parts)) > LONG_LIST_BYTES:
-            return await self._process_long_list(parts)
+        if sum(map(len, body_parts)) > LONG_LIST_BYTES:
+            return await self._process_long_list(body_parts)
         with malformed_list_errors():
-            update = read_list_update(orjson.loads(b"".join(parts)), self.proxy_settings)
+            update = read_list_update(orjson.loads(b"".join(body_parts)), self.proxy_settings)
         if update.is_snapshot and len(self.endpoints) > LONG_LIST_ENDPOINTS:
-            return await self._process_long_list(parts)
+            return await self._process_long_list(body_parts)
         self.on_update(update)
         return update.revision
 
-    async def _process_long_list(self, parts: BodyParts) -> int:
+    async def _process_long_list(self, body_parts: BodyParts) -> int:
         reader = LongListReader(self.endpoints, self.proxy_settings, self.revision or 0, self.on_update)
-        return await reader.read(parts)
+        return await reader.read(body_parts)
--- a/dunecove/proxy/endpoint_json.py
+++ b/dunecove/proxy/endpoint_json.py
@@ -21,16 +21,16 @@
 from dunecove.wire.settings import ProxySettings
 
 
-def _index_of(names: dict[str, int], value: object, member: str) -> int:
+def _index_of(names: dict[str, int], value: object, key: str) -> int:
     """Return the index of a zone or kind; a name that is not in the settings gets the next index."""
     if value is None:
         return 0
-    return value if type(value) is int else names.setdefault(as_string(value, member), len(names))
+    return value if type(value) is int else names.setdefault(as_string(value, key), len(names))
 
 
 def read_endpoint(raw: object, proxy_settings: ProxySettings) -> Endpoint:
     """Read one list entry; raises KeyError, ValueError or MalformedInputError."""
-    entry = as_object(raw, "targets")
+    entry = as_object(raw, "targets entry")
     backend_id = as_string(entry["uid"], "uid")
     started_at = entry.get("boot_ms")
     host, port = split_address(as_string(entry["endpoint"], "endpoint"))
@@ -72,7 +72,7 @@
 ) -> CachedEndpointList:
     """Read the cached list of the configuration; raises MalformedInputError.
 
-    `slices` are the first entries of a long list, which are not in `raw`; few are decoded at a time.
+    `slices` are the first entries of a long list, decoded slice by slice; `raw` has only the later ones.
     """
     with malformed_list_errors():
         data = as_object(raw, "endpoint list")
--- a/dunecove/proxy/endpoint_list.py
+++ b/dunecove/proxy/endpoint_list.py
@@ -11,7 +11,9 @@
 # Indexes in the tuple that is an encoded endpoint.
 ZONE_OFFSET = 2
 CELL_OFFSET = 4
-MARSHAL_VERSION = 2  # the last one without references, so that equal endpoints have equal encodings
+MARSHAL_VERSION = (
+    2  # the last version without object references, so that equal endpoints have equal encodings
+)
 
 # The stored form of an active endpoint: compact, and not traversed by the garbage collector.
 EncodedEndpoint = bytes
@@ -59,8 +61,10 @@
 
 def decode_endpoint(backend_id: str, encoded: EncodedEndpoint) -> Endpoint:
     """Decode the result of `encode_endpoint`."""
-    host, port, *traits = loads(encoded)
-    return Endpoint(backend_id, host.decode(), port, BackendInfo(backend_id, BackendState.ACTIVE, *traits))
+    host, port, *info_fields = loads(encoded)
+    return Endpoint(
+        backend_id, host.decode(), port, BackendInfo(backend_id, BackendState.ACTIVE, *info_fields)
+    )
 
 
 def decode_location(encoded: EncodedEndpoint) -> tuple[int, int]:
--- a/dunecove/proxy/http_exchange.py
+++ b/dunecove/proxy/http_exchange.py
@@ -18,7 +18,9 @@
 
 # A longer body is collected in parts of about this size: a growing buffer would be copied as it is enlarged.
 BODY_PART_BYTES = MAX_BODY_BYTES
-MAX_INTERIM_RESPONSES = 8  # 1xx before the final one; a server that sends more only delays its client
+MAX_INTERIM_RESPONSES = (
+    8  # 1xx responses before the final one; a server that sends more only delays its client
+)
 STATUSES_WITHOUT_BODY = frozenset((204, 205, 304))  # they need no declared length
 
 
@@ -50,11 +52,11 @@
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.transport: asyncio.Transport | None = None
         self.max_body_bytes = max_body_bytes
-        # Bytes on the wire, including chunk framing.
+        # Maximum bytes of head and body on the wire, including chunk framing.
         self.max_response_bytes = MAX_HEAD_BYTES + CHUNK_FRAMING_FACTOR * max_body_bytes
         self.is_awaiting_response = False  # a request was sent and its response is incomplete
         self.is_reusable = True  # whether another exchange may follow
-        self.has_unsent_bytes = False  # a part of the request has certainly not been sent
+        self.has_unsent_bytes = False  # the kernel has not accepted all of the request
         self._parser: httptools.HttpResponseParser | None = None
         self._reset_response()
 
--- a/dunecove/proxy/incremental_json.py
+++ b/dunecove/proxy/incremental_json.py
@@ -1,6 +1,6 @@
 """Incremental decoding of long endpoint lists in JSON.
 
-Decoding a long list at once would delay requests and fill memory with objects.
+Decoding a long list in one call would delay requests and fill memory with objects.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 import orjson
 
-SLICE_BYTES = 16 * 1024  # JSON text decoded at once, about 100 entries
+SLICE_BYTES = 16 * 1024  # minimum JSON text decoded per slice, about 100 entries
 FILE_READ_BYTES = 64 * 1024
-MAX_PREFIX_BYTES = 1024 * 1024  # a document whose array starts later is decoded at once
+MAX_PREFIX_BYTES = 1024 * 1024  # a document whose array starts later is decoded in one call
 # Consecutive positions tried as the end of a slice: some are inside an entry that holds objects. After these,
-# the distance doubles with each try, so that the number of tries grows with the logarithm of the size.
+# the tried position doubles with each try, so that the tries grow with the logarithm of the text's size.
 MAX_CONSECUTIVE_CUTS = 16
 ARRAY_MEMBER = "targets"
 _ARRAY_START = re.compile(rb'"targets"\s*:\s*\[')
@@ -23,7 +23,7 @@
 
 
 def read_file(path: str) -> Iterator[bytes]:
-    """Yield a file in chunks; it is opened when the first one is read, and raises OSError as `open` does."""
+    """Yield a file in chunks; opening it, at the first chunk, raises OSError as `open` does."""
     with open(path, "rb") as file:
         while chunk := file.read(FILE_READ_BYTES):
             yield chunk
@@ -52,7 +52,7 @@
     def __iter__(self) -> Iterator[list[Any]]:
         text = bytearray()
         prefix = self._read_prefix(text)
-        if not _is_before_array(prefix, self._path):  # unknown layout, decoded at once
+        if not _is_before_array(prefix, self._path):  # unknown layout, decoded in one call
             self.remainder = orjson.loads(text + b"".join(self._chunks))
             return
         del text[: len(prefix)]
@@ -68,7 +68,7 @@
         return self.remainder, has_slices
 
     def _read_prefix(self, text: bytearray) -> bytes:
-        """Read into `text` until the array starts; return all up to its bracket, b"" if there is none."""
+        """Read into `text` until the array starts; return all up to its bracket, b"" if there is no array."""
         while (start := _ARRAY_START.search(text)) is None and len(text) < MAX_PREFIX_BYTES:
             chunk = next(self._chunks, b"")
             if not chunk:
--- a/dunecove/proxy/long_list.py
+++ b/dunecove/proxy/long_list.py
@@ -49,11 +49,11 @@
         self._unseen = ShardedTable()  # known endpoints not found in the list so far
         self._changes: deque[dict[str, EncodedEndpoint]] = deque()  # new or changed active endpoints
 
-    async def read(self, parts: list[bytes | bytearray]) -> int:
-        """Read the list and return its revision; empties `parts`, raises MalformedInputError."""
+    async def read(self, body_parts: list[bytes | bytearray]) -> int:
+        """Read the list and return its revision; empties `body_parts`, raises MalformedInputError."""
         await self._copy_endpoints()
         with malformed_list_errors():
-            slices = ArraySlices(consume(parts))
+            slices = ArraySlices(consume(body_parts))
             for entries in slices:
                 self._process_slice(entries)
                 await asyncio.sleep(0)
--- a/dunecove/wire/settings.py
+++ b/dunecove/wire/settings.py
@@ -130,8 +130,8 @@
         tenant_indexes=_index_by_name([required(entry, "Name") for entry in tenants], "Name"),
         zone_indexes=_index_by_name(as_array(info.get("Dcs") or [], "Dcs"), "Dcs"),
         kind_indexes=_index_by_name(as_array(info.get("Kinds") or [], "Kinds"), "Kinds"),
-        connect_timeout_ms=_as_duration(limits, "ConnectTimeoutMs", 250),
-        backend_idle_timeout_ms=_as_duration(limits, "ConnIdleMs", 15000),
+        connect_timeout_ms=_as_duration_ms(limits, "ConnectTimeoutMs", 250),
+        backend_idle_timeout_ms=_as_duration_ms(limits, "ConnIdleMs", 15000),
         drain_grace_ms=as_number(default_if_none(obligations, "DrainGraceMs", inf), "DrainGraceMs"),
     )
 
@@ -140,8 +140,8 @@
     return {as_string(name, key): index for index, name in enumerate(names)}
 
 
-def _as_duration(limits: JsonObject, key: str, default: float) -> float:
-    duration = as_number(default_if_none(limits, key, default), key)
-    if not 0 < duration < inf:
-        raise InvalidFieldError(f"{key} must be above 0 and finite: {duration}")
-    return duration
+def _as_duration_ms(limits: JsonObject, key: str, default_ms: float) -> float:
+    duration_ms = as_number(default_if_none(limits, key, default_ms), key)
+    if not 0 < duration_ms < inf:
+        raise InvalidFieldError(f"{key} must be above 0 and finite: {duration_ms}")
+    return duration_ms
--- a/dunecove/wire/simulator.py
+++ b/dunecove/wire/simulator.py
@@ -141,7 +141,7 @@
     result_name = as_string(required(raw, "How"), "How")
     return HealthCheckResult(
         backend_id=as_string(required(raw, "Backend"), "Backend"),
-        # A health check may fail with a result that is not in the table; only success is distinguished.
+        # A health check may fail with a result that is not in the table; only success is told from failure.
         result=_RESULTS.get(result_name, AttemptResult.ERROR),
         latency_ms=as_number(required(raw, "DelaySeenMs"), "DelaySeenMs"),
     )
@@ -167,16 +167,16 @@
 }
 
 
-def write_action(action: Action, instance: int) -> JsonObject:
-    """Convert an action of an instance to a message."""
+def write_action(action: Action, instance_index: int) -> JsonObject:
+    """Convert an action of an instance, one simulated proxy, to a message."""
     message = _WRITERS[type(action)](action)
-    message["ProxyId"] = instance
+    message["ProxyId"] = instance_index
     return message
 
 
-def write_exception(error: Exception, instance: int) -> JsonObject:
+def write_exception(error: Exception, instance_index: int) -> JsonObject:
     """Return the message that reports an exception in the balancer of an instance."""
-    return {"what": "GiveIn", "ProxyId": instance, "Msg": f"{type(error).__name__}: {error}"}
+    return {"what": "GiveIn", "ProxyId": instance_index, "Msg": f"{type(error).__name__}: {error}"}
 
 
 def _write_forward(action: Forward) -> JsonObject:
