--- a/tests/proxy/pool_harness.py
+++ b/tests/proxy/pool_harness.py
@@ -53,21 +53,21 @@
     async def result(self) -> AttemptResult:
         return (await self.results.get())[0]
 
-    async def serve_one(self, backend: ScriptedServer, backend_id: str = "s") -> int:
+    async def serve_attempt(self, backend: ScriptedServer, backend_id: str = "s") -> int:
         """Serve one attempt; return the number of the connection, counted from 1 at the backend."""
         await asyncio.sleep(2 * MIN_IDLE_MS / 1000)  # idle connections may be reused
         self.start(backend_id)
-        call = await backend.requests.get()
-        call.respond()
+        request = await backend.requests.get()
+        request.respond()
         assert await self.result() is AttemptResult.OK
-        return call.connection_number
+        return request.connection_number
 
 
 def make_endpoint(
-    backend_id: str, address: str, state: BackendState = BackendState.ACTIVE, started: float | None = None
+    backend_id: str, address: str, state: BackendState = BackendState.ACTIVE, started_at: float | None = None
 ) -> Endpoint:
     host, port = address.split(":")
-    return Endpoint(backend_id, host, int(port), BackendInfo(backend_id, state, started_at=started))
+    return Endpoint(backend_id, host, int(port), BackendInfo(backend_id, state, started_at=started_at))
 
 
 @asynccontextmanager
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -34,13 +34,13 @@
 def test_connect_timeout_fails_as_not_executed(connect_timeout_ms: float, timeout_ms: float) -> None:
     async def test() -> None:
         async with pool_harness(connect_timeout_ms=connect_timeout_ms) as (harness, _):
-            with socket.socket() as listener, socket.socket() as one, socket.socket() as two:
+            with socket.socket() as listener, socket.socket() as client_1, socket.socket() as client_2:
                 # With a full backlog, the kernel neither accepts nor refuses the next connection.
                 listener.bind(("127.0.0.1", 0))
                 listener.listen(0)
-                for other in (one, two):
-                    other.setblocking(False)
-                    other.connect_ex(listener.getsockname())
+                for client in (client_1, client_2):
+                    client.setblocking(False)
+                    client.connect_ex(listener.getsockname())
                 harness.update(make_endpoint("s", "{}:{}".format(*listener.getsockname())))
                 harness.start(timeout_ms=timeout_ms)
                 assert await harness.result() is AttemptResult.CONNECT_FAILED
@@ -55,14 +55,14 @@
     # them as the response to the next request. Reading is paused, so that only the kernel has them.
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            await harness.serve_one(backend)
+            await harness.serve_attempt(backend)
             (idle,) = harness.pool.connections_by_backend["s"].idle
             transport = idle.transport
             assert transport is not None
             transport.pause_reading()
             backend.writers[0].write(extra)
             await wait_until(lambda: has_unread_input(transport))
-            assert await harness.serve_one(backend) == 2
+            assert await harness.serve_attempt(backend) == 2
 
     run(test())
 
@@ -72,14 +72,14 @@
     # as possibly executed.
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            await harness.serve_one(backend)
+            await harness.serve_attempt(backend)
             (idle,) = harness.pool.connections_by_backend["s"].idle
             transport = idle.transport
             assert transport is not None
             transport.pause_reading()
             backend.writers[0].close()
             await wait_until(lambda: has_unread_input(transport))
-            assert await harness.serve_one(backend) == 2
+            assert await harness.serve_attempt(backend) == 2
 
     run(test())
 
@@ -88,13 +88,13 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.requests.get()
-            call.respond()
+            request = await backend.requests.get()
+            request.respond()
             await harness.result()
             harness.pool.connections_by_backend["s"].idle[0].idle_since = (
                 now_ms() + 1000
             )  # not idle for the minimum time, however slow the machine is
-            assert await harness.serve_one(backend) == 2
+            assert await harness.serve_attempt(backend) == 2
 
     run(test())
 
@@ -113,7 +113,7 @@
             await backend.requests.get()
             assert await harness.result() is AttemptResult.TIMEOUT
             assert not harness.pool.connections_by_backend["s"].idle
-            assert await harness.serve_one(backend) == 3
+            assert await harness.serve_attempt(backend) == 3
 
     run(test())
 
@@ -141,9 +141,9 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start(timeout_ms=100.0)
-            call = await backend.requests.get()
+            request = await backend.requests.get()
             assert await harness.result() is AttemptResult.TIMEOUT
-            await call.closed.wait()
+            await request.closed.wait()
 
     run(test())
 
@@ -152,11 +152,11 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             attempt = harness.start()
-            call = await backend.requests.get()
+            request = await backend.requests.get()
             harness.pool.cancel(attempt)
             harness.pool.cancel(attempt)
             assert await harness.result() is AttemptResult.CANCELLED
-            await call.closed.wait()
+            await request.closed.wait()
 
     run(test())
 
@@ -204,7 +204,7 @@
 
 
 def test_attempt_is_not_written_after_its_write_deadline() -> None:
-    """An example is a keyed retry whose connection opens after the deduplication window."""
+    """For example, the connection of a keyed retry opens after the deduplication window."""
 
     async def test() -> None:
         async with pool_harness() as (harness, backend):
@@ -215,9 +215,9 @@
             may_open.set()
             harness.start(write_timeout_ms=30_000.0)
             (await gate.attempts.get()).set()
-            call = await backend.requests.get()
+            request = await backend.requests.get()
             assert backend.requests.empty()
-            call.respond()
+            request.respond()
             assert await harness.result() is AttemptResult.OK
 
     run(test())
@@ -248,27 +248,29 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             attempt = harness.start(write_timeout_ms=20_000.0)
-            call = await backend.requests.get()
+            request = await backend.requests.get()
             harness.pool._on_deadline(attempt)  # as called by the timer
             assert not attempt.has_ended
-            call.respond()
+            request.respond()
             assert await harness.result() is AttemptResult.OK
 
     run(test())
 
 
-@pytest.mark.parametrize("pooled", [True, False])
+@pytest.mark.parametrize("has_idle_connection", [True, False])
 @pytest.mark.parametrize("state", [BackendState.DRAINING, BackendState.REMOVED])
-def test_drain_before_the_first_byte_fails_the_attempt_unwritten(state: BackendState, pooled: bool) -> None:
+def test_drain_before_the_first_byte_fails_the_attempt_unwritten(
+    state: BackendState, has_idle_connection: bool
+) -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            if pooled:
-                await harness.serve_one(backend)
+            if has_idle_connection:
+                await harness.serve_attempt(backend)
                 await asyncio.sleep(2 * MIN_IDLE_MS / 1000)
             harness.update(make_endpoint("s", backend.address, state))
             harness.start()  # the backend was chosen before the update
             assert await harness.result() is AttemptResult.CONNECT_FAILED
-            assert backend.requests.empty() and backend.connection_count == pooled
+            assert backend.requests.empty() and backend.connection_count == has_idle_connection
 
     run(test())
 
@@ -277,17 +279,17 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             attempt = harness.start()
-            call = await backend.requests.get()
+            request = await backend.requests.get()
             connection = attempt.connection
             assert connection is not None
             harness.pool._on_deadline(attempt)
             connection.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
             assert await harness.result() is AttemptResult.TIMEOUT
-            await call.closed.wait()
+            await request.closed.wait()
             harness.start()
-            next_call = await backend.requests.get()
-            assert next_call.connection_number == 2
-            next_call.respond()
+            next_request = await backend.requests.get()
+            assert next_request.connection_number == 2
+            next_request.respond()
             assert await harness.result() is AttemptResult.OK
 
     run(test())
@@ -296,7 +298,7 @@
 def test_reset_after_a_write_to_an_idle_connection_may_have_executed() -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            await harness.serve_one(backend)
+            await harness.serve_attempt(backend)
             await asyncio.sleep(2 * MIN_IDLE_MS / 1000)
             attempt = harness.start()  # written before the backend's close is processed
             connection = attempt.connection
@@ -317,8 +319,8 @@
             await harness.result()
             first.respond()
             await harness.result()
-            assert await harness.serve_one(backend) == first.connection_number
-            assert await harness.serve_one(backend) == first.connection_number
+            assert await harness.serve_attempt(backend) == first.connection_number
+            assert await harness.serve_attempt(backend) == first.connection_number
 
     run(test())
 
@@ -327,10 +329,10 @@
     async def test() -> None:
         async with pool_harness(idle_timeout_ms=1000.0) as (harness, backend):
             harness.start()
-            call = await backend.requests.get()
-            call.respond()
+            request = await backend.requests.get()
+            request.respond()
             assert await harness.result() is AttemptResult.OK
-            await call.closed.wait()
+            await request.closed.wait()
             assert not harness.pool.connections_by_backend["s"].idle
 
     run(test())
@@ -339,10 +341,10 @@
 def test_connection_closed_while_idle_is_removed_at_once() -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            await harness.serve_one(backend)
+            await harness.serve_attempt(backend)
             backend.writers[0].close()
             await wait_until(lambda: not harness.pool.connections)
-            assert await harness.serve_one(backend) == 2
+            assert await harness.serve_attempt(backend) == 2
 
     run(test())
 
@@ -351,13 +353,13 @@
 def test_idle_connections_close_when_their_backend_drains_ends_or_moves(change: str) -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
-            other = await ScriptedServer().open()
+            other_backend = await ScriptedServer().open()
             updates = {
                 "drains": [make_endpoint("s", backend.address, BackendState.DRAINING)],
                 "is removed": [make_endpoint("s", backend.address, BackendState.REMOVED)],
                 "is absent": [],
-                "restarts": [make_endpoint("s", backend.address, started=5.0)],
-                "moves": [make_endpoint("s", other.address)],
+                "restarts": [make_endpoint("s", backend.address, started_at=5.0)],
+                "moves": [make_endpoint("s", other_backend.address)],
             }
             harness.start()
             harness.start()
@@ -370,13 +372,13 @@
             assert await harness.result() is AttemptResult.OK
             await in_use.closed.wait()
             if change == "restarts":
-                assert await harness.serve_one(backend) == 3
+                assert await harness.serve_attempt(backend) == 3
             elif change == "moves":
-                assert await harness.serve_one(other) == 1
+                assert await harness.serve_attempt(other_backend) == 1
             else:
                 harness.start()
                 assert await harness.result() is AttemptResult.CONNECT_FAILED
-            other.close()
+            other_backend.close()
 
     run(test())
 
@@ -388,7 +390,7 @@
             harness.start()
             harness.update(make_endpoint("s", backend.address, state))
             assert await harness.result() is AttemptResult.CONNECT_FAILED
-            assert not harness.pool.connections  # it no longer counts towards the limit
+            assert not harness.pool.connections  # the closed connection no longer counts towards the limit
             assert backend.requests.empty()
 
     run(test())
@@ -410,8 +412,8 @@
         async with pool_harness() as (harness, backend):
             harness.pool.loop = cast(asyncio.AbstractEventLoop, LoopWithConnectTimeout(harness.pool.loop))
             harness.start()
-            call = await backend.requests.get()
-            call.respond()
+            request = await backend.requests.get()
+            request.respond()
             assert await harness.result() is AttemptResult.OK
 
     run(test())
@@ -420,19 +422,19 @@
 def test_idle_connection_of_another_backend_is_evicted_at_the_limit() -> None:
     async def test() -> None:
         async with pool_harness(max_connections=2) as (harness, backend):
-            other = await ScriptedServer().open()
-            harness.update(make_endpoint("s", backend.address), make_endpoint("t", other.address))
-            await harness.serve_one(backend)
+            other_backend = await ScriptedServer().open()
+            harness.update(make_endpoint("s", backend.address), make_endpoint("t", other_backend.address))
+            await harness.serve_attempt(backend)
             harness.start("t")
-            in_use = await other.requests.get()
+            in_use = await other_backend.requests.get()
             harness.start("t")
-            second = await other.requests.get()
+            second = await other_backend.requests.get()
             assert not harness.pool.connections_by_backend["s"].idle
             harness.start("s")
             assert await harness.result() is AttemptResult.NO_LOCAL_RESOURCE  # no connection is idle
-            for call in (in_use, second):
-                call.respond()
+            for request in (in_use, second):
+                request.respond()
                 assert await harness.result() is AttemptResult.OK
-            other.close()
+            other_backend.close()
 
     run(test())
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -77,7 +77,7 @@
             )
             update = await harness.updates.get()
             assert (update.revision, update.is_snapshot) == (43, False)
-            (info,) = (t.info for t in update.endpoints)
+            (info,) = (endpoint.info for endpoint in update.endpoints)
             assert (info.backend_id, info.state, info.started_at, info.cell) == (
                 "s",
                 BackendState.DRAINING,
@@ -240,17 +240,17 @@
 ) -> None:
     # A missed update counts as notified 6 s after the watch became unresponsive, which may be at the start of
     # a long poll.
-    config = make_settings(
+    settings = make_settings(
         polls_discovery=not pushed, proxy_count=proxies, max_poll_interval_ms=max_poll_interval_ms
     )
-    driver = Driver(config, *make_backends(2))
+    driver = Driver(settings, *make_backends(2))
     if not pushed:
         assert actions_of_type(PollDiscovery, driver.run_ticks(2_525))  # the first poll of a new process
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(make_backends(2))))
-    discovery = make_client(pushed, 300.0)
-    detection_ms = discovery.long_poll_ms + discovery.response_timeout_ms
+    client = make_client(pushed, 300.0)
+    detection_ms = client.long_poll_ms + client.response_timeout_ms
     assert (
-        detection_ms + max_ms_until_retry(driver) + discovery.opening_timeout_ms + max_ms_until_retry(driver)
+        detection_ms + max_ms_until_retry(driver) + client.opening_timeout_ms + max_ms_until_retry(driver)
         < 6_000
     )
 
@@ -286,15 +286,15 @@
 
 def test_all_proxies_get_the_list_from_a_service_that_queues_calls() -> None:
     """If each try started at the end of the queue, only the first few proxies would ever get the list."""
-    config = make_settings(polls_discovery=True, proxy_count=32)
+    settings = make_settings(polls_discovery=True, proxy_count=32)
     call_duration_ms = 250.0
     timeout_ms = make_client(False, 300.0).opening_timeout_ms
     drivers = [
-        Driver(replace(config, proxy_index=index), *make_backends(2), seed=index) for index in range(32)
+        Driver(replace(settings, proxy_index=index), *make_backends(2), seed=index) for index in range(32)
     ]
     queue: deque[tuple[int, int]] = deque()  # index of the proxy, number of its call
     calls = Counter[int]()
-    deadlines: dict[int, float] = {}  # of the latest call of each proxy
+    deadlines: dict[int, float] = {}  # by proxy index: the deadline of its latest call in ms
     served: set[int] = set()
     for tick in range(400):
         for index, driver in enumerate(drivers):
@@ -328,7 +328,7 @@
             harness.client.watch()
             second = await service.requests.get()
             await harness.failures.get()
-            reply(first, make_endpoint_list(42))  # no watch waits for it
+            reply(first, make_endpoint_list(42))  # no watch waits for this response
             assert (await harness.updates.get()).revision == 42
             await second.closed.wait()
             third = await service.requests.get()  # the watch uses the connection with the response
@@ -371,9 +371,9 @@
 def test_pushed_list_is_read_within_the_drain_grace_after_its_service_recovers(drain_grace_ms: float) -> None:
     # When the service is back, its updates count as notified at once. Until then, a long poll or an opening
     # call may have hung.
-    discovery = make_client(True, drain_grace_ms)
+    client = make_client(True, drain_grace_ms)
     retry_delay_ms = max_ms_until_retry(Driver(make_settings(), *make_backends(2)))
-    assert discovery.long_poll_ms + discovery.response_timeout_ms + retry_delay_ms <= drain_grace_ms + 50
+    assert client.long_poll_ms + client.response_timeout_ms + retry_delay_ms <= drain_grace_ms + 50
 
 
 def test_list_received_in_parts_is_published_as_one_update() -> None:
@@ -394,8 +394,8 @@
 def test_list_of_20000_backends_fits_192_mb_and_an_endless_list_is_aborted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for limit in ("RESPONSE_TIMEOUT_MS", "OPENING_TIMEOUT_MS"):  # however slow the machine is
-        monkeypatch.setattr(discovery_client_module, limit, 60_000)
+    for timeout in ("RESPONSE_TIMEOUT_MS", "OPENING_TIMEOUT_MS"):  # no call times out on a slow machine
+        monkeypatch.setattr(discovery_client_module, timeout, 60_000)
 
     async def test() -> None:
         async with proxy(memory_mb=192) as p:
@@ -406,7 +406,7 @@
             assert "?since=2&" in call.request_line and p.engine.connection_pool.active_count() == 20_000
             assert p.engine.discovery is not None
             max_list_bytes = p.engine.discovery.max_list_bytes
-            # A list takes up to three times its bytes.
+            # A list takes up to three times its size in memory.
             assert discovery_client_module.PROCESS_MEMORY_MB + 3 * max_list_bytes / BYTES_PER_MB < 192
             call.writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
             sent_bytes, chunk = 0, b" " * 65_536
@@ -430,12 +430,12 @@
 
             def close_between_calls(update: EndpointListUpdate) -> None:
                 harness.updates.put_nowait(update)
-                call = harness.client.connection
-                assert call is not None
+                connection = harness.client.connection
+                assert connection is not None
                 if cause == "unsolicited bytes":
-                    call.data_received(b"x")
+                    connection.data_received(b"x")
                 else:
-                    call.connection_lost(ConnectionResetError())
+                    connection.connection_lost(ConnectionResetError())
 
             harness.client.on_update = close_between_calls
             reply(await service.requests.get(), make_endpoint_list(42))
@@ -449,19 +449,19 @@
 @pytest.mark.parametrize("cause", ["timeout", "moved"])
 def test_connection_abandoned_while_opening_is_closed(cause: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        service, other = await ScriptedServer().open(), await ScriptedServer().open()
+        service, other_service = await ScriptedServer().open(), await ScriptedServer().open()
         harness = ClientHarness(service.address)
         connect = harness.client._connect
         connect_started = asyncio.Event()
 
-        async def connect_with_delay(call: DiscoveryConnection) -> None:
-            if harness.client.address == other.address:
-                await connect(call)
+        async def connect_with_delay(connection: DiscoveryConnection) -> None:
+            if harness.client.address == other_service.address:
+                await connect(connection)
                 return
             if cause == "timeout":
-                await connect(call)
+                await connect(connection)
                 raise TimeoutError
-            task = asyncio.create_task(connect(call))
+            task = asyncio.create_task(connect(connection))
             connect_started.set()
             await asyncio.shield(task)  # the kernel completes the connection even after the move
 
@@ -471,55 +471,60 @@
             assert "TimeoutError" in await harness.failures.get()
         else:
             await connect_started.wait()
-            assert harness.client.set_address(other.address)
+            assert harness.client.set_address(other_service.address)
             harness.client.watch()
-            reply(await other.requests.get(), make_endpoint_list(7))
+            reply(await other_service.requests.get(), make_endpoint_list(7))
             assert (await harness.updates.get()).revision == 7
         await wait_until(lambda: service.writers)
-        await wait_until(lambda: service.writers[0].is_closing())  # it has read the end of the stream
+        # The service's writer is closing once the service has read the end of the stream.
+        await wait_until(lambda: service.writers[0].is_closing())
         assert service.requests.empty() and harness.failures.empty()
         harness.client.close()
         service.close()
-        other.close()
+        other_service.close()
 
     run(test())
 
 
 def test_response_of_the_old_service_in_the_loop_iteration_of_the_move_is_ignored() -> None:
     async def test() -> None:
-        other = await ScriptedServer().open()
+        other_service = await ScriptedServer().open()
         async with watching_client() as (harness, service):
             await service.requests.get()
-            call = harness.client.connection
-            assert call is not None
+            connection = harness.client.connection
+            assert connection is not None
             body = json.dumps(make_endpoint_list(42, make_list_entry("old", ADDRESS))).encode()
-            call.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
-            assert harness.client.set_address(other.address)  # before the watch has processed it
+            connection.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
+            assert harness.client.set_address(
+                other_service.address
+            )  # before the watch has processed the response
             harness.client.watch()
-            first = await other.requests.get()
+            first = await other_service.requests.get()
             assert first.request_line == "GET /registry/instances HTTP/1.1"
             reply(first, make_endpoint_list(7))
             assert (await harness.updates.get()).revision == 7
             assert harness.updates.empty() and harness.failures.empty()
-        other.close()
+        other_service.close()
 
     run(test())
 
 
 def test_moving_away_and_back_requests_the_whole_list() -> None:
     async def test() -> None:
-        other = await ScriptedServer().open()
+        other_service = await ScriptedServer().open()
         async with watching_client() as (harness, service):
             (await service.requests.get()).respond(json.dumps(make_endpoint_list(42)).encode())
             await harness.updates.get()
             old = await service.requests.get()
-            assert harness.client.set_address(other.address) and harness.client.set_address(service.address)
+            assert harness.client.set_address(other_service.address) and harness.client.set_address(
+                service.address
+            )
             assert not harness.client.set_address(service.address)
             harness.client.watch()
             await old.closed.wait()
             new = await service.requests.get()
             assert new.request_line == "GET /registry/instances HTTP/1.1" and new.connection_number == 2
-            assert other.connection_count == 0 and harness.failures.empty()
-        other.close()
+            assert other_service.connection_count == 0 and harness.failures.empty()
+        other_service.close()
 
     run(test())
--- a/tests/proxy/test_endpoint_json.py
+++ b/tests/proxy/test_endpoint_json.py
@@ -23,7 +23,7 @@
         cached = read_config({"LB_CONFIG": str(path)}).cached_list
         assert cached.revision == 7 and len(cached.table) == 900 and cached.table.get("s-00000005") is None
         # The id of the drained backend is kept here; it is skipped when the list is fed to the balancer.
-        assert cached.backend_ids == [e["uid"] for e in make_entries(901)]
+        assert cached.backend_ids == [entry["uid"] for entry in make_entries(901)]
     assert len(read_config({"LB_CONFIG": str(path)}, skips_long_list=True).cached_list.backend_ids) < 200
     malformed = config | {
         "known": make_endpoint_list(7, *make_entries(900), {"uid": "odd"}, *make_entries(900, 900))
@@ -41,7 +41,7 @@
     read_config({"LB_CONFIG": str(path)})  # creates all objects that later calls reuse
     tracemalloc.start()
     config = read_config({"LB_CONFIG": str(path)})
-    current, peak = tracemalloc.get_traced_memory()
+    current_bytes, peak_bytes = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert len(config.cached_list.table) == 5000
-    assert current / 5000 < 350 and peak - current < 2_000_000
+    assert current_bytes / 5000 < 350 and peak_bytes - current_bytes < 2_000_000
--- a/tests/proxy/test_gossip.py
+++ b/tests/proxy/test_gossip.py
@@ -41,7 +41,9 @@
         )
         received: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
         addresses = PeerAddresses("127.0.0.1:0", (first_address, second_address), first_address)
-        channel = GossipChannel(addresses, lambda number, data: received.put_nowait((number, data)))
+        channel = GossipChannel(
+            addresses, lambda sender_index, payload: received.put_nowait((sender_index, payload))
+        )
         unknown.sendto(b"not of the tier", address_of(channel))
         first.sendto(b"x" * 257, address_of(channel))
         second.sendto(b"second", address_of(channel))
@@ -60,10 +62,10 @@
     run(test())
 
 
-def read_config_with_peers(folder: Path, **more: Any) -> Config:
+def read_config_with_peers(folder: Path, **overrides: Any) -> Config:
     raw = make_configuration("127.0.0.1:1", Peers=True)
     path = folder / "config.json"
-    path.write_text(json.dumps(raw | more))
+    path.write_text(json.dumps(raw | overrides))
     return read_config({"LB_CONFIG": str(path)})
 
 
@@ -72,7 +74,7 @@
 ) -> None:
     async def test() -> None:
         gossip_seen = asyncio.Event()
-        other, address = bind_udp_socket()
+        peer, address = bind_udp_socket()
         config = read_config_with_peers(
             tmp_path, peer_listen="127.0.0.1:0", peers=[address], peers_all=address
         )
@@ -86,12 +88,12 @@
 
         monkeypatch.setattr(engine.balancer, "step", step)
         engine._execute(SendGossip(b"\x01abcd"))
-        assert other.recv(512) == b"\x01abcd"
-        other.sendto(b"\x01efgh", address_of(engine.gossip))
+        assert peer.recv(512) == b"\x01abcd"
+        peer.sendto(b"\x01efgh", address_of(engine.gossip))
         await gossip_seen.wait()
         await listener.finish_shutdown(0.0)
         engine.close()
-        other.close()
+        peer.close()
 
     run(test())
 
@@ -144,4 +146,4 @@
     received = {"what": "FromPeer", "Raw": notified["Raw"]}
     batch(10.0, received | {"SrcPeer": 7}, received | {"SrcPeer": 8})
     (backend,) = adapter.instances[0].balancer.backends.by_id.values()
-    assert [by for _, by in backend.failure_reports] == [0, 7, 8]
+    assert [reporter for _, reporter in backend.failure_reports] == [0, 7, 8]
--- a/tests/proxy/test_http_exchange.py
+++ b/tests/proxy/test_http_exchange.py
@@ -34,7 +34,7 @@
             harness.start()
             (await backend.requests.get()).respond(status=status, headers=headers)
             assert await harness.result() is result
-            assert await harness.serve_one(backend) == 1
+            assert await harness.serve_attempt(backend) == 1
 
     run(test())
 
@@ -56,7 +56,7 @@
             yield accepted
 
 
-def test_close_before_the_last_byte_fails_as_not_executed() -> None:
+def test_close_before_the_last_byte_of_the_request_fails_as_not_executed() -> None:
     async def test() -> None:
         async with pool_harness() as (harness, _), partly_written_request(harness) as backend:
             backend.close()
@@ -79,13 +79,13 @@
 @pytest.mark.parametrize(
     "sent", [b"", b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", b"nonsense\r\n\r\n"]
 )
-def test_close_after_the_last_byte_may_have_executed(sent: bytes) -> None:
+def test_close_after_the_last_byte_of_the_request_may_have_executed(sent: bytes) -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.requests.get()
-            call.writer.write(sent)
-            call.writer.close()
+            request = await backend.requests.get()
+            request.writer.write(sent)
+            request.writer.close()
             assert await harness.result() is AttemptResult.RESET
 
     run(test())
@@ -95,12 +95,12 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.requests.get()
-            call.writer.write(b"HTTP/1.1 103 Hints\r\nlink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n")
-            call.respond(b"the real one")
+            request = await backend.requests.get()
+            request.writer.write(b"HTTP/1.1 103 Hints\r\nlink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n")
+            request.respond(b"the real one")
             result, response = await harness.results.get()
             assert result is AttemptResult.OK and response is not None and response.body == b"the real one"
-            assert await harness.serve_one(backend) == 1
+            assert await harness.serve_attempt(backend) == 1
 
     run(test())
 
@@ -134,27 +134,27 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.requests.get()
-            call.writer.write(sent)
+            request = await backend.requests.get()
+            request.writer.write(sent)
             assert await harness.result() is AttemptResult.RESET
-            await call.closed.wait()
+            await request.closed.wait()
 
     run(test())
 
 
-@pytest.mark.parametrize("first", [OK, OK + b"connection: close\r\n", b"HTTP/1.0 200 OK\r\n"])
+@pytest.mark.parametrize("head", [OK, OK + b"connection: close\r\n", b"HTTP/1.0 200 OK\r\n"])
 @pytest.mark.parametrize("ending", ["end", "reset", "timeout"])
-def test_response_without_length_is_complete_only_at_the_end_of_the_stream(first: bytes, ending: str) -> None:
+def test_response_without_length_is_complete_only_at_the_end_of_the_stream(head: bytes, ending: str) -> None:
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start(timeout_ms=100.0 if ending == "timeout" else 30000.0)
-            call = await backend.requests.get()
-            call.writer.write(first + b"\r\nto the ")
-            call.writer.write(b"end")
+            request = await backend.requests.get()
+            request.writer.write(head + b"\r\nto the ")
+            request.writer.write(b"end")
             if ending == "reset":
-                reset_connection(call.writer)
+                reset_connection(request.writer)
             elif ending == "end":
-                call.writer.close()
+                request.writer.close()
             result, response = await harness.results.get()
             if ending == "reset":
                 assert result is AttemptResult.RESET
@@ -162,7 +162,7 @@
                 assert result is AttemptResult.TIMEOUT
             else:
                 assert result is AttemptResult.OK and response is not None and response.body == b"to the end"
-            assert await harness.serve_one(backend) == 2  # on a new connection
+            assert await harness.serve_attempt(backend) == 2  # on a new connection
 
     run(test())
 
@@ -174,12 +174,12 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.requests.get()
-            call.respond()
+            request = await backend.requests.get()
+            request.respond()
             assert await harness.result() is AttemptResult.OK
-            call.writer.write(unsolicited)
+            request.writer.write(unsolicited)
             await wait_until(lambda: not harness.pool.connections)
-            assert await harness.serve_one(backend) == 2
+            assert await harness.serve_attempt(backend) == 2
 
     run(test())
 
@@ -188,11 +188,11 @@
     async def test() -> None:
         async with pool_harness() as (harness, backend):
             harness.start()
-            call = await backend.requests.get()
+            request = await backend.requests.get()
             head = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n"
-            call.writer.write(head + b"a" + head + b"b")
+            request.writer.write(head + b"a" + head + b"b")
             _, response = await harness.results.get()
             assert response is not None and response.body == b"a"
-            assert await harness.serve_one(backend) == 2
+            assert await harness.serve_attempt(backend) == 2
 
     run(test())
--- a/tests/proxy/test_incremental_json.py
+++ b/tests/proxy/test_incremental_json.py
@@ -1,4 +1,4 @@
-"""Incremental decoding of long lists, compared with decoding at once."""
+"""Incremental decoding of long lists, compared with decoding in one call."""
 
 from __future__ import annotations
 
@@ -35,8 +35,10 @@
 )
 
 
-def read(text: bytes, size: int, *path: str) -> tuple[list[Any], Any]:
-    slices = ArraySlices(consume([text[at : at + size] for at in range(0, len(text), size)]), *path)
+def read(text: bytes, chunk_bytes: int, *path: str) -> tuple[list[Any], Any]:
+    slices = ArraySlices(
+        consume([text[start : start + chunk_bytes] for start in range(0, len(text), chunk_bytes)]), *path
+    )
     entries = [entry for decoded in slices for entry in decoded]
     return entries, slices.remainder
 
--- a/tests/proxy/test_long_list.py
+++ b/tests/proxy/test_long_list.py
@@ -48,7 +48,7 @@
         counting = asyncio.create_task(self._count_iterations())
         try:
             return await self.client._process_list(
-                [text[at : at + 65536] for at in range(0, len(text), 65536)]
+                [text[start : start + 65536] for start in range(0, len(text), 65536)]
             )
         finally:
             counting.cancel()
@@ -84,8 +84,12 @@
                 3, *make_entries(20, 30, weight=0.5), *make_entries(900, 50), *make_entries(5, 2000)
             )
         )
-        states = {t.backend_id: t.info.state for _, update in harness.updates for t in update.endpoints}
-        removed = [one for one, state in states.items() if state is BackendState.REMOVED]
+        states = {
+            endpoint.backend_id: endpoint.info.state
+            for _, update in harness.updates
+            for endpoint in update.endpoints
+        }
+        removed = [backend_id for backend_id, state in states.items() if state is BackendState.REMOVED]
         assert len(states) == 20 + 5 + 30 + 50 and len(removed) == 30 + 50
         assert harness.known_ids() == {e["uid"] for e in (*make_entries(920, 30), *make_entries(5, 2000))}
         known = harness.client.endpoints.get("s-00000020")
@@ -117,25 +121,27 @@
     run(test())
 
 
-async def until_listed(p: Proxy, n: int) -> None:
-    await wait_until(lambda: p.engine.balancer.backends.listed_count == n and p.engine._next_step is None)
+async def wait_until_listed(p: Proxy, count: int) -> None:
+    await wait_until(lambda: p.engine.balancer.backends.listed_count == count and p.engine._next_step is None)
 
 
 def test_proxy_serves_while_it_reads_a_long_list() -> None:
     async def test() -> None:
         async with proxy() as p:
-            own = make_list_entry("s0", p.backends[0].address)
+            own_entry = make_list_entry("s0", p.backends[0].address)
             client = await p.client()
             (await p.discovery_server.requests.get()).respond(
-                json.dumps(make_endpoint_list(2, own, *make_entries(3000))).encode()
+                json.dumps(make_endpoint_list(2, own_entry, *make_entries(3000))).encode()
             )
             served = 0
             while p.engine.balancer.backends.listed_count != 3001:
                 assert (await client.exchange("/health/ready", "GET")).status == 200
                 served += 1
             assert served > 5
-            (await p.discovery_server.requests.get()).respond(json.dumps(make_endpoint_list(3, own)).encode())
-            await until_listed(p, 1)
+            (await p.discovery_server.requests.get()).respond(
+                json.dumps(make_endpoint_list(3, own_entry)).encode()
+            )
+            await wait_until_listed(p, 1)
             assert set(p.engine.connection_pool.endpoints) == {"s0"}
             client.send()
             (await p.backends[0].requests.get()).respond()
@@ -151,34 +157,36 @@
             call = await p.discovery_server.requests.get()
             body = json.dumps(make_endpoint_list(2, *make_entries(2)) | {"pad": "x" * 5 * 2**20}).encode()
             call.respond(body)
-            await until_listed(p, 2)
+            await wait_until_listed(p, 2)
 
     run(test())
 
 
 def test_maximum_list_size_follows_from_the_memory_limit() -> None:
     proxy_settings = ProxySettings({}, {}, {}, {}, 1000.0, 1000.0)
-    limits = [
+    max_list_bytes = [
         DiscoveryClient(
-            "127.0.0.1:9", proxy_settings, 1, lambda _: None, lambda _: None, memory_mb=mb
+            "127.0.0.1:9", proxy_settings, 1, lambda _: None, lambda _: None, memory_mb=memory_mb
         ).max_list_bytes
-        for mb in (16.0, 192.0)
+        for memory_mb in (16.0, 192.0)
     ]
-    assert limits[0] == 2**20 > LONG_LIST_BYTES and limits[1] > 150_000 * 170
+    assert max_list_bytes[0] == 2**20 > LONG_LIST_BYTES and max_list_bytes[1] > 150_000 * 170
 
 
-def make_endpoints(n: int, first: int = 0, state: BackendState = BackendState.ACTIVE) -> tuple[Endpoint, ...]:
+def make_endpoints(
+    count: int, first_index: int = 0, state: BackendState = BackendState.ACTIVE
+) -> tuple[Endpoint, ...]:
     """Return endpoints on which nothing listens."""
     return tuple(
         Endpoint(f"s-{i:08x}", f"127.1.{i // 250 % 250}.{i % 250}", 9, BackendInfo(f"s-{i:08x}", state))
-        for i in range(first, first + n)
+        for i in range(first_index, first_index + count)
     )
 
 
 def ids(p: Proxy) -> set[str]:
     """Return the ids of the backends that the balancer knows."""
     backends = p.engine.balancer.backends
-    return {*(s.id for s in backends.active), *backends.unsubscribed.first(maxsize)}
+    return {*(backend.id for backend in backends.active), *backends.unsubscribed.first(maxsize)}
 
 
 async def iterate_until_notified(p: Proxy) -> int:
@@ -190,7 +198,7 @@
     return iterations
 
 
-def test_long_cached_list_creates_no_pools_and_reaches_the_balancer_in_slices() -> None:
+def test_long_cached_list_opens_no_connections_and_reaches_the_balancer_in_slices() -> None:
     async def test() -> None:
         async with proxy() as p:
             p.engine.on_list_update(
@@ -214,11 +222,11 @@
             p.engine.on_list_update(
                 EndpointListUpdate(2, True, make_endpoints(5 * ENDPOINTS_PER_SLICE)), ListUpdateKind.CACHED
             )
-            last = make_endpoints(1, 5 * ENDPOINTS_PER_SLICE - 1, BackendState.DRAINING)
-            p.engine.on_list_update(EndpointListUpdate(3, False, (*last, *make_endpoints(1, 9999))))
+            drained = make_endpoints(1, 5 * ENDPOINTS_PER_SLICE - 1, BackendState.DRAINING)
+            p.engine.on_list_update(EndpointListUpdate(3, False, (*drained, *make_endpoints(1, 9999))))
             assert p.engine.connection_pool.active_count() == 5 * ENDPOINTS_PER_SLICE
             await iterate_until_notified(p)
-            assert ids(p) == set(p.engine.connection_pool.endpoints) and last[0].backend_id not in ids(p)
+            assert ids(p) == set(p.engine.connection_pool.endpoints) and drained[0].backend_id not in ids(p)
 
     run(test())
 
@@ -246,7 +254,7 @@
     run(test())
 
 
-def test_empty_pools_are_removed() -> None:
+def test_backend_without_connections_is_dropped_from_the_pool() -> None:
     async def test() -> None:
         async with proxy() as p:
             client = await p.client()
@@ -254,7 +262,8 @@
             (await p.backends[0].requests.get()).respond()
             assert (await client.read_response()).status == 200
             p.engine.connection_pool._close_expired()
-            assert set(p.engine.connection_pool.connections_by_backend) == {"s0"}  # it has an idle connection
+            # The backend has an idle connection.
+            assert set(p.engine.connection_pool.connections_by_backend) == {"s0"}
             p.engine.connection_pool.connections_by_backend["s0"].close_idle()
             await wait_until(lambda: not p.engine.connection_pool.connections)
             p.engine.connection_pool._close_expired()
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -48,18 +48,22 @@
 
 
 def run(*lines: str) -> tuple[int, list[dict[str, Any]], str]:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "dunecove.adapter"],
         input="".join(line + "\n" for line in lines),
         capture_output=True,
         text=True,
         check=False,
     )
-    return done.returncode, [json.loads(line) for line in done.stdout.splitlines()], done.stderr
+    return (
+        completed.returncode,
+        [json.loads(line) for line in completed.stdout.splitlines()],
+        completed.stderr,
+    )
 
 
-def batch(at: float, *events: dict[str, Any]) -> str:
-    return json.dumps({"TsMs": at, "news": events})
+def batch(now_ms: float, *events: dict[str, Any]) -> str:
+    return json.dumps({"TsMs": now_ms, "news": events})
 
 
 def test_end_of_input_exits_with_success() -> None:
@@ -70,15 +74,19 @@
     code, replies, errors = run(batch(0), batch(1, *START, CALL), batch(11, REPLY), batch(12))
     assert (code, errors) == (0, "")
     assert replies[0] == replies[3] == {"cmds": []}
-    sends = [c for c in replies[1]["cmds"] if c["what"] == "Deliver"]
-    assert [(c["Call"], c["Backend"], c["ProxyId"]) for c in sends] == [("ab", "10.0.0.1:80", 3)]
+    forwards = [command for command in replies[1]["cmds"] if command["what"] == "Deliver"]
+    assert [(command["Call"], command["Backend"], command["ProxyId"]) for command in forwards] == [
+        ("ab", "10.0.0.1:80", 3)
+    ]
 
 
 def test_exit_discards_all_state_and_instance_can_be_provisioned_again_in_same_batch() -> None:
-    stop = {"what": "Exit", "ProxyId": 3}
-    code, replies, errors = run(batch(1, *START, CALL), batch(5, REPLY, stop, *START, CALL | {"Call": "cd"}))
+    exit_message = {"what": "Exit", "ProxyId": 3}
+    code, replies, errors = run(
+        batch(1, *START, CALL), batch(5, REPLY, exit_message, *START, CALL | {"Call": "cd"})
+    )
     assert (code, errors) == (0, "")
-    assert [c["Call"] for c in replies[1]["cmds"] if c["what"] == "Deliver"] == ["cd"]
+    assert [command["Call"] for command in replies[1]["cmds"] if command["what"] == "Deliver"] == ["cd"]
 
 
 def test_exception_in_balancer_is_reported_to_simulator(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -97,11 +105,11 @@
 def test_rating_is_read_as_weight_of_backend() -> None:
     adapter = Adapter()
     adapter.handle_batch(batch(1, START[0], START[1] | {"Records": [ENTRY | {"Rating": 2.5}]}).encode())
-    assert [s.weight for s in adapter.instances[3].balancer.backends.active] == [2.5]
+    assert [backend.weight for backend in adapter.instances[3].balancer.backends.active] == [2.5]
 
 
 def without(event: dict[str, Any], key: str) -> dict[str, Any]:
-    return {k: v for k, v in event.items() if k != key}
+    return {name: value for name, value in event.items() if name != key}
 
 
 @pytest.mark.parametrize(
@@ -124,8 +132,11 @@
         (batch(2, START[0] | {"Info": {"Lanes": []}}), ["no request class", "instance 3"]),
         (batch(2, START[0] | {"Info": {}}), ["Lanes", "missing"]),
     ]
-    + [(batch(2, without(CALL, m)), [m, "missing", "instance 3"]) for m in ("Call", "Lane", "GiveUpAtMs")]
-    + [(batch(2, without(REPLY, m)), [m, "missing"]) for m in ("Leg", "How", "DelaySeenMs", "Finished")]
+    + [
+        (batch(2, without(CALL, key)), [key, "missing", "instance 3"])
+        for key in ("Call", "Lane", "GiveUpAtMs")
+    ]
+    + [(batch(2, without(REPLY, key)), [key, "missing"]) for key in ("Leg", "How", "DelaySeenMs", "Finished")]
     + [(batch(2, {"what": "Ring", "ProxyId": 3}), ["Ref", "missing"])],
 )
 def test_malformed_input_exits_with_failure_and_one_line_error(line: str, words: list[str]) -> None:
--- a/tests/test_outer_names.py
+++ b/tests/test_outer_names.py
@@ -41,14 +41,14 @@
     return names
 
 
-def test_names_are_listed_for_each_edge_module() -> None:
-    edge = {
+def test_names_are_listed_for_adapter_config_and_wire_modules() -> None:
+    expected = {
         "dunecove/adapter.py",
         "dunecove/config.py",
         "dunecove/wire/settings.py",
         "dunecove/wire/simulator.py",
     }
-    assert edge < OUTER_NAMES.keys()
+    assert expected < OUTER_NAMES.keys()
 
 
 @pytest.mark.parametrize("module", OUTER_NAMES)
