--- a/dunecove/proxy/connection_pool.py
+++ b/dunecove/proxy/connection_pool.py
@@ -269,11 +269,11 @@
         idle_since = now_ms() - self.keepalive_ms
         for backend_connections in self.connections_by_backend.values():
             backend_connections.close_idle_since(idle_since)
-        in_use = {connection.backend_connections for connection in self.connections}
+        with_connections = {connection.backend_connections for connection in self.connections}
         self.connections_by_backend = {
             backend_id: connections
             for backend_id, connections in self.connections_by_backend.items()
-            if connections in in_use
+            if connections in with_connections
         }
 
     def close(self) -> None:
--- a/dunecove/wire/simulator.py
+++ b/dunecove/wire/simulator.py
@@ -141,7 +141,7 @@
     result_name = as_string(required(raw, "How"), "How")
     return HealthCheckResult(
         backend_id=as_string(required(raw, "Backend"), "Backend"),
-        # A health check may fail with a result that is not in the table; only success is told from failure.
+        # A health check may fail with a result that is not in the table; only OK is distinguished from the others.
         result=_RESULTS.get(result_name, AttemptResult.ERROR),
         latency_ms=as_number(required(raw, "DelaySeenMs"), "DelaySeenMs"),
     )
