--- a/dunecove/config.py
+++ b/dunecove/config.py
@@ -41,7 +41,7 @@
 MIN_RESERVED_DESCRIPTORS = 24
 # Fraction of the unreserved descriptors for backend connections. Requests hold at most a third of all
 # descriptors as client connections and, with one attempt at a time each, no more as backend connections. The
-# rest is for client connections that are idle or have not sent a request.
+# rest is for client connections that are idle or awaiting a request.
 BACKEND_SHARE = 0.42
 
 
--- a/dunecove/proxy/endpoint_list.py
+++ b/dunecove/proxy/endpoint_list.py
@@ -11,9 +11,7 @@
 # Indexes in the tuple that is an encoded endpoint.
 ZONE_OFFSET = 2
 CELL_OFFSET = 4
-MARSHAL_VERSION = (
-    2  # the last version without object references, so that equal endpoints have equal encodings
-)
+MARSHAL_VERSION = 2  # the last version without references, so that equal endpoints have equal encodings
 
 # The stored form of an active endpoint: compact, and not traversed by the garbage collector.
 EncodedEndpoint = bytes
--- a/dunecove/proxy/http_exchange.py
+++ b/dunecove/proxy/http_exchange.py
@@ -18,9 +18,7 @@
 
 # A longer body is collected in parts of about this size: a growing buffer would be copied as it is enlarged.
 BODY_PART_BYTES = MAX_BODY_BYTES
-MAX_INTERIM_RESPONSES = (
-    8  # 1xx responses before the final one; a server that sends more only delays its client
-)
+MAX_INTERIM_RESPONSES = 8  # 1xx before the final one; a server that sends more only delays its client
 STATUSES_WITHOUT_BODY = frozenset((204, 205, 304))  # they need no declared length
 
 
