--- a/dunecove/policy/actions.py
+++ b/dunecove/policy/actions.py
@@ -15,7 +15,7 @@
     DEADLINE_TOO_CLOSE = "deadline_too_close"  # failed on arrival: too little time left for a response
     QUEUE_TIMEOUT = "queue_timeout"  # no backend had capacity before the send deadline
     RETRY_BUDGET_EXHAUSTED = "retry_budget_exhausted"
-    RETRY_NOT_ALLOWED = "retry_not_allowed"  # because of its class, deadline or number of attempts
+    RETRY_NOT_ALLOWED = "retry_not_allowed"  # because of the request's class, deadline or number of attempts
     ATTEMPT_WITHDRAWN = "attempt_withdrawn"  # withdrawn before it was written to a backend
     BAD_REQUEST = "bad_request"  # the backend reported that the request is invalid
 
@@ -26,7 +26,7 @@
     request_id: str
     backend_id: str
     timeout_ms: float
-    write_timeout_ms: float = inf  # an attempt not completely written by then is aborted
+    write_timeout_ms: float = inf  # an attempt that is not completely written after this time is aborted
 
 
 class Reject(NamedTuple):
--- a/dunecove/policy/admission.py
+++ b/dunecove/policy/admission.py
@@ -19,7 +19,7 @@
 
 # A request is expected to be late if its hinted work takes longer than this fraction of the latency objective
 # on the fastest kind of hardware; its priority weight is then multiplied by the factor. In a sparse tier the
-# threshold is lower: many proxies share each backend, and half of the work above it is late.
+# threshold is lower: many proxies share each backend, and half of the work above the threshold is late.
 LATE_WORK_THRESHOLD = 1.0
 LATE_WORK_WEIGHT_FACTOR = 0.4
 SPARSE_LATE_WORK_THRESHOLD = 0.6
--- a/dunecove/policy/backend.py
+++ b/dunecove/policy/backend.py
@@ -62,7 +62,7 @@
         super().__init__(proxy_count)
         self.id = info.backend_id
         self.name_hash = name_hash(info.backend_id)
-        self.rank = 0  # position in this proxy's order of all backends
+        self.rank = 0  # hash by which this proxy orders all backends, lowest first
         self.update(info)
         self._reset_outcomes()
 
@@ -91,16 +91,16 @@
         self.next_ejection_ms = MIN_EJECTION_MS  # before jitter
         self.failure_reports: list[FailureReport] = []  # from all proxies, latest last
         self.last_reported_at = -inf  # time of the last failure report that this proxy sent
-        self.responses_since_update = 0
+        self.responses_since_update = 0  # since the last update of the response rate
         self.response_rate = 0.0  # responses per second, smoothed
-        self.slow_start_tokens = 0.0  # requests that may be sent to it while it is cold
+        self.slow_start_tokens = 0.0  # requests that the backend may get while it is cold
         self.next_token_draw_at = 0.0  # next random draw of a slow start token by a sparse proxy
-        self.last_progress_at = 0.0  # its last response, or the last attempt started while none was in flight
+        self.last_progress_at = 0.0  # last response, or last attempt started while none was in flight
         self.started_at: float | None = None
         self.cold_until = 0.0
 
     def has_capacity(self, now: float, min_limit: float = 0.0) -> bool:
-        """Whether another request may be sent to it, with a concurrency limit of at least `min_limit`."""
+        """Whether the backend may get another request, with a concurrency limit of at least `min_limit`."""
         if self.ejected_until > now:
             return False
         if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:  # after an ejection: one trial request
--- a/dunecove/policy/bandit.py
+++ b/dunecove/policy/bandit.py
@@ -16,7 +16,9 @@
 PAYOFF_WEIGHT = 0.1  # weight of one outcome in a backend's payoff: about the last ten outcomes count
 EXPLORATION_BONUS = 0.2  # weight of the UCB1 exploration bonus, which lets idle backends be tried again
 OUTCOME_COUNT_DECAY = 0.8  # factor per second: an idle backend's count falls below 1 in about ten seconds
-PAYOFF_TIE = 0.1  # payoffs with a smaller difference are equal: one outcome changes a payoff by as much
+# Scores (payoff + exploration bonus) with a smaller difference are equal: one outcome changes a payoff by as
+# much.
+SCORE_TIE = 0.1
 SPARSE_PAYOFF_RECOVERY = 0.1  # fraction of the gap to the mean payoff recovered per second without outcomes
 
 # A kind is suitable for a request if it is expected to do the hinted work in this fraction of the objective.
@@ -74,7 +76,7 @@
             return candidates[0]
         first, second = self._choose_two(request, candidates)
         difference = self._score(first) - self._score(second)
-        if abs(difference) < PAYOFF_TIE:
+        if abs(difference) < SCORE_TIE:
             return second if second.in_flight < first.in_flight else first
         return first if difference > 0 else second
 
@@ -112,9 +114,9 @@
         if self._is_sparse:
             first = self._draw_by_weight(candidates)
             return first, self._draw_by_weight([backend for backend in candidates if backend is not first])
-        index = int(self._rng.random() * len(candidates))
-        other = int(self._rng.random() * (len(candidates) - 1))
-        return candidates[index], candidates[other + (other >= index)]
+        first_index = int(self._rng.random() * len(candidates))
+        second_index = int(self._rng.random() * (len(candidates) - 1))
+        return candidates[first_index], candidates[second_index + (second_index >= first_index)]
 
     def _draw_by_weight(self, candidates: list[Backend]) -> Backend:
         """Return a random candidate, with a probability proportional to its weight.
--- a/dunecove/policy/client_retries.py
+++ b/dunecove/policy/client_retries.py
@@ -4,7 +4,7 @@
 
 from dunecove.policy.events import RequestArrived
 
-# An unmarked request is taken for a retry only if its client has waited longer than this fraction of the
+# An unmarked request is treated as a retry only if its client has waited longer than this fraction of the
 # latency objective: the network may take as much of an original request's time.
 MIN_WAIT_FRACTION = 0.1
 RETRIES_PER_REJECTION = 2.0  # expected retries for each rejection or disconnect, at this proxy or another one
@@ -25,7 +25,7 @@
 
         The deadline is the time at which the client stops waiting, for the original request and all its
         retries: a request with less remaining time than others of its class may be a retry. An unmarked
-        request that is taken for a retry is deducted from the expected retries.
+        request that is treated as a retry is deducted from the expected retries.
         """
         remaining_ms = event.deadline - now
         max_remaining_ms = max(self._max_remaining_ms[event.class_index], remaining_ms)
@@ -34,7 +34,7 @@
         if previous_wait_ms <= MIN_WAIT_FRACTION * objective_ms or event.is_retry:
             return previous_wait_ms
         # Only as many requests are retries as are expected after rejections. The others have shorter
-        # deadlines: taken for retries past their objective, they would fail without an attempt although
+        # deadlines: treated as retries past their objective, they would fail without an attempt although
         # backends are idle.
         is_original_request = self.expected_retries < 1
         self.expected_retries = max(self.expected_retries - 1, 0.0)
--- a/dunecove/policy/discovery_polling.py
+++ b/dunecove/policy/discovery_polling.py
@@ -15,11 +15,11 @@
 FIRST_RETRY_MS = 500.0  # delay after the first failure, doubled with each further one
 MAX_COUNTED_FAILURES = 6  # consecutive failures after which the delay is no longer doubled
 FAST_RETRIES = 2  # consecutive failures up to which the maximum delay is `FAST_RETRY_MAX_MS`
-FAST_RETRY_MAX_MS = 750.0  # after more failures: this or the rest of `MAX_POLL_GAP_MS`, if that is longer
-# Maximum time between the starts of two polls. An update counts as notified after 6 s, of which a hanging
-# poll may take 2 s, and before that the detection of an unresponsive watch another 2 s.
+FAST_RETRY_MAX_MS = 750.0  # after more failures, the rest of `MAX_POLL_GAP_MS` if that is longer
+# Maximum time between the starts of two polls. A proxy is considered notified of an update after 6 s, of
+# which the detection of an unresponsive watch may take 2 s, and then a hanging poll another 2 s.
 MAX_POLL_GAP_MS = 3500.0
-MOVE_WINDOW_MS = 4000.0  # time after a move to another service until its updates count as notified
+MOVE_WINDOW_MS = 4000.0  # a proxy is considered notified of a new service's updates this long after the move
 # Maximum delay after a failed poll in that window or of a pushed list: the service then has spare capacity.
 MOVE_RETRY_MS = 100.0
 RETRY_JITTER = (0.5, 1.0)  # range of the random factor on the delay
@@ -31,17 +31,17 @@
     def __init__(self, settings: Settings, rng: Random) -> None:
         self._settings = settings
         self.rng = rng
-        self._poll_at: float | None = None
-        self._polled_at = -inf
+        self._poll_at: float | None = None  # time of the next poll; None: no poll is needed
+        self._polled_at = -inf  # time of the last poll
         self._moved_at = -inf
-        self._failures = 0  # consecutive
+        self._failures = 0  # consecutive failed polls
 
     def start(self, now: float) -> None:
         """Schedule the first poll.
 
         Proxies that restart together must not poll at the same moment, so each has a slot. All slots
-        end within the maximum poll interval: after it a proxy counts as notified of drains even if it has not
-        received them.
+        end within the maximum poll interval: after that interval a proxy is considered notified of drains
+        even if it has not received them.
         """
         settings = self._settings
         if not settings.polls_discovery:
--- a/dunecove/policy/latency_tracker.py
+++ b/dunecove/policy/latency_tracker.py
@@ -75,9 +75,10 @@
         self._by_class[request.class_index].record(latency_ms)
 
     def record_work_rate(self, kind: int, work_rate: float) -> None:
-        """Update the work rate of a kind of hardware; a single backend has too few responses.
+        """Update the work rate of a kind of hardware with that of one response.
 
-        The logarithm of the work rate is smoothed, since hints may be off by a factor of ten either way.
+        Work rates are kept by kind, since a single backend has too few responses. The logarithm of the work
+        rate is smoothed, since hints may be off by a factor of ten either way.
         """
         mean = self.work_rates.get(kind, work_rate)
         self.work_rates[kind] = mean * (work_rate / mean) ** self._work_rate_weight
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -24,14 +24,14 @@
 from dunecove.policy.subsetting import BackendSet
 
 EJECTION_JITTER = (0.75, 1.25)  # range of the random factor on the duration of an ejection
-OUTLIER_PAYOFF_FRACTION = 0.5  # of the mean payoff of the subset, up to which a backend is an outlier
+OUTLIER_PAYOFF_FRACTION = 0.5  # fraction of the subset's mean payoff up to which a backend is an outlier
 SPARSE_OUTLIER_PAYOFF_FRACTION = 0.6  # the same for a sparse proxy
 
 REPORT_WINDOW_MS = 1000.0
 MIN_REPORTS = 3  # within the window, to eject a backend
-MIN_REPORTERS = 2  # number of proxies that sent these reports
+MIN_REPORTERS = 2  # minimum number of proxies that sent these reports
 MAX_KEPT_REPORTS = 60  # per backend
-GOSSIP_INTERVAL_MS = 100.0  # between two reports of one backend; more frequent ones carry no more information
+GOSSIP_INTERVAL_MS = 100.0  # minimum time between two reports of one backend; more would add no information
 # Range of the random factor on the duration of an ejection caused by reports: all proxies eject the backend
 # at the same moment, but must not all send requests to it again at the same moment.
 REPORTED_JITTER = (1.0, 3.0)
@@ -74,7 +74,7 @@
         return None
 
     def on_gossip(self, now: float, event: GossipReceived) -> None:
-        """Record another proxy's reports; unknown messages, as of a later release, are ignored."""
+        """Record another proxy's reports; unknown messages, such as those of a later release, are ignored."""
         if not self._is_sparse or event.sender_index == self._settings.proxy_index:
             return
         if not event.payload.startswith(GOSSIP_PREFIX):
@@ -96,7 +96,7 @@
     def _is_suspect(self, now: float, backend: Backend) -> bool:
         """Whether the backend may still be failing in spite of a success.
 
-        A sparse proxy sees too few of its responses to tell from one success.
+        A sparse proxy sees too few of the backend's responses to tell from one success.
         """
         if not self._is_sparse:
             return False
--- a/dunecove/policy/queue_timeouts.py
+++ b/dunecove/policy/queue_timeouts.py
@@ -36,7 +36,7 @@
         return None
 
     def is_deadline_too_close(self, now: float, request: Request) -> bool:
-        """Whether an arriving request must fail now, since a later step's response would come too late."""
+        """Whether an arriving request must fail now, since a response in a later step would come too late."""
         return (
             min(request.deadline, request.value_expires_at)
             <= now + ACTION_DELAY_STEPS * self._step_interval_ms
--- a/dunecove/policy/request.py
+++ b/dunecove/policy/request.py
@@ -50,7 +50,7 @@
         self.request_class = request_class
         self.queue = queue
         self.arrived_at = now
-        # If late responses have a value, the objective of a client's retry counts from its own arrival.
+        # If late responses have a value, the objective of a client's retry counts from the retry's arrival.
         objective_start = now if request_class.late_weight > 0 else original_arrival_at
         self.objective_end = objective_start + request_class.latency_objective_ms
         # After this time a response has no value, or the client has stopped waiting.
@@ -66,5 +66,5 @@
         self.retry_at = 0.0  # end of the backoff after a local failure; 0: no backoff
 
     def has_backoff_ended(self, now: float) -> bool:
-        """Whether its backoff after a local failure has ended."""
+        """Whether the request is unfinished and its backoff after a local failure has ended."""
         return not self.is_finished and 0 < self.retry_at <= now
--- a/dunecove/policy/retry_policy.py
+++ b/dunecove/policy/retry_policy.py
@@ -11,11 +11,11 @@
 from dunecove.policy.request_rules import first_executed_attempt, retry_denial
 from dunecove.policy.settings import ACTION_DELAY_STEPS, Settings
 
-# Retries of requests that may have executed, per arriving request: they add at most this fraction to a load.
+# Retries of requests that may have executed, per arriving request: they add at most this fraction of load.
 BUDGET_PER_ARRIVAL = 0.1
 MAX_BUDGET = 10.0  # retries
-# Backoff after a request's second local failure, doubled at each further one: without it a request would use
-# up its attempts at once. The first local failure is retried without a delay.
+# Backoff after a request's second local failure (`NO_LOCAL_RESOURCE`), doubled at each further one: without
+# it a request would use up its attempts at once. The first local failure is retried without a delay.
 LOCAL_FAILURE_BACKOFF_MS = 50.0
 
 
--- a/dunecove/policy/settings.py
+++ b/dunecove/policy/settings.py
@@ -69,7 +69,7 @@
     key_affinity: bool = False  # whether a backend needs less work for a key that it has recently handled
     slow_start_capacity: float = 1.0  # minimum fraction of its capacity that a backend has at its start
     slow_start_ms: float = 0.0  # maximum time from the start of a backend until it is warm
-    # A cold backend fails if its load exceeds its current capacity by this factor throughout the window.
+    # A cold backend fails if its load exceeds this multiple of its current capacity throughout the window.
     slow_start_overload_factor: float = 2.0
     slow_start_window_ms: float = 1000.0
 
--- a/dunecove/policy/slow_start_budget.py
+++ b/dunecove/policy/slow_start_budget.py
@@ -57,7 +57,7 @@
     def _refill(self, now: float, backend: Backend, proxies_per_backend: float) -> None:
         window_ms = self._settings.slow_start_window_ms
         rate = self._rate_per_ms(now, backend)
-        # The minimum, also before any observation: one request per window, in a sparse tier from all proxies
+        # Minimum rate, also before any observation: one request per window, in a sparse tier from all proxies
         # that share this backend.
         rate = max(rate, 1 / window_ms / (proxies_per_backend if self._is_sparse else 1))
         if self._is_sparse and rate * window_ms < 1:
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -46,7 +46,7 @@
         self._in_flight = in_flight
         self._slow_start_budget = slow_start_budget
         self._by_hash: dict[int, list[Backend]] = {}  # two names rarely have the same hash
-        self._rank_boundary: Rank = (0, "")  # all active backends up to it are subscribed
+        self._rank_boundary: Rank = (0, "")  # all active backends up to this rank are subscribed
         self._max_subscribed = MIN_SUBSCRIBED  # number of backends to subscribe to, without the slack
         self.by_id: dict[str, Backend] = {}  # the subscribed backends, in any state
         self.active: list[Backend] = []  # the subscribed backends that are active
@@ -85,22 +85,22 @@
         if backend is not None and entry.state is BackendState.REMOVED:
             self._remove(backend, BackendState.REMOVED)
         elif backend is not None or (not self.unsubscribed.count and entry.state is not BackendState.REMOVED):
-            self._update(now, entry)
+            self._add_or_update(now, entry)
         elif entry.state is not BackendState.ACTIVE:
             self.unsubscribed.pop(entry.backend_id)
         elif self.unsubscribed.rank(entry.backend_id) > self._rank_boundary:
             self.unsubscribed.put(entry)
         else:
-            self._update(now, entry)
-        if self._has_too_many():
-            self._trim()
+            self._add_or_update(now, entry)
+        if self._has_too_many_subscribed():
+            self._trim_subscribed()
 
     def subscribe(self, now: float, names: Sequence[str]) -> None:
         """Subscribe to further backends by name; names that are not unsubscribed backends are ignored."""
         for name in names:
             entry = self.unsubscribed.pop(name)
             if entry is not None:
-                self._update(now, entry)
+                self._add_or_update(now, entry)
         self.refresh_active()
 
     def refresh_active(self) -> None:
@@ -108,7 +108,7 @@
         self.active = [backend for backend in self.by_id.values() if backend.state is BackendState.ACTIVE]
         self.listed_count = len(self.active) + self.unsubscribed.count
 
-    def _update(self, now: float, entry: BackendInfo) -> None:
+    def _add_or_update(self, now: float, entry: BackendInfo) -> None:
         backend = self.by_id.get(entry.backend_id)
         if backend is None:
             backend = Backend(entry, self._settings.proxy_count)
@@ -161,8 +161,8 @@
             names = self.unsubscribed.first(self._max_subscribed - len(self.active))
             self.subscribe(now, names)
             self._rank_boundary = max(self._rank_boundary, self.unsubscribed.rank(names[-1]))
-        if self._has_too_many():
-            self._trim()
+        if self._has_too_many_subscribed():
+            self._trim_subscribed()
             self.refresh_active()
 
     def _wanted_subscriptions(self, now: float) -> int:
@@ -175,22 +175,22 @@
         if self._is_sparse:
             return 2 * self.subset_size
         unavailable = sum(max(backend.cold_until, backend.ejected_until) > now for backend in self.active)
-        load = self._in_flight.count + sum(len(queue) for queue in self._queues)
-        wanted = BACKENDS_PER_REQUEST * load + min(unavailable, 2 * MIN_SUBSCRIBED)
+        request_count = self._in_flight.count + sum(len(queue) for queue in self._queues)
+        wanted = BACKENDS_PER_REQUEST * request_count + min(unavailable, 2 * MIN_SUBSCRIBED)
         return min(wanted, len(self.active) + MAX_SUBSCRIBE_STEP)
 
-    def _has_too_many(self) -> bool:
+    def _has_too_many_subscribed(self) -> bool:
         return len(self.by_id) > self._max_subscribed + SUBSCRIBED_SLACK
 
-    def _trim(self) -> None:
+    def _trim_subscribed(self) -> None:
         """Drop the draining backends; unsubscribe the last ones by rank that have no request in flight."""
         for backend in [b for b in self.by_id.values() if b.state is not BackendState.ACTIVE]:
             self._remove(backend, BackendState.DRAINING)
         if len(self.by_id) <= self._max_subscribed:
             return
         ranked = sorted(self.by_id.values(), key=_rank_of)
-        last = _rank_of(ranked[: self._max_subscribed][-1])
-        self._rank_boundary = min(self._rank_boundary, last) if self.unsubscribed.count else last
+        last_rank = _rank_of(ranked[: self._max_subscribed][-1])
+        self._rank_boundary = min(self._rank_boundary, last_rank) if self.unsubscribed.count else last_rank
         for backend in ranked[self._max_subscribed :]:
             if backend.in_flight == 0:
                 self._remove(backend, BackendState.ACTIVE)
--- a/dunecove/policy/unsubscribed_backends.py
+++ b/dunecove/policy/unsubscribed_backends.py
@@ -18,7 +18,7 @@
 _MARSHAL_VERSION = 2
 
 
-Rank = tuple[int, str]  # position in this proxy's order: the hash, then the name if hashes are equal
+Rank = tuple[int, str]  # sort key of this proxy's order: the hash, then the name if hashes are equal
 
 
 def _encode(info: BackendInfo) -> bytes:
@@ -39,22 +39,22 @@
         self.count = 0
         self._rank_key = rendezvous_hash.proxy_key(proxy_index)
         self._buckets: dict[int, dict[str, bytes]] = {}
-        # Bit sets of the buckets that may contain backends of a zone or cell. Wrong bits are cleared on use.
+        # Bit sets of the buckets that may contain backends of a zone or cell. Stale bits are cleared on use.
         self._zone_hints: dict[int, int] = {}
         self._cell_hints: dict[int, int] = {}
 
     def rank(self, backend_id: str) -> Rank:
-        """Return a backend's position in this proxy's order."""
-        number = rendezvous_hash.name_hash(backend_id)
-        return rendezvous_hash.hash_pair(self._rank_key, number), backend_id
+        """Return a backend's sort key in this proxy's order."""
+        name_hash = rendezvous_hash.name_hash(backend_id)
+        return rendezvous_hash.hash_pair(self._rank_key, name_hash), backend_id
 
     def put(self, info: BackendInfo) -> None:
         """Add the entry of an active backend, or replace it."""
-        number = self._bucket_number(info.backend_id)
-        bucket = self._buckets.setdefault(number, {})
+        bucket_number = self._bucket_number(info.backend_id)
+        bucket = self._buckets.setdefault(bucket_number, {})
         self.count += info.backend_id not in bucket
         bucket[info.backend_id] = _encode(info)
-        bit = 1 << number
+        bit = 1 << bucket_number
         self._zone_hints[info.zone] = self._zone_hints.get(info.zone, 0) | bit
         self._cell_hints[info.cell] = self._cell_hints.get(info.cell, 0) | bit
 
@@ -62,12 +62,12 @@
         """Remove a backend and return its entry; None if there is none."""
         if not self.count:
             return None
-        number = self._bucket_number(backend_id)
-        bucket = self._buckets.get(number, {})
+        bucket_number = self._bucket_number(backend_id)
+        bucket = self._buckets.get(bucket_number, {})
         data = bucket.pop(backend_id, None)
         self.count -= data is not None
         if not bucket:
-            self._buckets.pop(number, None)
+            self._buckets.pop(bucket_number, None)
         return None if data is None else _decode(backend_id, data)
 
     def get(self, backend_id: str) -> BackendInfo | None:
@@ -80,10 +80,10 @@
     def first(self, count: int) -> list[str]:
         """Return the names of the first backends by rank, in order: `count`, or all if there are fewer."""
         names: list[str] = []
-        for number in sorted(self._buckets):
+        for bucket_number in sorted(self._buckets):
             if len(names) >= count:
                 break
-            names += nsmallest(count - len(names), self._buckets[number], key=self.rank)
+            names += nsmallest(count - len(names), self._buckets[bucket_number], key=self.rank)
         return names
 
     def scope_members(self, scope: DeduplicationScope, executed: Location) -> list[str]:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -36,9 +36,9 @@
 
 def test_outcome_of_an_unknown_request_is_ignored() -> None:
     driver = Driver(make_settings(), *make_backends(1))
-    request = driver.send_request()
-    driver.end_attempt(request)
-    assert driver.step(AttemptEnded(request, 0, AttemptResult.OK, 1.0, True)) == []
+    request_id = driver.send_request()
+    driver.end_attempt(request_id)
+    assert driver.step(AttemptEnded(request_id, 0, AttemptResult.OK, 1.0, True)) == []
     assert driver.step(AttemptEnded("unknown", 3, AttemptResult.OK, 1.0, True)) == []
 
 
@@ -90,17 +90,19 @@
 
 def test_request_fails_in_the_same_step_as_its_timeout() -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(1))
-    request = driver.send_request()
+    request_id = driver.send_request()
     assert [
         fail.request_id
-        for fail in actions_of_type(Fail, driver.end_attempt(request, AttemptResult.TIMEOUT, 299.0))
-    ] == [request]
+        for fail in actions_of_type(Fail, driver.end_attempt(request_id, AttemptResult.TIMEOUT, 299.0))
+    ] == [request_id]
 
 
 def test_client_disconnect_in_the_same_batch_as_the_response_is_ignored() -> None:
     driver = Driver(make_settings(), *make_backends(1))
-    request = driver.send_request()
-    actions = driver.step(AttemptEnded(request, 0, AttemptResult.OK, 9.0, True), ClientDisconnected(request))
+    request_id = driver.send_request()
+    actions = driver.step(
+        AttemptEnded(request_id, 0, AttemptResult.OK, 9.0, True), ClientDisconnected(request_id)
+    )
     assert not actions_of_type(Fail, actions) and not actions_of_type(CancelAttempt, actions)
 
 
@@ -115,14 +117,14 @@
 def test_attempts_of_a_disconnected_client_are_cancelled_if_allowed() -> None:
     for may_cancel in (True, False):
         driver = Driver(make_settings(may_cancel=may_cancel), *make_backends(1))
-        request = driver.send_request()
-        assert bool(actions_of_type(CancelAttempt, driver.step(ClientDisconnected(request)))) is may_cancel
+        request_id = driver.send_request()
+        assert bool(actions_of_type(CancelAttempt, driver.step(ClientDisconnected(request_id)))) is may_cancel
 
 
 def test_request_with_a_started_response_is_not_cancelled_or_failed() -> None:
     driver = Driver(make_settings(RequestClass(100.0, 1000.0, streams_response=True)), *make_backends(2))
-    request = driver.send_request()
-    driver.step(ResponseStarted(request, 0, 5.0))
+    request_id = driver.send_request()
+    driver.step(ResponseStarted(request_id, 0, 5.0))
     assert not actions_of_type(CancelAttempt, driver.run_ticks(500)) and not actions_of_type(
         Fail, driver.run_ticks(1000)
     )
@@ -137,9 +139,9 @@
 
 def test_finished_request_is_not_forwarded() -> None:
     driver = Driver(make_settings(), *make_backends(2))
-    request = driver.send_request()
-    driver.end_attempt(request, AttemptResult.ERROR)
-    driver.end_attempt(request, AttemptResult.OK)
+    request_id = driver.send_request()
+    driver.end_attempt(request_id, AttemptResult.ERROR)
+    driver.end_attempt(request_id, AttemptResult.OK)
     assert not actions_of_type(Forward, driver.run_ticks(2000))
     assert driver.balancer.requests == {}
 
--- a/tests/policy/test_bandit.py
+++ b/tests/policy/test_bandit.py
@@ -52,9 +52,9 @@
     for seed in range(6):
         driver = Driver(make_settings(key_affinity=True), *make_backends(9), seed=seed)
         for key in range(20):
-            request = driver.send_request(affinity_key=key)
-            used.setdefault(key, set()).update(driver.forwards[request])
-            driver.end_attempt(request)
+            request_id = driver.send_request(affinity_key=key)
+            used.setdefault(key, set()).update(driver.forwards[request_id])
+            driver.end_attempt(request_id)
     assert all(len(backends) <= 2 for backends in used.values())
     assert len({frozenset(pair) for pair in used.values()}) > 5
 
@@ -65,22 +65,22 @@
     """Return the fraction of requests with this hint that are sent to kind 1, the slow one."""
     slow_count = 0
     for _ in range(count):
-        request = f"h{next(driver.request_ids)}"
-        driver.step(RequestArrived(request, 0, 0, None, driver.now + 900, False, work_hint_ms))
-        kind = kinds[driver.forwards[request][0]]
+        request_id = f"h{next(driver.request_ids)}"
+        driver.step(RequestArrived(request_id, 0, 0, None, driver.now + 900, False, work_hint_ms))
+        kind = kinds[driver.forwards[request_id][0]]
         slow_count += kind
         driver.end_attempt(
-            request, elapsed_ms=30.0, latency_ms=(min(work_hint_ms, 30.0) or 30.0) * (1 + kind)
+            request_id, elapsed_ms=30.0, latency_ms=(min(work_hint_ms, 30.0) or 30.0) * (1 + kind)
         )
     return slow_count / count
 
 
 def learn_work_rates(driver: Driver, kinds: dict[str, int]) -> None:
     for _ in range(200):
-        request = f"l{next(driver.request_ids)}"
-        driver.step(RequestArrived(request, 0, 0, None, driver.now + 900, False, 20.0))
+        request_id = f"l{next(driver.request_ids)}"
+        driver.step(RequestArrived(request_id, 0, 0, None, driver.now + 900, False, 20.0))
         driver.end_attempt(
-            request, elapsed_ms=30.0, latency_ms=20.0 + 20.0 * kinds[driver.forwards[request][0]]
+            request_id, elapsed_ms=30.0, latency_ms=20.0 + 20.0 * kinds[driver.forwards[request_id][0]]
         )
 
 
--- a/tests/policy/test_client_retries.py
+++ b/tests/policy/test_client_retries.py
@@ -31,8 +31,8 @@
         sent = 0
         for number in range(40):
             driver.balancer.client_retries.expected_retries = expected_retries
-            request = driver.send_request(timeout_ms=45 if number % 4 else 398)
-            if request in driver.forwards:
+            request_id = driver.send_request(timeout_ms=45 if number % 4 else 398)
+            if request_id in driver.forwards:
                 sent += number % 4 > 0
-                driver.end_attempt(request, elapsed_ms=10.0)
+                driver.end_attempt(request_id, elapsed_ms=10.0)
         assert min_sent <= sent <= max_sent
--- a/tests/policy/test_in_flight_limit.py
+++ b/tests/policy/test_in_flight_limit.py
@@ -12,10 +12,10 @@
 
 def run_requests(driver: Driver, count: int, latency_ms: float) -> None:
     for _ in range(count):
-        request = driver.send_request(timeout_ms=5000)
+        request_id = driver.send_request(timeout_ms=5000)
         driver.run_ticks(1000)
-        if request in driver.forwards:
-            driver.end_attempt(request, elapsed_ms=0.0, latency_ms=latency_ms)
+        if request_id in driver.forwards:
+            driver.end_attempt(request_id, elapsed_ms=0.0, latency_ms=latency_ms)
 
 
 def test_limit_falls_with_late_responses_and_rises_again() -> None:
@@ -93,8 +93,8 @@
     driver.balancer.in_flight.limit = 0.5
     sent = []
     for _ in range(20):
-        request = driver.send_request(timeout_ms=5000)
-        sent.append(request in driver.forwards)
+        request_id = driver.send_request(timeout_ms=5000)
+        sent.append(request_id in driver.forwards)
         if sent[-1]:
-            driver.end_attempt(request, elapsed_ms=0.0, latency_ms=400.0)
+            driver.end_attempt(request_id, elapsed_ms=0.0, latency_ms=400.0)
     assert 1 <= sum(sent) <= 6
--- a/tests/policy/test_list_updates.py
+++ b/tests/policy/test_list_updates.py
@@ -31,13 +31,13 @@
 def test_snapshot_removes_backend_that_it_does_not_contain() -> None:
     driver = Driver(make_settings(), *make_backends(2))
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(make_backends(1))))
-    assert [s.id for s in driver.balancer.backends.active] == ["10.0.0.0:80"]
+    assert [backend.id for backend in driver.balancer.backends.active] == ["10.0.0.0:80"]
 
 
 def test_late_response_of_removed_backend_does_not_add_it_again() -> None:
     driver = Driver(make_settings(), *make_backends(1))
-    request = driver.send_request()
+    request_id = driver.send_request()
     driver.step(delta("10.0.0.0:80", BackendState.REMOVED))
-    driver.end_attempt(request)
+    driver.end_attempt(request_id)
     driver.send_request()
     assert not actions_of_type(Forward, driver.last_actions)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -26,13 +26,13 @@
     driver = Driver(make_settings(proxy_count=8, zone_count=2), *make_backends_in_two_zones(8))
     first_backends: list[str] = []
     for _ in range(100):
-        request = driver.send_request()
-        first_backends.append(driver.forwards[request][0])
+        request_id = driver.send_request()
+        first_backends.append(driver.forwards[request_id][0])
         for attempt in range(4):
-            if len(driver.forwards[request]) > attempt:
-                near = driver.forwards[request][attempt].split(".")[2] == "0"
+            if len(driver.forwards[request_id]) > attempt:
+                near = driver.forwards[request_id][attempt].split(".")[2] == "0"
                 driver.end_attempt(
-                    request, AttemptResult.CONNECT_FAILED if near else AttemptResult.OK, elapsed_ms=1.0
+                    request_id, AttemptResult.CONNECT_FAILED if near else AttemptResult.OK, elapsed_ms=1.0
                 )
         driver.run_ticks(100)
     assert sum(s.split(".")[2] == "1" for s in first_backends[60:]) > 15
@@ -42,12 +42,12 @@
     """Return the number of forwards to `bad`, which fails two of each three, so rarely three in a row."""
     forward_count = 0
     for _ in range(arrivals):
-        request = driver.send_request()
-        is_bad = driver.forwards[request][0] == bad
+        request_id = driver.send_request()
+        is_bad = driver.forwards[request_id][0] == bad
         forward_count += is_bad
         fails = is_bad and forward_count % 3 != 0
         driver.end_attempt(
-            request,
+            request_id,
             AttemptResult.ERROR if fails else AttemptResult.OK,
             elapsed_ms=10.0,
             request_finished=True,
@@ -68,9 +68,9 @@
 
 
 def fail_one(driver: Driver, result: AttemptResult) -> tuple[str, list[SendGossip]]:
-    request = driver.send_request()
-    return driver.forwards[request][0], actions_of_type(
-        SendGossip, driver.end_attempt(request, result, request_finished=True)
+    request_id = driver.send_request()
+    return driver.forwards[request_id][0], actions_of_type(
+        SendGossip, driver.end_attempt(request_id, result, request_finished=True)
     )
 
 
--- a/tests/policy/test_queue_timeouts.py
+++ b/tests/policy/test_queue_timeouts.py
@@ -36,11 +36,11 @@
 
 def test_request_at_its_deadline_fails_immediately() -> None:
     driver = Driver(make_settings(), *make_backends(1))
-    request = driver.send_request(timeout_ms=0.0)
-    assert [fail.request_id for fail in actions_of_type(Fail, driver.last_actions)] == [request]
+    request_id = driver.send_request(timeout_ms=0.0)
+    assert [fail.request_id for fail in actions_of_type(Fail, driver.last_actions)] == [request_id]
 
 
 def test_request_without_backends_fails_before_its_deadline() -> None:
     driver = Driver(make_settings())
-    request = driver.send_request(timeout_ms=200)
-    assert [fail.request_id for fail in actions_of_type(Fail, driver.run_ticks(175))] == [request]
+    request_id = driver.send_request(timeout_ms=200)
+    assert [fail.request_id for fail in actions_of_type(Fail, driver.run_ticks(175))] == [request_id]
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -43,10 +43,10 @@
                 driver.tick(STEP_MS) if step % 3 == 0 else driver.step(elapsed_ms=STEP_MS), outcomes
             )
             while self.ends and self.ends[0][0] <= driver.now:
-                _, request, attempt, result, latency_ms = heappop(self.ends)
+                _, request_id, attempt, result, latency_ms = heappop(self.ends)
                 self.schedule_ends(
                     driver.step(
-                        AttemptEnded(request, attempt, result, latency_ms, result is AttemptResult.OK)
+                        AttemptEnded(request_id, attempt, result, latency_ms, result is AttemptResult.OK)
                     ),
                     outcomes,
                 )
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -39,16 +39,16 @@
     result: AttemptResult,
 ) -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(3))
-    request = driver.send_request()
-    retries = actions_of_type(Forward, driver.end_attempt(request, result))
-    assert len(retries) == 1 and retries[0].backend_id != driver.forwards[request][0]
+    request_id = driver.send_request()
+    retries = actions_of_type(Forward, driver.end_attempt(request_id, result))
+    assert len(retries) == 1 and retries[0].backend_id != driver.forwards[request_id][0]
 
 
 def test_request_fails_after_its_maximum_number_of_attempts() -> None:
     driver = Driver(make_settings(max_attempts=2), *make_backends(4))
-    request = driver.send_request()
-    driver.end_attempt(request, AttemptResult.REJECTED)
-    assert actions_of_type(Fail, driver.end_attempt(request, AttemptResult.REJECTED))
+    request_id = driver.send_request()
+    driver.end_attempt(request_id, AttemptResult.REJECTED)
+    assert actions_of_type(Fail, driver.end_attempt(request_id, AttemptResult.REJECTED))
 
 
 def test_retry_budget_limits_retries_of_requests_that_may_have_executed() -> None:
@@ -63,24 +63,24 @@
 def test_slow_attempt_is_neither_cancelled_nor_hedged() -> None:
     """Backends may continue cancelled work, so a second attempt would add load where capacity is lowest."""
     driver = Driver(make_settings(), *make_backends(2))
-    request = driver.send_request()
-    assert not actions_of_type(CancelAttempt, driver.run_ticks(275)) and len(driver.forwards[request]) == 1
+    request_id = driver.send_request()
+    assert not actions_of_type(CancelAttempt, driver.run_ticks(275)) and len(driver.forwards[request_id]) == 1
 
 
 def test_bad_request_is_not_retried() -> None:
     driver = Driver(make_settings(), *make_backends(2))
-    request = driver.send_request()
+    request_id = driver.send_request()
     assert (
-        actions_of_type(Fail, driver.end_attempt(request, AttemptResult.BAD_REQUEST))
-        and len(driver.forwards[request]) == 1
+        actions_of_type(Fail, driver.end_attempt(request_id, AttemptResult.BAD_REQUEST))
+        and len(driver.forwards[request_id]) == 1
     )
 
 
 def test_non_idempotent_request_is_retried_after_a_local_failure() -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(2))
-    request = driver.send_request()
-    driver.end_attempt(request, AttemptResult.NO_LOCAL_RESOURCE)
-    assert len(driver.forwards[request]) == 2
+    request_id = driver.send_request()
+    driver.end_attempt(request_id, AttemptResult.NO_LOCAL_RESOURCE)
+    assert len(driver.forwards[request_id]) == 2
 
 
 @pytest.mark.parametrize("idempotency", list(Idempotency))
@@ -89,15 +89,15 @@
         make_settings(RequestClass(1000.0, 3000.0, idempotency, dedup_window_ms=1000.0), max_attempts=5),
         *make_backends(5),
     )
-    request, started_at = driver.send_request(timeout_ms=3000.0), driver.now
+    request_id, started_at = driver.send_request(timeout_ms=3000.0), driver.now
     attempt_count = 0
     while driver.now < started_at + 200.0:
         actions = driver.step()
-        if len(driver.forwards[request]) > attempt_count:
+        if len(driver.forwards[request_id]) > attempt_count:
             attempt_count += 1
-            actions += driver.end_attempt(request, AttemptResult.NO_LOCAL_RESOURCE, elapsed_ms=0.1)
+            actions += driver.end_attempt(request_id, AttemptResult.NO_LOCAL_RESOURCE, elapsed_ms=0.1)
         actions += driver.tick()
         assert actions_of_type(Fail, actions) == []
     driver.run_ticks(500.0)
-    assert len(driver.forwards[request]) == attempt_count + 1
-    assert actions_of_type(Fail, driver.end_attempt(request)) == []
+    assert len(driver.forwards[request_id]) == attempt_count + 1
+    assert actions_of_type(Fail, driver.end_attempt(request_id)) == []
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -101,8 +101,8 @@
     driver = Driver(make_settings(proxy_count=2, **COLD), BackendInfo("new:1", started_at=900.0))
     for _ in range(40):
         driver.send_request(timeout_ms=5000)
-        for request in list(driver.forwards):
-            driver.end_attempt(request, elapsed_ms=0.0)
+        for request_id in list(driver.forwards):
+            driver.end_attempt(request_id, elapsed_ms=0.0)
         driver.tick(elapsed_ms=50.0)
     assert forwards_to("new:1", [driver]) <= 3
 
