--- a/dunecove/policy/backend.py
+++ b/dunecove/policy/backend.py
@@ -97,7 +97,7 @@
         self.next_token_draw_at = 0.0  # next random draw of a slow start token by a sparse proxy
         self.last_progress_at = 0.0  # last response, or last attempt started while none was in flight
         self.started_at: float | None = None
-        self.cold_until = 0.0
+        self.cold_until = 0.0  # time at which the backend becomes warm; 0 if it is not known to be cold
 
     def has_capacity(self, now: float, min_limit: float = 0.0) -> bool:
         """Whether the backend may get another request, with a concurrency limit of at least `min_limit`."""
--- a/dunecove/policy/in_flight_limit.py
+++ b/dunecove/policy/in_flight_limit.py
@@ -104,9 +104,8 @@
         is_overload = result in LOAD_FAILURES or latency_ms > OVERLOAD_OBJECTIVE_FRACTION * objective_ms
         self.overload_fraction = ewma(self.overload_fraction, is_overload, LATENCY_WEIGHT)
         if is_overload:
-            if (
-                backend.payoff > mean_payoff(subset) / 2
-            ):  # a bad backend gives no information about the others
+            # A bad backend gives no information about the others.
+            if backend.payoff > mean_payoff(subset) / 2:
                 self.limit = max(MIN_IN_FLIGHT_LIMIT, self.limit * (1 - REDUCE_FRACTION))
         elif result is AttemptResult.OK and self.limit < MAX_LIMIT_TO_IN_FLIGHT_RATIO * (self.count + 1):
             self.limit += RAISE_STEP * sqrt(self.limit)
--- a/dunecove/policy/request.py
+++ b/dunecove/policy/request.py
@@ -57,7 +57,7 @@
         self.value_expires_at = self.deadline
         if request_class.late_weight <= 0:
             self.value_expires_at = min(self.deadline, self.objective_end)
-        self.send_deadline = self.deadline
+        self.send_deadline = self.deadline  # latest time for the next attempt; set by `QueueTimeouts`
         self.attempts: list[Attempt] = []
         self.open_attempt_count = 0
         self.is_queued = False  # in its queue, or waiting for a backend in its deduplication scope
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -15,7 +15,7 @@
 
 
 def driver_with_queued_request(*classes: RequestClass, **overrides: Any) -> Driver:
-    """Return a driver with one request in flight at its only backend and another one queued for long."""
+    """Return a driver with one request in flight at its only backend and one queued with a long deadline."""
     driver = Driver(make_settings(*classes, proxy_count=4, **overrides), *make_backends(1))
     driver.send_request(0)
     driver.send_request(0, timeout_ms=100_000)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -60,6 +60,7 @@
 
 def test_level_three_is_shed_at_a_higher_overload_ratio_than_level_four() -> None:
     classes = tuple(RequestClass(300.0, 900.0, priority_weight=weight) for weight in (12.0, 4.0, 1.0))
+    # Overload ratio 1.5: the threshold is 0.08 (`MAX_WAIT_SLACK_FRACTION`) of the objective of 300 ms.
     counts = {
         class_index: rejections_after_waits(classes, class_index, 1.5 * 0.08 * 300) for class_index in (1, 2)
     }
@@ -68,6 +69,7 @@
 
 def test_long_wait_sheds_half_the_highest_weight_but_not_the_highest() -> None:
     classes = tuple(RequestClass(300.0, 900.0, priority_weight=weight) for weight in (10.0, 5.0))
+    # Overload ratio 6.5: the threshold is 0.08 (`MAX_WAIT_SLACK_FRACTION`) of the objective of 300 ms.
     counts = {
         class_index: rejections_after_waits(classes, class_index, 6.5 * 0.08 * 300) for class_index in (0, 1)
     }
@@ -90,10 +92,10 @@
         RequestClass(300.0, 900.0, priority_weight=12.0),
         RequestClass(300.0, 900.0, priority_weight=1.0),
     )
-    for release, rejected in ((0.5, False), (4.0, True)):
+    for readmission_objectives, rejected in ((0.5, False), (4.0, True)):
         driver = Driver(make_settings(*classes), *make_backends(40))
         driver.balancer.queues[0].detector.last_overloaded_at = driver.now
-        driver.balancer.queues[0].detector.readmission_objectives = release
+        driver.balancer.queues[0].detector.readmission_objectives = readmission_objectives
         driver.send_request(1)
         assert bool(actions_of_type(Reject, driver.last_actions)) is rejected
 
@@ -123,8 +125,11 @@
     classes = tuple(RequestClass(300.0, 900.0, priority_weight=weight) for weight in (10.0, 5.0))
     balancer = Balancer(make_settings(*classes), 1)
 
-    def levels(work: float) -> list[int]:
-        return [balancer.admission.priority_level(0.0, request_class, 0, work) for request_class in classes]
+    def levels(work_hint_ms: float) -> list[int]:
+        return [
+            balancer.admission.priority_level(0.0, request_class, 0, work_hint_ms)
+            for request_class in classes
+        ]
 
     assert levels(5000.0) == [1, 3]  # before any kind's work rate is known
     balancer.latencies.work_rates = {0: 1.5, 1: 3.0}
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -24,7 +24,7 @@
 from tests.support import Driver, actions_of_type, make_backends, make_settings
 
 
-def test_same_events_and_seed_give_the_same_actions() -> None:
+def test_same_events_and_seed_choose_the_same_backends() -> None:
     runs = []
     for _ in range(2):
         driver = Driver(make_settings(), *make_backends(5), seed=7)
--- a/tests/policy/test_bandit.py
+++ b/tests/policy/test_bandit.py
@@ -92,7 +92,7 @@
     learn_work_rates(driver, kinds)
     assert fraction_sent_to_slow_kind(driver, kinds, 20.0) > 0.2  # both kinds finish short work in time
     assert fraction_sent_to_slow_kind(driver, kinds, 90.0) == 0.0
-    # Late on both kinds, but less so on the fast one.
+    # This work is late on both kinds, but less so on the fast one.
     assert fraction_sent_to_slow_kind(driver, kinds, 5000.0) == 0.0
     assert fraction_sent_to_slow_kind(driver, kinds, 0.0) > 0.2  # no hint
 
--- a/tests/policy/test_client_retries.py
+++ b/tests/policy/test_client_retries.py
@@ -23,9 +23,9 @@
         assert actions_of_type(Forward, driver.last_actions)
 
 
-def test_requests_with_less_time_are_taken_for_retries_only_if_retries_are_expected() -> None:
-    # Guards against taking requests with a short deadline for retries past their objective: three of four had
-    # an eighth of the usual time, and failed without an attempt although backends were idle.
+def test_requests_with_less_time_are_treated_as_retries_only_if_retries_are_expected() -> None:
+    # Guards against treating requests with a short deadline as retries past their objective: three of four
+    # had an eighth of the usual time, and failed without an attempt although backends were idle.
     for expected_retries, min_sent, max_sent in ((0.0, 30, 30), (100.0, 0, 0)):
         driver = Driver(make_settings(RequestClass(80.0, 400.0)), *make_backends(4))
         sent = 0
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -39,7 +39,7 @@
 
 
 def test_saturation_of_all_backends_together_reduces_all_limits() -> None:
-    """Two responses are too few to judge one backend, but twenty backends together have enough."""
+    """Each backend has too few responses to judge it alone, but twenty backends together have enough."""
     driver = Driver(make_settings(proxy_count=4), *make_backends(20))
     backends = driver.balancer.backends.active
     before = sum(backend.limit for backend in backends)
--- a/tests/policy/test_discovery_polling.py
+++ b/tests/policy/test_discovery_polling.py
@@ -39,7 +39,10 @@
 
 @pytest.mark.parametrize("proxy_index", [0, 342, 684])
 def test_first_poll_of_large_tier_is_within_maximum_interval(proxy_index: int) -> None:
-    """After it a proxy counts as notified of drains that it may not have received (incident i7da933)."""
+    """Guards against incident i7da933.
+
+    After the maximum interval a proxy is considered notified of drains that it may not have received.
+    """
     driver = Driver(
         make_settings(
             polls_discovery=True, proxy_count=685, proxy_index=proxy_index, max_poll_interval_ms=10_000.0
@@ -49,21 +52,21 @@
     assert actions_of_type(PollDiscovery, driver.run_ticks(8_000))
 
 
-@pytest.mark.parametrize("proxies", [200, 1_000, 3_400])
-def test_retries_of_large_tier_are_within_rate_bounds_of_discovery(proxies: int) -> None:
-    """Each proxy must be notified within 6 s after an outage, so at least a sixth poll in each second."""
-    config = make_settings(polls_discovery=True, proxy_count=proxies, max_poll_interval_ms=10_000.0)
+@pytest.mark.parametrize("proxy_count", [200, 1_000, 3_400])
+def test_retries_of_large_tier_are_within_rate_bounds_of_discovery(proxy_count: int) -> None:
+    """Proxies must be notified within 6 s after an outage, so at least a sixth must poll each second."""
+    settings = make_settings(polls_discovery=True, proxy_count=proxy_count, max_poll_interval_ms=10_000.0)
     polls: Counter[int] = Counter()  # by second
-    for proxy_index in range(0, proxies, proxies // 200):
-        driver = Driver(replace(config, proxy_index=proxy_index), *make_backends(1), seed=proxy_index)
+    for proxy_index in range(0, proxy_count, proxy_count // 200):
+        driver = Driver(replace(settings, proxy_index=proxy_index), *make_backends(1), seed=proxy_index)
         end = driver.now + 30_000
         while driver.now < end:
             if actions_of_type(PollDiscovery, driver.tick()):
-                polls[int(driver.now / 1000)] += proxies // 200
+                polls[int(driver.now / 1000)] += proxy_count // 200
                 driver.step(BackendListUpdate(ListUpdateKind.FAILED))
     steady = [polls[second] for second in range(8, 29)]  # without the first retries, which are fast
-    assert max(steady) <= 0.6 * proxies and min(steady) >= proxies / 6
-    assert max(polls.values()) <= 1.5 * proxies
+    assert max(steady) <= 0.6 * proxy_count and min(steady) >= proxy_count / 6
+    assert max(polls.values()) <= 1.5 * proxy_count
 
 
 def test_failed_pushed_list_is_retried_fast_after_any_number_of_failures() -> None:
@@ -89,8 +92,8 @@
 
 
 def test_failed_poll_shortly_after_move_is_retried_fast() -> None:
-    # The updates of the new service count as notified 4 s after the move, so the delay that has grown with
-    # earlier failures would be too long.
+    # The proxy is considered notified of the new service's updates 4 s after the move, so the delay that has
+    # grown with earlier failures would be too long.
     driver = Driver(make_settings(polls_discovery=True), *make_backends(2))
     for _ in range(6):
         driver.step(BackendListUpdate(ListUpdateKind.FAILED))
--- a/tests/policy/test_in_flight_limit.py
+++ b/tests/policy/test_in_flight_limit.py
@@ -62,11 +62,11 @@
 
 
 @pytest.mark.parametrize(
-    ("result", "latency_ms", "times"),
+    ("result", "latency_ms", "attempt_count"),
     [(AttemptResult.TIMEOUT, 650.0, 1), (AttemptResult.CONNECT_FAILED, 150.0, 2)],
 )
 def test_hanging_backend_does_not_exhaust_the_limit(
-    result: AttemptResult, latency_ms: float, times: int
+    result: AttemptResult, latency_ms: float, attempt_count: int
 ) -> None:
     """Guards against charging the time of an unresponsive backend as load.
 
@@ -76,7 +76,7 @@
     run_requests(driver, 20, 40.0)
     driver.balancer.in_flight.limit = 1.0
     driver.run_ticks(1000)
-    for _ in range(times):
+    for _ in range(attempt_count):
         driver.end_attempt(
             driver.send_request(timeout_ms=5000),
             result,
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -30,12 +30,14 @@
         first_backends.append(driver.forwards[request_id][0])
         for attempt in range(4):
             if len(driver.forwards[request_id]) > attempt:
-                near = driver.forwards[request_id][attempt].split(".")[2] == "0"
+                in_own_zone = driver.forwards[request_id][attempt].split(".")[2] == "0"
                 driver.end_attempt(
-                    request_id, AttemptResult.CONNECT_FAILED if near else AttemptResult.OK, elapsed_ms=1.0
+                    request_id,
+                    AttemptResult.CONNECT_FAILED if in_own_zone else AttemptResult.OK,
+                    elapsed_ms=1.0,
                 )
         driver.run_ticks(100)
-    assert sum(s.split(".")[2] == "1" for s in first_backends[60:]) > 15
+    assert sum(backend_id.split(".")[2] == "1" for backend_id in first_backends[60:]) > 15
 
 
 def forwards_to_failing_backend(driver: Driver, bad: str, arrivals: int) -> int:
@@ -67,7 +69,7 @@
     assert bad not in driver.balancer.backends.subset and len(driver.balancer.backends.subset) >= 8
 
 
-def fail_one(driver: Driver, result: AttemptResult) -> tuple[str, list[SendGossip]]:
+def fail_one_request(driver: Driver, result: AttemptResult) -> tuple[str, list[SendGossip]]:
     request_id = driver.send_request()
     return driver.forwards[request_id][0], actions_of_type(
         SendGossip, driver.end_attempt(request_id, result, request_finished=True)
@@ -76,13 +78,17 @@
 
 def test_backend_faults_are_reported_and_load_failures_are_not() -> None:
     driver = Driver(make_settings(**GOSSIPING), *make_backends(30))
-    name, (gossip,) = fail_one(driver, AttemptResult.ERROR)
+    name, (gossip,) = fail_one_request(driver, AttemptResult.ERROR)
     assert gossip.payload == b"\x01" + driver.balancer.backends.by_id[name].name_hash.to_bytes(4, "big")
     for result in (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.REJECTED):
-        assert fail_one(driver, result)[1] == []
+        assert fail_one_request(driver, result)[1] == []
     dense = Driver(make_settings(proxy_count=3, may_gossip=True), *make_backends(30))
     without_gossip = Driver(make_settings(proxy_count=40), *make_backends(30))
-    assert fail_one(dense, AttemptResult.ERROR)[1] == fail_one(without_gossip, AttemptResult.ERROR)[1] == []
+    assert (
+        fail_one_request(dense, AttemptResult.ERROR)[1]
+        == fail_one_request(without_gossip, AttemptResult.ERROR)[1]
+        == []
+    )
 
 
 @pytest.mark.parametrize(
@@ -105,37 +111,45 @@
 
 def test_reports_eject_at_most_half_of_backends() -> None:
     driver = Driver(make_settings(**GOSSIPING), *make_backends(10))
-    data = b"\x01" + b"".join(s.name_hash.to_bytes(4, "big") for s in driver.balancer.backends.active)
+    payload = b"\x01" + b"".join(
+        backend.name_hash.to_bytes(4, "big") for backend in driver.balancer.backends.active
+    )
     for sender in (1, 2, 3):
-        driver.step(GossipReceived(sender, data))
-    assert sum(s.has_capacity(driver.now) for s in driver.balancer.backends.active) == 5
+        driver.step(GossipReceived(sender, payload))
+    assert sum(backend.has_capacity(driver.now) for backend in driver.balancer.backends.active) == 5
 
 
 def test_own_reports_and_malformed_unknown_or_unlisted_ones_are_ignored() -> None:
     driver = Driver(make_settings(proxy_index=4, **GOSSIPING), *make_backends(30))
-    removed = driver.balancer.backends.subset[0].name_hash.to_bytes(4, "big")
-    own = GossipReceived(4, b"\x01" + driver.balancer.backends.subset[1].name_hash.to_bytes(4, "big"))
+    removed_hash = driver.balancer.backends.subset[0].name_hash.to_bytes(4, "big")
+    own_report = GossipReceived(4, b"\x01" + driver.balancer.backends.subset[1].name_hash.to_bytes(4, "big"))
     driver.step(
         BackendListUpdate(
             ListUpdateKind.SNAPSHOT,
-            tuple(s for s in make_backends(30) if s.backend_id != driver.balancer.backends.subset[0].id),
+            tuple(
+                backend
+                for backend in make_backends(30)
+                if backend.backend_id != driver.balancer.backends.subset[0].id
+            ),
         )
     )
-    for data in (b"", b"\x01", b"\x01abc", b"\x01abcd", b"\x02" + removed, b"\x01" + removed):
+    for payload in (b"", b"\x01", b"\x01abc", b"\x01abcd", b"\x02" + removed_hash, b"\x01" + removed_hash):
         for sender in (1, 2, 3):
-            driver.step(GossipReceived(sender, data), own)
-    assert all(s.has_capacity(driver.now) for s in driver.balancer.backends.active)
+            driver.step(GossipReceived(sender, payload), own_report)
+    assert all(backend.has_capacity(driver.now) for backend in driver.balancer.backends.active)
 
 
 def fail_often(
-    driver: Driver, backend: int, times: int, result: AttemptResult = AttemptResult.ERROR
+    driver: Driver, backend_index: int, failure_count: int, result: AttemptResult = AttemptResult.ERROR
 ) -> list[Any]:
     actions: list[Any] = []
-    for other in driver.balancer.backends.active:
-        other.ejected_until = 0.0 if other is driver.balancer.backends.active[backend] else driver.now + 1e9
-    for _ in range(times):
+    for backend in driver.balancer.backends.active:
+        backend.ejected_until = (
+            0.0 if backend is driver.balancer.backends.active[backend_index] else driver.now + 1e9
+        )
+    for _ in range(failure_count):
         driver.balancer.retry_policy.budget = 0.0
-        if not driver.balancer.backends.active[backend].has_capacity(driver.now):
+        if not driver.balancer.backends.active[backend_index].has_capacity(driver.now):
             break
         actions += driver.end_attempt(driver.send_request(), result)
     return actions
@@ -157,9 +171,9 @@
 
 def test_at_most_half_of_backends_are_ejected() -> None:
     driver = Driver(make_settings(NON_IDEMPOTENT), *make_backends(4))
-    for n in range(4):
-        fail_often(driver, n, 12)
-    assert sum(s.consecutive_failures >= 3 for s in driver.balancer.backends.active) <= 2
+    for backend_index in range(4):
+        fail_often(driver, backend_index, 12)
+    assert sum(backend.consecutive_failures >= 3 for backend in driver.balancer.backends.active) <= 2
 
 
 def test_no_backend_is_ejected_when_all_have_same_payoff() -> None:
--- a/tests/policy/test_pinned_retries.py
+++ b/tests/policy/test_pinned_retries.py
@@ -37,8 +37,8 @@
         driver = Driver(make_settings(request_class), *three_cells(), seed=seed)
         request_id = driver.send_request()
         assert len(actions_of_type(Forward, driver.end_attempt(request_id, AttemptResult.ERROR))) == 1
-        one, two = driver.forwards[request_id]
-        assert one.split(".")[2] == two.split(".")[2] and one != two
+        first, second = driver.forwards[request_id]
+        assert first.split(".")[2] == second.split(".")[2] and first != second
 
 
 def test_keyed_request_fails_after_its_deduplication_window() -> None:
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -92,7 +92,7 @@
     backend_id: str
     sent_at: float
     timeout_ms: float
-    entry: BackendInfo  # the backend's list entry at that time; its zone and cell may know the key
+    entry: BackendInfo  # the backend's list entry when sent; backends of its zone and cell may know the key
     result: AttemptResult | None = None
     cancelled: bool = False
 
@@ -134,7 +134,7 @@
             request.is_finished = True
             if isinstance(action, Reject):
                 assert (
-                    not self.may_have_executed(request)
+                    not self.attempts_that_may_have_executed(request)
                     or CLASSES[request.class_index].idempotency is Idempotency.IDEMPOTENT
                 )
                 assert action.retry_after_ms <= self.config.max_retry_after_ms
@@ -145,7 +145,7 @@
         elif isinstance(action, SendHealthCheck):
             assert self.config.may_health_check
 
-    def may_have_executed(self, request: SentRequest) -> list[SentAttempt]:
+    def attempts_that_may_have_executed(self, request: SentRequest) -> list[SentAttempt]:
         return [a for a in request.attempts if a.result not in NEVER_EXECUTED]
 
     def check_forward(self, action: Forward) -> None:
@@ -155,7 +155,7 @@
         entry = self.entries[action.backend_id]
         assert entry.state is BackendState.ACTIVE, "an attempt at a backend that is not active"
         assert len(request.attempts) < self.config.max_attempts
-        executed = self.may_have_executed(request)
+        executed = self.attempts_that_may_have_executed(request)
         if not self.config.may_hedge:
             assert all(a.result is not None for a in request.attempts), "concurrent attempts without hedging"
         if executed and request_class.idempotency is Idempotency.NON_IDEMPOTENT:
@@ -290,24 +290,24 @@
 ) -> None:
     oracle = Oracle(config, seed)
     oracle.update_list(ListUpdateKind.CACHED, [e for e in first if e.state is not BackendState.REMOVED])
-    for number, (operation, a, b) in enumerate(moves):
+    for number, (operation, first_argument, second_argument) in enumerate(moves):
         if operation == "send_request":
-            assert isinstance(a, int) and isinstance(b, float)
-            oracle.send_request(number, a, b)
+            assert isinstance(first_argument, int) and isinstance(second_argument, float)
+            oracle.send_request(number, first_argument, second_argument)
         elif operation == "advance":
-            assert isinstance(a, float)
-            oracle.advance(int(a / 5))
+            assert isinstance(first_argument, float)
+            oracle.advance(int(first_argument / 5))
         elif operation == "update_list":
-            assert isinstance(a, ListUpdateKind) and isinstance(b, list)
-            oracle.update_list(a, b)
+            assert isinstance(first_argument, ListUpdateKind) and isinstance(second_argument, list)
+            oracle.update_list(first_argument, second_argument)
         elif oracle.requests:
-            assert isinstance(a, int)
-            request_id = list(oracle.requests)[a % len(oracle.requests)]
+            assert isinstance(first_argument, int)
+            request_id = list(oracle.requests)[first_argument % len(oracle.requests)]
             if operation == "disconnect":
-                oracle.disconnect(request_id, 2 if b else 1)
+                oracle.disconnect(request_id, 2 if second_argument else 1)
             else:
-                assert isinstance(b, AttemptResult)
-                oracle.end_first_open_attempt(request_id, b)
+                assert isinstance(second_argument, AttemptResult)
+                oracle.end_first_open_attempt(request_id, second_argument)
     oracle.advance(500)  # ends all open requests
     assert all(request.is_finished for request in oracle.requests.values())
     assert oracle.balancer.requests == {}
--- a/tests/policy/test_queue_timeouts.py
+++ b/tests/policy/test_queue_timeouts.py
@@ -15,7 +15,7 @@
 
 
 def test_request_without_attempts_fails_before_half_its_time_has_passed() -> None:
-    # Failed later, it would leave its client no time for a retry.
+    # If the request failed later, its client would have no time left for a retry.
     driver = Driver(make_settings(RequestClass(5000.0, 9000.0), proxy_count=4), *make_backends(1))
     driver.send_request(timeout_ms=1000)
     queued = driver.send_request(timeout_ms=1000)
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -33,18 +33,22 @@
     for _ in range(200):
         driver.end_attempt(driver.send_request(), elapsed_ms=10.0, latency_ms=50.0)
         driver.tick(elapsed_ms=40.0)
-    restarted = [s._replace(started_at=driver.now) for s in make_backends_in_two_zones(16) if s.zone == 1]
+    restarted = [
+        backend._replace(started_at=driver.now)
+        for backend in make_backends_in_two_zones(16)
+        if backend.zone == 1
+    ]
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(restarted)))
     driver.forwards.clear()
     for _ in range(200):
         driver.end_attempt(driver.send_request(), elapsed_ms=10.0, latency_ms=50.0)
         driver.tick(elapsed_ms=40.0)
-    cold_count = sum(ids[0].split(".")[2] == "1" for ids in driver.forwards.values())
+    cold_count = sum(backend_ids[0].split(".")[2] == "1" for backend_ids in driver.forwards.values())
     assert 10 <= cold_count <= 80  # of 200; half of the backends have a sixth to a half of their capacity
 
 
-@pytest.mark.parametrize("proxies", [50, 400])
-def test_first_requests_of_many_proxies_to_cold_backend_are_spread(proxies: int) -> None:
+@pytest.mark.parametrize("proxy_count", [50, 400])
+def test_first_requests_of_many_proxies_to_cold_backend_are_spread(proxy_count: int) -> None:
     """All proxies learn of a new backend at once; a first request from each at once would overload it."""
     cold = {
         "slow_start_capacity": 0.12,
@@ -53,9 +57,9 @@
         "slow_start_window_ms": 2000.0,
     }
     times = []
-    for proxy_index in range(proxies):
+    for proxy_index in range(proxy_count):
         driver = Driver(
-            make_settings(proxy_count=proxies, proxy_index=proxy_index, **cold),
+            make_settings(proxy_count=proxy_count, proxy_index=proxy_index, **cold),
             BackendInfo("new:1", started_at=990.0),
             seed=proxy_index,
         )
@@ -65,18 +69,23 @@
                 break
             driver.send_request(timeout_ms=100)
             driver.tick(elapsed_ms=50.0)
-    assert len(times) <= proxies / 10 + 4
+    assert len(times) <= proxy_count / 10 + 4
 
 
 def forwards_to(backend_id: str, drivers: list[Driver]) -> int:
-    return sum(i == backend_id for driver in drivers for ids in driver.forwards.values() for i in ids)
+    return sum(
+        forwarded_id == backend_id
+        for driver in drivers
+        for backend_ids in driver.forwards.values()
+        for forwarded_id in backend_ids
+    )
 
 
 @pytest.mark.parametrize("split", [(1, 1, 1), (1, 0, 0), (4, 1, 1)])
 def test_total_budget_stays_within_capacity_for_any_traffic_split(split: tuple[int, ...]) -> None:
-    """A warm backend gets 10 requests per second; a cold one has at least its share of that as capacity."""
-    config = make_settings(proxy_count=3, **COLD)
-    drivers = [Driver(config, *make_backends(4), seed=s) for s in range(3)]
+    """A cold backend can serve at least its current fraction of the 10 requests per second of a warm one."""
+    settings = make_settings(proxy_count=3, **COLD)
+    drivers = [Driver(settings, *make_backends(4), seed=seed) for seed in range(3)]
     elapsed_ms = 1000.0 / 40.0 * sum(split)
     sent: list[tuple[float, int]] = []
     for tick in range(400):
@@ -91,9 +100,11 @@
         sent.append((drivers[0].now, forwards_to("new:1", drivers)))
     start = sent[200][0]
     for now, count in sent[200:]:
-        before = max((c for t, c in sent if t <= now - 2000), default=0)
+        count_before = max((sent_count for time, sent_count in sent if time <= now - 2000), default=0)
         capacity = 0.12 + 0.88 * max(0.0, now - 2000 - start) / 20_000
-        assert count - before <= 3 * capacity * 10 * 2 + 3  # 3: the rule's tolerance for random variation
+        assert (
+            count - count_before <= 3 * capacity * 10 * 2 + 3
+        )  # 3: the overload rule's tolerance for random variation
     assert sent[-1][1] > 3
 
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -32,7 +32,7 @@
 from tests.support import Driver, make_backends, make_settings
 
 LARGE_TIER = {"proxy_count": 3400, "proxy_index": 17, "zone_count": 2}
-# Each of the first four names has the CRC-32 of one of the last four.
+# Each `plumless` name has the same CRC-32 as the `buckeroo` name with the same number.
 NAMES = [f"{name}{i}" for name in ("plumless", "buckeroo") for i in range(4)] + [f"s{i}" for i in range(40)]
 
 
@@ -115,12 +115,14 @@
         removed = make_numbered_backends(2, 400 * n)
         driver.step(
             BackendListUpdate(
-                ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.DRAINING) for s in removed)
+                ListUpdateKind.DELTA,
+                tuple(backend._replace(state=BackendState.DRAINING) for backend in removed),
             )
         )
         driver.step(
             BackendListUpdate(
-                ListUpdateKind.DELTA, tuple(s._replace(state=BackendState.REMOVED) for s in removed)
+                ListUpdateKind.DELTA,
+                tuple(backend._replace(state=BackendState.REMOVED) for backend in removed),
             )
         )
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, make_numbered_backends(2, 30_000 + 2 * n)))
@@ -135,7 +137,9 @@
     driver = Driver(make_settings(**LARGE_TIER), *make_numbered_backends(5_000))
     before = list(driver.balancer.backends.by_id.values())
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, make_numbered_backends(5_000, weight=0.5)))
-    assert list(driver.balancer.backends.by_id.values()) == before and {s.weight for s in before} == {0.5}
+    assert list(driver.balancer.backends.by_id.values()) == before and {
+        backend.weight for backend in before
+    } == {0.5}
     unsubscribed = driver.balancer.backends.unsubscribed
     weights = {entry.weight for name in unsubscribed.first(maxsize) if (entry := unsubscribed.get(name))}
     assert weights == {0.5}
@@ -166,7 +170,9 @@
 def test_dense_proxy_subscribes_to_warm_backends_when_all_subscribed_ones_are_cold() -> None:
     cold = {"slow_start_capacity": 0.1, "slow_start_ms": 60_000.0, "slow_start_window_ms": 10_000.0}
     driver = Driver(make_settings(proxy_count=3, **cold), *make_numbered_backends(2_000))
-    restarted = tuple(BackendInfo(s.id, started_at=driver.now) for s in driver.balancer.backends.active)
+    restarted = tuple(
+        BackendInfo(backend.id, started_at=driver.now) for backend in driver.balancer.backends.active
+    )
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, restarted))
     assert driver.send_request() in driver.forwards
 
@@ -182,9 +188,11 @@
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, (drained,)))
     driver.end_attempt(request_id, AttemptResult.ERROR, request_finished=False)
     assert len(driver.forwards[request_id]) == 2
-    one, other = (int(backend_id[2:], 16) for backend_id in driver.forwards[request_id])
-    assert one != other and (
-        one // 4 == other // 4 if scope is DeduplicationScope.CELL else one % 3 == other % 3
+    first_number, retry_number = (int(backend_id[2:], 16) for backend_id in driver.forwards[request_id])
+    assert first_number != retry_number and (
+        first_number // 4 == retry_number // 4
+        if scope is DeduplicationScope.CELL
+        else first_number % 3 == retry_number % 3
     )
 
 
@@ -193,22 +201,24 @@
     driver = Driver(make_settings(request_class, **LARGE_TIER), *make_numbered_backends(5_000))
     request_id = driver.send_request(timeout_ms=5000)
     number = int(driver.forwards[request_id][0][2:], 16)
-    cell = make_numbered_backends(4, number - number % 4)
-    drained = tuple(s._replace(state=BackendState.DRAINING) for s in cell)
+    cell_backends = make_numbered_backends(4, number - number % 4)
+    drained = tuple(backend._replace(state=BackendState.DRAINING) for backend in cell_backends)
     driver.step(BackendListUpdate(ListUpdateKind.DELTA, drained))
     driver.end_attempt(request_id, AttemptResult.ERROR, request_finished=False)
     assert len(driver.forwards[request_id]) == 1  # no backend of its scope is left
-    driver.step(BackendListUpdate(ListUpdateKind.DELTA, cell[:1] if number % 4 else cell[1:2]))
+    driver.step(
+        BackendListUpdate(ListUpdateKind.DELTA, cell_backends[:1] if number % 4 else cell_backends[1:2])
+    )
     assert len(driver.forwards[request_id]) == 2
 
 
 def test_list_of_minimum_size_is_subscribed_entirely_in_list_order() -> None:
-    names = [s.backend_id for s in make_numbered_backends(256)]
+    names = [backend.backend_id for backend in make_numbered_backends(256)]
     for proxy_count in (3, 3400):
         driver = Driver(make_settings(proxy_count=proxy_count), *make_numbered_backends(256))
         driver.run_ticks(2000)
         assert [
-            s.id for s in driver.balancer.backends.active
+            backend.id for backend in driver.balancer.backends.active
         ] == names and not driver.balancer.backends.unsubscribed.count
 
 
@@ -234,15 +244,15 @@
 def test_new_backend_ranked_before_newly_subscribed_ones_is_subscribed() -> None:
     ranked = sorted(
         make_numbered_backends(60),
-        key=lambda s: hash_pair(LARGE_TIER["proxy_index"] + 1, crc32(s.backend_id.encode())),
+        key=lambda backend: hash_pair(LARGE_TIER["proxy_index"] + 1, crc32(backend.backend_id.encode())),
     )
     with patch.multiple(subsetting, MIN_SUBSCRIBED=16, SUBSCRIBED_SLACK=2):
         driver = Driver(make_settings(**LARGE_TIER), *ranked[:20], *ranked[30:])
-        removed = tuple(s._replace(state=BackendState.REMOVED) for s in ranked[:10])
+        removed = tuple(backend._replace(state=BackendState.REMOVED) for backend in ranked[:10])
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, removed))
         driver.step(BackendListUpdate(ListUpdateKind.DELTA, tuple(ranked[20:22])))
-        active = {s.id for s in driver.balancer.backends.active}
-    assert active == {s.backend_id for s in [*ranked[10:22], *ranked[30 : 30 + len(active) - 12]]}
+        active = {backend.id for backend in driver.balancer.backends.active}
+    assert active == {backend.backend_id for backend in [*ranked[10:22], *ranked[30 : 30 + len(active) - 12]]}
 
 
 def used_backends(driver: Driver) -> set[str]:
@@ -259,23 +269,25 @@
     for _ in range(200):
         driver.end_attempt(driver.send_request())
         driver.tick()
-    assert len(used_backends(driver)) <= 13 and {s.split(".")[2] for s in used_backends(driver)} == {"0", "1"}
+    assert len(used_backends(driver)) <= 13 and {
+        backend_id.split(".")[2] for backend_id in used_backends(driver)
+    } == {"0", "1"}
 
 
 def test_subsets_of_all_proxies_include_each_backend_about_equally_often() -> None:
     counts: Counter[str] = Counter()
     for proxy_index in range(100):
         driver = Driver(make_settings(proxy_index=proxy_index, **SPARSE_TIER), *make_backends(20))
-        counts.update(s.id for s in driver.balancer.backends.subset)
+        counts.update(backend.id for backend in driver.balancer.backends.subset)
     assert len(counts) == 20 and max(counts.values()) < 1.5 * 40 and min(counts.values()) > 40 / 1.5
 
 
 def test_subset_keeps_other_backends_when_one_is_removed() -> None:
     driver = Driver(make_settings(**SPARSE_TIER), *make_backends(20))
-    before = [s.id for s in driver.balancer.backends.subset]
-    remaining = [s for s in make_backends(20) if s.backend_id != before[0]]
+    before = [backend.id for backend in driver.balancer.backends.subset]
+    remaining = [backend for backend in make_backends(20) if backend.backend_id != before[0]]
     driver.step(BackendListUpdate(ListUpdateKind.SNAPSHOT, tuple(remaining)))
-    assert len({s.id for s in driver.balancer.backends.subset} & set(before)) == len(before) - 1
+    assert len({backend.id for backend in driver.balancer.backends.subset} & set(before)) == len(before) - 1
 
 
 def test_requests_are_forwarded_after_initial_empty_list() -> None:
--- a/tests/policy/test_tenant_quotas.py
+++ b/tests/policy/test_tenant_quotas.py
@@ -9,16 +9,16 @@
 
 
 def test_proxy_with_a_large_traffic_share_does_not_treat_all_tenants_as_over_quota() -> None:
-    config = make_settings(
+    settings = make_settings(
         tenant_quotas=(40.0, 10.0, 10.0, 10.0), over_quota_weight=0.05, proxy_count=4, zone_count=2
     )
-    driver = Driver(config, *make_backends(9))
+    driver = Driver(settings, *make_backends(9))
     for second in range(12):  # half of all traffic; tenant 0 sends three times its share
         for slot in range(80):
             tenant = 0 if slot < 60 else 1 + slot % 3
             driver.step(RequestArrived(f"{second}.{slot}", 0, tenant, None, driver.now + 900))
             driver.tick(elapsed_ms=12.5)
-    balancer, request_class = driver.balancer, config.classes[0]
+    balancer, request_class = driver.balancer, settings.classes[0]
     assert balancer.admission.quotas.traffic_share > 0.4
     driver.now += 1000
     assert [balancer.admission.priority_level(driver.now, request_class, 1) for _ in range(4)] == [1] * 4
@@ -27,10 +27,10 @@
 
 
 def test_traffic_share_is_at_most_that_of_a_zone_when_all_tenants_are_over_quota() -> None:
-    config = make_settings(
+    settings = make_settings(
         tenant_quotas=(10.0, 10.0, 10.0), over_quota_weight=0.05, proxy_count=4, zone_count=3
     )
-    driver = Driver(config, *make_backends(9))
+    driver = Driver(settings, *make_backends(9))
     for count in range(800):
         driver.step(RequestArrived(f"{count}", 0, count % 3, None, driver.now + 900))
         driver.tick(elapsed_ms=10)
--- a/tests/support.py
+++ b/tests/support.py
@@ -15,15 +15,15 @@
 
 
 def make_settings(*classes: RequestClass, **overrides: Any) -> Settings:
-    base: dict[str, Any] = {"max_attempts": 4, "may_cancel": True, "step_interval_ms": 1.0}
-    return Settings(classes=classes or (RequestClass(300.0, 1000.0),), **(base | overrides))
+    defaults: dict[str, Any] = {"max_attempts": 4, "may_cancel": True, "step_interval_ms": 1.0}
+    return Settings(classes=classes or (RequestClass(300.0, 1000.0),), **(defaults | overrides))
 
 
 class Driver:
     """A `Balancer` with a clock that the test sets; records the backends of each request's attempts."""
 
-    def __init__(self, config: Settings, *backends: BackendInfo, seed: int = 1) -> None:
-        self.balancer = Balancer(config, seed)
+    def __init__(self, settings: Settings, *backends: BackendInfo, seed: int = 1) -> None:
+        self.balancer = Balancer(settings, seed)
         self.now = 1000.0
         self.request_ids = count()
         self.forwards: dict[str, list[str]] = {}  # backend ids by request id, one for each attempt
