--- a/tests/policy/test_in_flight_limit.py
+++ b/tests/policy/test_in_flight_limit.py
@@ -12,10 +12,10 @@
 
 def run_requests(driver: Driver, count: int, latency_ms: float) -> None:
     for _ in range(count):
-        request = driver.send_request(timeout_ms=5000)
+        request_id = driver.send_request(timeout_ms=5000)
         driver.run_ticks(1000)
-        if request in driver.forwards:
-            driver.end_attempt(request, elapsed_ms=0.0, latency_ms=latency_ms)
+        if request_id in driver.forwards:
+            driver.end_attempt(request_id, elapsed_ms=0.0, latency_ms=latency_ms)
 
 
 def test_limit_falls_with_late_responses_and_rises_again() -> None:
@@ -62,11 +62,11 @@
 
 
 @pytest.mark.parametrize(
-    ("result", "latency_ms", "times"),
+    ("result", "latency_ms", "attempt_count"),
     [(AttemptResult.TIMEOUT, 650.0, 1), (AttemptResult.CONNECT_FAILED, 150.0, 2)],
 )
 def test_hanging_backend_does_not_exhaust_the_limit(
-    result: AttemptResult, latency_ms: float, times: int
+    result: AttemptResult, latency_ms: float, attempt_count: int
 ) -> None:
     """Guards against charging the time of an unresponsive backend as load.
 
@@ -76,7 +76,7 @@
     run_requests(driver, 20, 40.0)
     driver.balancer.in_flight.limit = 1.0
     driver.run_ticks(1000)
-    for _ in range(times):
+    for _ in range(attempt_count):
         driver.end_attempt(
             driver.send_request(timeout_ms=5000),
             result,
@@ -93,8 +93,8 @@
     driver.balancer.in_flight.limit = 0.5
     sent = []
     for _ in range(20):
-        request = driver.send_request(timeout_ms=5000)
-        sent.append(request in driver.forwards)
+        request_id = driver.send_request(timeout_ms=5000)
+        sent.append(request_id in driver.forwards)
         if sent[-1]:
-            driver.end_attempt(request, elapsed_ms=0.0, latency_ms=400.0)
+            driver.end_attempt(request_id, elapsed_ms=0.0, latency_ms=400.0)
     assert 1 <= sum(sent) <= 6
