--- a/dunecove/policy/request.py
+++ b/dunecove/policy/request.py
@@ -50,14 +50,14 @@
         self.request_class = request_class
         self.queue = queue
         self.arrived_at = now
-        # If late responses have a value, the objective of a client's retry counts from its own arrival.
+        # If late responses have a value, the objective of a client's retry counts from the retry's arrival.
         objective_start = now if request_class.late_weight > 0 else original_arrival_at
         self.objective_end = objective_start + request_class.latency_objective_ms
         # After this time a response has no value, or the client has stopped waiting.
         self.value_expires_at = self.deadline
         if request_class.late_weight <= 0:
             self.value_expires_at = min(self.deadline, self.objective_end)
-        self.send_deadline = self.deadline
+        self.send_deadline = self.deadline  # latest time for the next attempt; set by `QueueTimeouts`
         self.attempts: list[Attempt] = []
         self.open_attempt_count = 0
         self.is_queued = False  # in its queue, or waiting for a backend in its deduplication scope
@@ -66,5 +66,5 @@
         self.retry_at = 0.0  # end of the backoff after a local failure; 0: no backoff
 
     def has_backoff_ended(self, now: float) -> bool:
-        """Whether its backoff after a local failure has ended."""
+        """Whether the request is unfinished and its backoff after a local failure has ended."""
         return not self.is_finished and 0 < self.retry_at <= now
--- a/tests/policy/test_queue_timeouts.py
+++ b/tests/policy/test_queue_timeouts.py
@@ -15,7 +15,7 @@
 
 
 def test_request_without_attempts_fails_before_half_its_time_has_passed() -> None:
-    # Failed later, it would leave its client no time for a retry.
+    # If the request failed later, its client would have no time left for a retry.
     driver = Driver(make_settings(RequestClass(5000.0, 9000.0), proxy_count=4), *make_backends(1))
     driver.send_request(timeout_ms=1000)
     queued = driver.send_request(timeout_ms=1000)
@@ -36,11 +36,11 @@
 
 def test_request_at_its_deadline_fails_immediately() -> None:
     driver = Driver(make_settings(), *make_backends(1))
-    request = driver.send_request(timeout_ms=0.0)
-    assert [fail.request_id for fail in actions_of_type(Fail, driver.last_actions)] == [request]
+    request_id = driver.send_request(timeout_ms=0.0)
+    assert [fail.request_id for fail in actions_of_type(Fail, driver.last_actions)] == [request_id]
 
 
 def test_request_without_backends_fails_before_its_deadline() -> None:
     driver = Driver(make_settings())
-    request = driver.send_request(timeout_ms=200)
-    assert [fail.request_id for fail in actions_of_type(Fail, driver.run_ticks(175))] == [request]
+    request_id = driver.send_request(timeout_ms=200)
+    assert [fail.request_id for fail in actions_of_type(Fail, driver.run_ticks(175))] == [request_id]
