--- a/scale/fleet/cluster.py
+++ b/scale/fleet/cluster.py
@@ -211,14 +211,14 @@
             started_at, _ = self._outages[region].pop()
             self._outages[region].append((started_at, self.loop.time()))
 
-    def reachable_from(self, region: int, since: float, for_s: float = 0.0) -> float:
-        """Return the earliest time (s) from `since` on at which a region can reach discovery for `for_s`.
+    def reachable_from(self, region: int, since: float, duration_s: float = 0.0) -> float:
+        """Return when, at `since` (s) or later, a region can first reach discovery for `duration_s`.
 
         The time is infinite while the region is disconnected.
         """
         reachable_at = since
         for started_at, ended_at in self._outages[region]:
-            if reachable_at < ended_at and reachable_at + for_s >= started_at:
+            if reachable_at < ended_at and reachable_at + duration_s >= started_at:
                 reachable_at = ended_at
         return reachable_at
 
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -52,8 +52,8 @@
 assert REGION_COUNT <= 256  # the region is one byte of an address
 
 
-def proxy_settings(number: int, tier: int, pushed: bool, cluster: ClusterSettings) -> dict[str, Any]:
-    """Return the settings object of proxy `number` in a tier of `tier` proxies."""
+def raw_proxy_settings(number: int, tier: int, pushed: bool, cluster: ClusterSettings) -> dict[str, Any]:
+    """Return the settings of proxy `number` in a tier of `tier` proxies, as in its configuration file."""
     return {
         "Lanes": [
             {"Name": "lookup", "AimMs": OBJECTIVE_MS, "HardLimitMs": DEADLINE_MS, "Effect": "read_like"}
@@ -115,7 +115,7 @@
         self._number = number
         self._options = options
         self._is_frozen = frozen
-        self._raw_settings = proxy_settings(number, options.tier, options.pushed, cluster.settings)
+        self._raw_settings = raw_proxy_settings(number, options.tier, options.pushed, cluster.settings)
         self.region = region_of(number % ZONE_COUNT)
         self.metrics = ProxyMetrics()
         self._random = Random(f"proxy {options.seed} {number}")
@@ -140,9 +140,11 @@
         self.metrics.restart(self._loop.time())
         # The real proxy reads its configuration only at the start, and shares its list with no other proxy.
         self._settings = read_settings(self._raw_settings)
-        wire = read_proxy_settings(self._raw_settings)
-        update = read_list_update(orjson.loads(cached), wire)
-        self._pool = ConnectionPool(wire.connect_timeout_ms, wire.backend_idle_timeout_ms, 1)
+        proxy_settings = read_proxy_settings(self._raw_settings)
+        update = read_list_update(orjson.loads(cached), proxy_settings)
+        self._pool = ConnectionPool(
+            proxy_settings.connect_timeout_ms, proxy_settings.backend_idle_timeout_ms, 1
+        )
         self.balancer = self._create_balancer(0)
         self._list_updates: list[BackendListUpdate] = []
         self._events: list[Event] = []
@@ -151,7 +153,7 @@
         host, port = discovery_address(self.region)
         self._discovery = DiscoveryClient(
             f"{host}:{port}",
-            wire,
+            proxy_settings,
             update.revision,
             self._on_list,
             self._on_discovery_failure,
