--- a/scale/measure_memory.py
+++ b/scale/measure_memory.py
@@ -13,7 +13,7 @@
 METHODS = ("traced", "resident")
 CONNECT_TIMEOUT_S = 30.0
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nhost: backend.local\r\n\r\n"
-OPEN_REQUEST = (
+UNANSWERED_REQUEST = (
     b"GET /lookup HTTP/1.1\r\nhost: backend.local\r\nx-call-id: c%06d\r\nx-budget-ms: 60000\r\n\r\n"
 )
 
@@ -96,7 +96,7 @@
             clients = [check_readiness(host, port, stack) for _ in range(size)]
             if sends_requests:
                 for number, client in enumerate(clients):
-                    client.sendall(OPEN_REQUEST % number)
+                    client.sendall(UNANSWERED_REQUEST % number)
                 # The readiness response shows that the proxy has read all requests that were sent before.
                 check_readiness(host, port, stack)
             child.write_line("connected")
--- a/soak/fault_injection.py
+++ b/soak/fault_injection.py
@@ -64,7 +64,7 @@
     def _proxy_action(self, fault: Fault) -> Callable[[ProxyProcess], Coroutine[Any, Any, None]] | None:
         """Return the action of a fault on each chosen proxy, or None if the fault doesn't act on proxies."""
         match fault.kind:
-            case FaultKind.STOP:
+            case FaultKind.TERMINATE:
                 return lambda proxy: self._restart(proxy, signal.SIGTERM)
             case FaultKind.KILL:
                 return lambda proxy: self._restart(proxy, signal.SIGKILL)
@@ -90,7 +90,7 @@
             case FaultKind.CLOSE_IDLE:
                 for backend in environment.backends.values():
                     backend.close_idle_connections()
-            case FaultKind.BAD_BACKENDS:
+            case FaultKind.FAULTY_BACKENDS:
                 await self._override_behaviour(fault)
             case _:
                 await self._change_backends(fault)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -11,14 +11,14 @@
 from soak.backends import Behaviour
 
 HOUR_MS = 3_600_000
-BAD_BEHAVIOURS = tuple(behaviour for behaviour in Behaviour if behaviour is not Behaviour.GOOD)
+FAULTY_BEHAVIOURS = tuple(behaviour for behaviour in Behaviour if behaviour is not Behaviour.GOOD)
 STARTUP_FAULT_MS = 400  # length of a system call fault that begins with the process
 
 
 class FaultKind(Enum):
     """A kind of fault; the values are printed in reports."""
 
-    STOP = "stop"  # restart some proxies with SIGTERM
+    TERMINATE = "terminate"  # restart some proxies with SIGTERM
     KILL = "kill"  # restart some proxies with SIGKILL
     RELOAD = "reload"  # give some proxies another discovery address by SIGHUP, once or twice
     PAUSE = "pause"  # pause some proxies repeatedly with SIGSTOP, for up to 0.15 s
@@ -27,13 +27,13 @@
     DRAIN = "drain"  # drain some backends, then remove them
     JOIN = "join"  # add cold backends
     REPLACE = "replace"  # add cold backends and drain others
-    BAD_BACKENDS = "faulty backends"  # some backends change to one faulty behaviour
+    FAULTY_BACKENDS = "faulty backends"  # some backends change to one faulty behaviour
     CLOSE_IDLE = "close idle connections"  # all backends close their idle connections
     CONNECTION_FLOOD = "connection flood"  # idle client connections to some proxies
 
 
 WEIGHTS = {  # relative frequency
-    FaultKind.STOP: 3,
+    FaultKind.TERMINATE: 3,
     FaultKind.KILL: 2,
     FaultKind.RELOAD: 3,
     FaultKind.PAUSE: 2,
@@ -42,7 +42,7 @@
     FaultKind.DRAIN: 3,
     FaultKind.JOIN: 2,
     FaultKind.REPLACE: 2,
-    FaultKind.BAD_BACKENDS: 4,
+    FaultKind.FAULTY_BACKENDS: 4,
     FaultKind.CLOSE_IDLE: 1,
     FaultKind.CONNECTION_FLOOD: 1,
 }
@@ -91,7 +91,7 @@
     kinds = random.choices(list(WEIGHTS), list(WEIGHTS.values()), k=count)
     faults = []
     for kind in kinds:
-        behaviour = random.choice(BAD_BEHAVIOURS) if kind is FaultKind.BAD_BACKENDS else Behaviour.GOOD
+        behaviour = random.choice(FAULTY_BEHAVIOURS) if kind is FaultKind.FAULTY_BACKENDS else Behaviour.GOOD
         at_s = random.uniform(0.05, 0.8) * seconds
         duration_s = random.uniform(1.0, 6.0)
         faults.append(Fault(at_s, kind, duration_s, random.uniform(0.1, 0.5), behaviour))
