--- a/scale/fleet/cluster.py
+++ b/scale/fleet/cluster.py
@@ -29,7 +29,7 @@
 
 
 class ClusterSettings(NamedTuple):
-    """The parts of all proxies' settings that concern backends."""
+    """The settings of all proxies that concern backends."""
 
     drain_grace_ms: float = 1000.0
     cold_ms: float = 8000.0
@@ -37,7 +37,7 @@
 
 
 class AttemptOutcome(NamedTuple):
-    """The result of an attempt, and the time until it."""
+    """The result of an attempt, and the time from its start to the result."""
 
     result: AttemptResult
     duration_ms: float
--- a/scale/fleet/discovery.py
+++ b/scale/fleet/discovery.py
@@ -130,10 +130,10 @@
             caller.respond(self.delta(since), self.revision)
         else:
             wait_s = min(wait_ms, MAX_WAIT_MS) / 1000
-            timer = self.loop.call_later(wait_s, self._end_wait, caller)
+            timer = self.loop.call_later(wait_s, self._answer_timed_out_watch, caller)
             self._watches[caller] = _Watch(since, timer)
 
-    def _end_wait(self, caller: Caller) -> None:
+    def _answer_timed_out_watch(self, caller: Caller) -> None:
         watch = self._watches.pop(caller)
         caller.respond(self.delta(watch.since), self.revision)
 
--- a/scale/fleet/figures.py
+++ b/scale/fleet/figures.py
@@ -58,7 +58,7 @@
         counts.update(proxy_metrics.counts)
     boundaries = (0, plan.started_at, plan.event_at, plan.seconds)
     phases = dict(zip(PHASES, map(range, boundaries, boundaries[1:]), strict=True))
-    reasons = f"{Count.FAILED_DISCOVERY_CALLS}: "
+    reason_prefix = f"{Count.FAILED_DISCOVERY_CALLS}: "
     return {
         "plan": asdict(plan),
         "a_proxy_a_second": {
@@ -72,7 +72,7 @@
         },
         "spread": propagation_figures(plan, cluster, proxies),
         "counts": {count.value: counts[count] for count in Count},
-        "failures": {name: count for name, count in sorted(counts.items()) if name.startswith(reasons)},
+        "failures": {name: count for name, count in sorted(counts.items()) if name.startswith(reason_prefix)},
         "other_errors": len(loop.errors),
         "first_error": loop.errors[0] if loop.errors else "",
         "callbacks": loop.callbacks_run,
@@ -105,27 +105,28 @@
 ) -> dict[str, Any]:
     """Return the propagation times (ms) to each proxy of list changes after the start-up phase.
 
-    The time counts from the publication of a change or the start of the proxy, whichever is later, over the
-    `held` changes, which the proxy has applied; for `reached`, from when its region could reach discovery.
-    `overdue` changes were not applied when the proxy counted as notified. `missed` changes were not applied
-    at the end of the run, except for changes of the last IN_TRANSIT_S.
+    `held`, `overdue` and `missed` count pairs of a change and a proxy. `held`: the proxy applied the change.
+    `overdue`: it had not applied the change when it counted as notified. `missed`: it had not applied the
+    change by the end of the run, except for changes of the last IN_TRANSIT_S. Times are over the `held`
+    pairs, from the publication or the start of the proxy, whichever is later; `reached` times start no
+    earlier than the proxy's region can reach discovery.
     """
     waits_ms: list[float] = []
     reachable_waits_ms: list[float] = []
     overdue = missed = changes = 0
     end = cluster.loop.time()
-    first = ORIGIN_S + plan.started_at
+    start_up_end = ORIGIN_S + plan.started_at
     for revision in range(1, cluster.discovery.revision + 1):
         published_at = cluster.discovery.published_at(revision)
-        if published_at < first:
+        if published_at < start_up_end:
             continue
         changes += 1
         for proxy in proxies:
             applied_at = proxy.metrics.applied.first_at(revision)
             available_at = max(published_at, proxy.metrics.started_at)
             reachable_at = cluster.reachable_from(proxy.region, available_at)
-            limit = proxy.notified_at(revision) + SOCKET_SLACK_MS / 1000
-            overdue += (end if applied_at is None else applied_at) > limit
+            latest_at = proxy.notified_at(revision) + SOCKET_SLACK_MS / 1000
+            overdue += (end if applied_at is None else applied_at) > latest_at
             if applied_at is not None:
                 waits_ms.append((applied_at - available_at) * 1000)
                 reachable_waits_ms.append(max(applied_at - reachable_at, 0.0) * 1000)
--- a/scale/fleet/network.py
+++ b/scale/fleet/network.py
@@ -138,16 +138,16 @@
         if self.client_transport.is_closing() or self._endpoint.is_unreachable():
             return
         sent = READ_BYTES // 2  # bytes of the body in the first chunk, after the head
-        first = RESPONSE_HEAD % (status, len(body)) + body[:sent]
-        self._deliver_later(ONE_WAY_DELAY_S, first, body, sent, revision)
+        first_chunk = RESPONSE_HEAD % (status, len(body)) + body[:sent]
+        self._deliver_later(ONE_WAY_DELAY_S, first_chunk, body, sent, revision)
 
     def _deliver_later(
         self, delay_s: float, chunk: bytes, body: bytes, sent: int, revision: int | None
     ) -> None:
-        """Send a chunk of the response, with which `sent` bytes of the body have been sent."""
-        arrives_s = delay_s + len(chunk) / BANDWIDTH_BYTES_PER_S
+        """Deliver a chunk of the response later; `sent` counts the bytes of `body` including this chunk."""
+        arrival_delay_s = delay_s + len(chunk) / BANDWIDTH_BYTES_PER_S
         self._loop.call_later(
-            arrives_s, self._deliver, chunk, body, sent, revision, context=self._proxy_context
+            arrival_delay_s, self._deliver, chunk, body, sent, revision, context=self._proxy_context
         )
 
     def _deliver(self, chunk: bytes, body: bytes, sent: int, revision: int | None) -> None:
@@ -155,8 +155,8 @@
             return
         self._count_bytes(len(chunk))
         if sent < len(body):
-            following = body[sent : sent + READ_BYTES]
-            self._deliver_later(0.0, following, body, sent + len(following), revision)
+            next_chunk = body[sent : sent + READ_BYTES]
+            self._deliver_later(0.0, next_chunk, body, sent + len(next_chunk), revision)
         elif revision is not None and self._metrics is not None:
             self._metrics.notified.record(revision, self._loop.time())
         self._protocol.data_received(chunk)
--- a/scale/load.py
+++ b/scale/load.py
@@ -25,7 +25,7 @@
 from scale.proxy_process import ProxyProcess
 from scale.stub_discovery import StubDiscovery
 
-WARM_UP_S = 1.0  # at the start of each run; latencies are not recorded in it
+WARM_UP_S = 1.0  # period at the start of each run in which no latencies are recorded
 DEADLINE_MS = 3000
 MAX_RATE = 100_000
 
--- a/scale/load_clients.py
+++ b/scale/load_clients.py
@@ -21,9 +21,9 @@
 from hdrh.histogram import HdrHistogram
 
 MAX_CONNECTIONS = 400  # requests beyond this number wait for a connection
-INITIAL_CONNECTIONS = 50
+INITIAL_CONNECTIONS = 50  # opened before the first request, divided among the addresses
 DRAIN_S = 4.0  # time after the last request is sent in which responses still count
-START_DELAY_S = 0.1
+START_DELAY_S = 0.1  # from drawing the requests to time 0 of their due times
 DEADLINE_MS = 3000
 MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
@@ -45,7 +45,7 @@
 
 
 class DueRequest(NamedTuple):
-    """A request and the time at which it is due, in seconds after the start."""
+    """The address of a request and the time at which the request is due, in seconds after the start."""
 
     due_s: float
     address: Address
@@ -71,7 +71,7 @@
         self._addresses = [
             (host, int(port)) for host, _, port in (address.rpartition(":") for address in plan.addresses)
         ]
-        self._added = create_histogram()
+        self._added_latency = create_histogram()
         self._lateness = create_histogram()
         self._answered = self._rejected = self._failed = self._counted = self._in_flight = 0
         self._idle: dict[Address, list[ClientConnection]] = {address: [] for address in self._addresses}
@@ -112,7 +112,7 @@
             "refused": self._rejected,
             "failed": self._failed,
             "connections": self._connections,
-            "added": self._added.encode().decode(),
+            "added": self._added_latency.encode().decode(),
             "late": self._lateness.encode().decode(),
         }
 
@@ -170,7 +170,9 @@
         if status == 200:
             self._answered += 1
             if due_s >= self._plan.warm_s:
-                self._added.record_value(to_microseconds(self._elapsed_since_due(due_s) - int(body) / 1e6))
+                self._added_latency.record_value(
+                    to_microseconds(self._elapsed_since_due(due_s) - int(body) / 1e6)
+                )
         elif status in REJECTION_STATUSES:
             self._rejected += 1
         else:
@@ -187,7 +189,7 @@
             self._drained.set()
 
     def release(self, connection: ClientConnection) -> None:
-        """Reuse a connection for a request that waits for its address, or add it to the idle ones."""
+        """Reuse a connection for a request that waits for its address, or keep it as an idle connection."""
         for index, (due_s, address) in enumerate(self._waiting):
             if address == connection.address:
                 del self._waiting[index]
--- a/scale/load_report.py
+++ b/scale/load_report.py
@@ -13,14 +13,13 @@
 TARGET_PROXIES = 3400
 TARGET_RATE = TARGET_REQUESTS / TARGET_PROXIES
 MAX_ADDED_MS = 3.7  # maximum added latency at p99 at which a rate counts as sustained
-MAX_UNSERVED_SHARE = (
-    0.001  # maximum share of rejected and failed requests at which a rate counts as sustained
-)
+# Maximum share of rejected and failed requests at which a rate counts as sustained.
+MAX_UNSERVED_SHARE = 0.001
 PERCENTILES = {"p50": 50.0, "p99": 99.0, "p99.9": 99.9}
 COUNTS = ("counted", "sent", "answered", "refused", "failed")
 HISTOGRAMS = ("added", "late")
 COLUMN_HEADINGS = (
-    "rate/s",
+    "rate/s, path",
     "answered",
     "added p50",
     "p99",
@@ -36,11 +35,13 @@
     "failed",
 )
 EXPLANATION = (
-    "added: time from when a request was due to its response, minus the service time that the backend",
-    "reported, in ms, over all repeats; min and max: p99 of single repeats; within: repeats with p99 up to",
-    f"{MAX_ADDED_MS} ms; late: delay at which this tool sent requests, p99 in ms; cpu: processor time of the",
-    "proxy; cpu wait: time that it waited for a core; both in us per request (median of the repeats); core:",
-    "share of a core that the proxy used. direct: the same clients, connected directly to the backends.",
+    "path: proxy, or direct for the same clients connected to the backends without a proxy; added: time from",
+    "the scheduled time of a request to its response, minus the service time that the backend reported, in",
+    "ms, over all repeats; min and max: p99 of single repeats; within: repeats with p99 up to",
+    f"{MAX_ADDED_MS} ms; late: time from the scheduled time of a request until it was sent, p99 in ms; cpu:",
+    "processor time of the proxy; cpu wait: time that the proxy waited for a core; both in us per answered",
+    "request (median of the repeats); core: share of a core that the proxy used; rejected: responses with",
+    "status 429 or 503; failed: requests with another status or without a complete response.",
     "",
 )
 
@@ -59,7 +60,7 @@
 
 
 def median_us_per_request(runs: list[dict[str, Any]], name: str) -> float | None:
-    """Return the upper median over the runs of the time `name` (ms), in us per request.
+    """Return the upper median over the runs of the time `name` (ms), in us per answered request.
 
     Return None if no run has that time.
     """
@@ -70,10 +71,10 @@
 
 
 def summarize_runs(rate: float, path: str, runs: list[dict[str, Any]], run_s: float) -> dict[str, Any]:
-    """Return a row of the JSON output: the merged repeats of one rate, and the range of their p99.
+    """Return a row of the JSON output: the merged repeats of one rate and path, and the range of their p99.
 
-    Times are in ms, except that those named `..._us_each` are in us per request. `run_s` is the length of a
-    run, including the warm-up.
+    `path` is `proxy` or `direct`. Times are in ms, except for the histogram (us) and the `..._us_each` values
+    (us per answered request). `run_s` is the length of a run, including the warm-up.
     """
     added = merge_histograms(runs, "added")
     late = merge_histograms(runs, "late")
@@ -100,14 +101,16 @@
 
 def is_sustained(row: dict[str, Any]) -> bool:
     """Return whether the proxy sustained the rate of this row within the latency and error limits."""
-    lost = row["refused"] + row["failed"]
-    return bool(row["added_ms"]["p99"] <= MAX_ADDED_MS and lost <= MAX_UNSERVED_SHARE * max(row["sent"], 1))
+    unserved = row["refused"] + row["failed"]
+    return bool(
+        row["added_ms"]["p99"] <= MAX_ADDED_MS and unserved <= MAX_UNSERVED_SHARE * max(row["sent"], 1)
+    )
 
 
 def format_verdict(rows: list[dict[str, Any]]) -> str:
-    """Return one line on the rates that the proxy sustained, from the rows of both paths.
+    """Return one line on the rates that the proxy sustained, from the rows with and without the proxy.
 
-    If p99 exceeds half of the limit without the proxy too, the line states that the rate is inconclusive.
+    If the direct p99 at the lowest failing rate is above half of the limit, that rate is called inconclusive.
     """
     direct_ms = {row["rate"]: row["added_ms"]["p99"] for row in rows if row["path"] == "direct"}
     proxied = sorted((row for row in rows if row["path"] == "proxy"), key=lambda row: float(row["rate"]))
@@ -117,7 +120,7 @@
     sustained = "no measured rate" if best is None else f"{best:g} requests per second"
     line = f"One core sustains {sustained} at {MAX_ADDED_MS} ms added at p99"
     if is_unclear:
-        line += f"; {failing:g} is inconclusive in this run, since direct p99 to the backends is"
+        line += f"; {failing:g} is inconclusive in this run, since without the proxy the added p99 is"
         line += f" {direct_ms[failing]:.3f} ms"
     elif failing is not None:
         line += f", but not {failing:g}"
@@ -133,6 +136,7 @@
     target = (
         f"The target of {TARGET_REQUESTS:,} / {TARGET_PROXIES:,} = {TARGET_RATE:,.0f} per second per proxy"
     )
+    # Rates within 1 of the target count as the target, so that it can be given rounded to a whole number.
     if best is not None and best >= int(TARGET_RATE):
         return f"{target} is met."
     if failing is not None and failing <= TARGET_RATE + 1:
--- a/scale/measure_balancer.py
+++ b/scale/measure_balancer.py
@@ -20,11 +20,11 @@
 TICK_MS = 25.0
 TICKS_PER_SECOND = 40
 FEW_PROXIES = 3  # tier size at which the balancer selects among all backends
-DELTA_COUNT = 5  # deltas that are measured together
-MAX_SCANNED_BACKENDS = 2_000_000  # over the requests of one run, which limits its time with large lists
+DELTA_COUNT = 5  # deltas over which the processor time is averaged
+MAX_SCANNED_BACKENDS = 2_000_000  # requests times backends; limits the number of requests for a long list
 WARM_UP_REQUESTS = 50
-START_MS = 1000.0  # time on the balancer's clock
-REQUEST_INTERVAL_MS = 200  # keeps one request in flight, so that no limit delays it
+START_MS = 1000.0  # time of the first step on the balancer's clock
+REQUEST_INTERVAL_MS = 200  # from a response to the next request; only one is in flight, so no limit delays it
 RESPONSE_MS = 20
 DEADLINE_MS = 1000
 
@@ -134,7 +134,9 @@
 @measurement(
     "request",
     "backend",
-    Series("request", "us", "a request in the balancer: arrival, forward, outcome; one of --proxies"),
+    Series(
+        "request", "us", "a request in the balancer of one of --proxies proxies: arrival, forward, outcome"
+    ),
 )
 def request_cpu(parameters: RunParameters, size: int) -> Values:
     """Measure a request in a large tier, in which each proxy has a subset of the backends."""
@@ -144,7 +146,11 @@
 @measurement(
     "request-few",
     "backend",
-    Series("request-few", "us", f"the same, one of {FEW_PROXIES} proxies: selects among all backends"),
+    Series(
+        "request-few",
+        "us",
+        f"a request in the balancer of one of {FEW_PROXIES} proxies, which selects among all backends",
+    ),
 )
 def request_cpu_few_proxies(parameters: RunParameters, size: int) -> Values:
     """Measure a request in a small tier, in which each proxy selects among all backends."""
--- a/scale/measure_discovery.py
+++ b/scale/measure_discovery.py
@@ -22,8 +22,8 @@
 )
 from scale.stub_discovery import RESPONSE_HEAD, Exchange, StubDiscovery
 
-CALLS_TIMEOUT_S = 10.0
-POLL_S = 0.001
+CALLS_TIMEOUT_S = 10.0  # for all calls of a measurement together
+POLL_S = 0.001  # between two checks of the number of completed calls
 CONNECT_TIMEOUT_MS = 250.0
 IDLE_TIMEOUT_MS = 15000.0
 POOL_CONNECTIONS = 100
@@ -38,10 +38,10 @@
 def parse_cpu(parameters: RunParameters, size: int) -> Values:
     """Measure decoding a snapshot."""
     body = synthetic.snapshot_body(1, size)
-    wire = read_proxy_settings(synthetic.settings(parameters.proxies))
+    proxy_settings = read_proxy_settings(synthetic.settings(parameters.proxies))
     return {
         "parse-json": cpu_time_ms(lambda: orjson.loads(body)),
-        "parse": cpu_time_ms(lambda: read_list_update(orjson.loads(body), wire)),
+        "parse": cpu_time_ms(lambda: read_list_update(orjson.loads(body), proxy_settings)),
     }
 
 
@@ -54,12 +54,12 @@
 )
 def pool_update_cpu(parameters: RunParameters, size: int) -> Values:
     """Measure the connection pool applying a snapshot, the same snapshot again, and a delta."""
-    wire = read_proxy_settings(synthetic.settings(parameters.proxies))
+    proxy_settings = read_proxy_settings(synthetic.settings(parameters.proxies))
     snapshot = synthetic.snapshot_body(1, size)
     updates = {
-        "pools-list": read_list_update(orjson.loads(snapshot), wire),
-        "pools-again": read_list_update(orjson.loads(snapshot), wire),
-        "pools-change": read_list_update(orjson.loads(synthetic.delta_body(2, 2)), wire),
+        "pools-list": read_list_update(orjson.loads(snapshot), proxy_settings),
+        "pools-again": read_list_update(orjson.loads(snapshot), proxy_settings),
+        "pools-change": read_list_update(orjson.loads(synthetic.delta_body(2, 2)), proxy_settings),
     }
 
     async def run() -> Values:
@@ -86,9 +86,11 @@
         service.updates.update(updates)
 
         async def run() -> None:
-            wire = read_proxy_settings(synthetic.settings(proxies))
+            proxy_settings = read_proxy_settings(synthetic.settings(proxies))
             failures: list[str] = []
-            discovery = DiscoveryClient(service.address, wire, revision, lambda update: None, failures.append)
+            discovery = DiscoveryClient(
+                service.address, proxy_settings, revision, lambda update: None, failures.append
+            )
             discovery.watch()
             give_up_at = asyncio.get_running_loop().time() + CALLS_TIMEOUT_S
             while len(service.exchanges) < calls and not failures:
@@ -110,7 +112,7 @@
 )
 def snapshot_bytes(parameters: RunParameters, size: int) -> Values:
     """Measure the bytes of a snapshot."""
-    # Not through the discovery client, which may refuse a list this long; see the measurement `process`.
+    # Computed without a discovery client, which may refuse a long list; see the measurement `process`.
     body = synthetic.snapshot_body(1, size)
     return {"wire-list": float(len(RESPONSE_HEAD % len(body)) + len(body))}
 
--- a/scale/measure_memory.py
+++ b/scale/measure_memory.py
@@ -10,7 +10,7 @@
 from scale.measurement import MeasurementError, RunParameters, Series, Values, measurement
 from scale.memory_child import BACKEND_ADDRESS_VARIABLE
 
-METHODS = ("traced", "resident")
+METHODS = ("traced", "resident")  # see `memory_child`
 CONNECT_TIMEOUT_S = 30.0
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nhost: backend.local\r\n\r\n"
 UNANSWERED_REQUEST = (
@@ -19,7 +19,7 @@
 
 
 def memory_series(name: str, subject: str) -> tuple[Series, Series]:
-    """Return the two series of a measurement, one per method."""
+    """Return two rows of the report: memory traced by tracemalloc, and resident memory of the process."""
     return (
         Series(f"traced-{name}", "bytes", f"memory that Python allocated for {subject}"),
         Series(f"resident-{name}", "bytes", f"resident memory of a process that holds {subject}"),
@@ -81,9 +81,10 @@
 
 
 def measure_child_with_clients(method: str, size: int, seed: int, sends_requests: bool) -> float:
-    """Return the memory (bytes, by `method`) of a proxy in a child process with `size` client connections.
+    """Return the memory (bytes) of a proxy with `size` client connections, as measured by `method`.
 
-    The only backend is a listening socket that never accepts: the kernel completes its connections and
+    The proxy runs in a child process. With `sends_requests`, each client sends one request. All backends
+    share the address of one listening socket that never accepts: the kernel completes the connections and
     buffers the requests, and no response is sent.
     """
     with ExitStack() as stack:
--- a/scale/measure_process.py
+++ b/scale/measure_process.py
@@ -16,13 +16,12 @@
 
 ENTRIES_PER_DELTA = 4000  # when the list is sent as several deltas; such a response is well under 1 MiB
 APPLY_TIMEOUT_S = 60.0  # time within which the proxy must have applied a list
-# Time after applying a list in which deferred work still counts as its cost, and time to measure the idle
-# proxy. Both are whole seconds, since some of the work of an idle proxy occurs once per second.
-SETTLE_S = 2.0
-IDLE_S = 3.0
-AFTER_DELTAS_S = 0.5
+# SETTLE_S and IDLE_S are whole seconds, since an idle proxy does some of its work once per second.
+SETTLE_S = 2.0  # time after a list is applied in which deferred work still counts as the cost of the list
+IDLE_S = 3.0  # time over which the idle proxy is measured
+AFTER_DELTAS_S = 0.5  # time after the last delta is applied in which deferred work still counts
 DELTA_COUNT = 10
-CACHED_ENTRIES = 3
+CACHED_ENTRIES = 3  # backends in the cached list with which the proxy starts
 
 
 def process_series(name: str, form: str) -> tuple[Series, ...]:
@@ -32,14 +31,20 @@
         Series(
             f"{name}-take",
             "ms",
-            f"to apply it, until {SETTLE_S:g} s after the next watch, minus the idle cost in that time",
+            f"to apply the list, until {SETTLE_S:g} s after the next watch, minus the idle cost in that time",
         ),
-        Series(f"{name}-rest", "ms", "per second when idle with that list"),
+        Series(f"{name}-rest", "ms", "per second when the proxy is idle with that list"),
         Series(f"{name}-change", "ms", "a delta of two entries, minus the idle cost"),
         Series(
-            f"{name}-gap", "ms", "longest wall time between two readiness responses while it applies the list"
+            f"{name}-gap",
+            "ms",
+            "longest wall time between two readiness responses while the proxy applies the list",
+        ),
+        Series(
+            f"{name}-change-gap",
+            "ms",
+            f"longest wall time between two readiness responses while {DELTA_COUNT} deltas follow each other",
         ),
-        Series(f"{name}-change-gap", "ms", f"the same while {DELTA_COUNT} deltas arrive one after another"),
         Series(f"{name}-ready", "us", "a readiness response with that list, minus the idle cost"),
     )
 
@@ -94,7 +99,7 @@
 
 
 def measure_unprobed(parameters: RunParameters, updates: list[bytes]) -> UnprobedCost:
-    """Measure memory and processor time of a proxy without requests; `delta_ms` covers all deltas."""
+    """Measure memory and processor time of a proxy without requests; `delta_ms` is the sum of all deltas."""
     with start_proxy(parameters) as (discovery, proxy):
         before_ms = proxy.cpu_ms()
         revision = publish_all(discovery, updates, 1)
--- a/scale/memory_child.py
+++ b/scale/memory_child.py
@@ -1,9 +1,9 @@
 """A child process that holds many objects of one kind and prints their memory use.
 
-Usage: `memory_child KIND COUNT SEED METHOD`. METHOD is `traced` (bytes allocated by Python for the objects,
-measured with tracemalloc) or `resident` (resident bytes of the process). It prints JSON lines: the result, or
-for connections first the address to connect to and, after a line on standard input, the result. The module
-imports the proxy but none of this tool's libraries, which would add to the result.
+Usage: `python -m scale.memory_child KIND COUNT SEED METHOD`. METHOD is `traced` (bytes allocated by Python
+for the objects, measured with tracemalloc) or `resident` (resident bytes of the process). It prints JSON
+lines: the result, or for connections first the address to connect to and, after a line on standard input,
+the result. The module imports the proxy but none of this tool's libraries, which would add to the result.
 """
 
 from __future__ import annotations
@@ -33,22 +33,22 @@
 
 PROXIES = 3400
 GOSSIP_PORT = 7946
-CONNECTION_BACKENDS = 1000  # backends that receive the open requests, all at one address
+CONNECTION_BACKENDS = 1000  # backends in the list of the proxy with client connections, all at one address
 CLIENT_SLOTS = 2000
 BACKEND_ADDRESS_VARIABLE = "SCALE_BACKEND"
 
 
-def create_engine(proxy_settings: dict[str, Any], seed: int, slots: int = 100) -> Engine:
+def create_engine(raw_settings: dict[str, Any], seed: int, slots: int = 100) -> Engine:
     """Return an engine with `slots` slots for client connections."""
-    return Engine(read_settings(proxy_settings), read_proxy_settings(proxy_settings), seed, slots)
+    return Engine(read_settings(raw_settings), read_proxy_settings(raw_settings), seed, slots)
 
 
 async def create_backends(count: int, seed: int) -> object:
     """Return an engine with `count` backends."""
-    proxy_settings = synthetic.settings(PROXIES)
-    engine = create_engine(proxy_settings, seed)
+    raw_settings = synthetic.settings(PROXIES)
+    engine = create_engine(raw_settings, seed)
     update = read_list_update(
-        orjson.loads(synthetic.snapshot_body(1, count)), read_proxy_settings(proxy_settings)
+        orjson.loads(synthetic.snapshot_body(1, count)), read_proxy_settings(raw_settings)
     )
     engine.on_list_update(update, ListUpdateKind.SNAPSHOT)
     return engine
@@ -56,15 +56,17 @@
 
 async def create_classes(count: int, seed: int) -> object:
     """Return a balancer and a request validator with `count` request classes, each with its own settings."""
-    raw = synthetic.settings(PROXIES, classes=count)
-    return Balancer(read_settings(raw), seed), RequestValidator(read_settings(raw), read_proxy_settings(raw))
+    raw_settings = synthetic.settings(PROXIES, classes=count)
+    return Balancer(read_settings(raw_settings), seed), RequestValidator(
+        read_settings(raw_settings), read_proxy_settings(raw_settings)
+    )
 
 
 async def create_tenants(count: int, seed: int) -> object:
     """Return a balancer and a request validator with `count` tenants with quotas, which share settings."""
-    raw = synthetic.settings(PROXIES, tenants=count)
-    settings = read_settings(raw)
-    return Balancer(settings, seed), RequestValidator(settings, read_proxy_settings(raw))
+    raw_settings = synthetic.settings(PROXIES, tenants=count)
+    settings = read_settings(raw_settings)
+    return Balancer(settings, seed), RequestValidator(settings, read_proxy_settings(raw_settings))
 
 
 async def create_peers(count: int, seed: int) -> object:
@@ -78,15 +80,15 @@
 
     All backends have the address in the environment variable `BACKEND_ADDRESS_VARIABLE`.
     """
-    proxy_settings = synthetic.settings(1)
-    engine = create_engine(proxy_settings, seed, CLIENT_SLOTS)
+    raw_settings = synthetic.settings(1)
+    engine = create_engine(raw_settings, seed, CLIENT_SLOTS)
     backend_address = os.environ[BACKEND_ADDRESS_VARIABLE]
     entries = [synthetic.list_entry(number, address=backend_address) for number in range(CONNECTION_BACKENDS)]
-    wire = read_proxy_settings(proxy_settings)
+    proxy_settings = read_proxy_settings(raw_settings)
     engine.on_list_update(
-        read_list_update(synthetic.endpoint_list(1, entries), wire), ListUpdateKind.SNAPSHOT
+        read_list_update(synthetic.endpoint_list(1, entries), proxy_settings), ListUpdateKind.SNAPSHOT
     )
-    listener = Listener(engine, RequestValidator(read_settings(proxy_settings), wire), CLIENT_SLOTS)
+    listener = Listener(engine, RequestValidator(read_settings(raw_settings), proxy_settings), CLIENT_SLOTS)
     listener.listen("127.0.0.1:0")
     clients_connected = asyncio.Event()
     asyncio.get_running_loop().add_reader(0, clients_connected.set)
@@ -109,7 +111,7 @@
     if is_traced:
         tracemalloc.start()
     objects = await FACTORIES[kind](count, seed)
-    await asyncio.sleep(0.01)  # the balancer's step runs in a later iteration of the event loop
+    await asyncio.sleep(0.01)  # lets the balancer's step run, in a later iteration of the event loop
     gc.collect()
     print(json.dumps(tracemalloc.get_traced_memory()[0] if is_traced else resident_bytes()), flush=True)
     del objects  # keeps the objects alive until they are measured
--- a/scale/readiness_probe.py
+++ b/scale/readiness_probe.py
@@ -1,7 +1,7 @@
 """A child process that requests `GET /health/ready` about once per millisecond.
 
-Usage: `readiness_probe ADDRESS`. For each line on standard input it prints a JSON line with the longest time
-(ms) between two responses and the number of responses since the previous line.
+Usage: `python -m scale.readiness_probe ADDRESS`. For each line on standard input it prints a JSON line with
+the longest time (ms) between two responses and the number of responses since the previous line.
 """
 
 from __future__ import annotations
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -41,16 +41,16 @@
 
 
 def parse_axes(sizes: str, counts: tuple[str, ...]) -> Sizes:
-    """Return the sizes by axis, with defaults for axes that are not given; raise BadParameter if invalid."""
+    """Return the sizes by axis, from --sizes, --counts and the defaults; raise BadParameter if invalid."""
     parsed = DEFAULT_SIZES | {"backend": parse_sizes(sizes, "--sizes")}
     for text in counts:
-        axis, equals, rest = text.partition("=")
+        axis, equals, axis_sizes = text.partition("=")
         if axis not in DEFAULT_SIZES or not equals:
             names = ", ".join(DEFAULT_SIZES)
             raise click.BadParameter(
                 f"{text!r} is not NAME=N,N where NAME is one of {names}", param_hint="--counts"
             )
-        parsed[axis] = parse_sizes(rest, "--counts")
+        parsed[axis] = parse_sizes(axis_sizes, "--counts")
     return parsed
 
 
--- a/scale/stub_backends.py
+++ b/scale/stub_backends.py
@@ -1,7 +1,8 @@
 """A child process with stub backends.
 
-Usage: `stub_backends COUNT SERVICE_MS`. It prints the addresses of the backends as a JSON line and exits when
-standard input ends. The body of a response is the time (us) that the request has spent in the backend.
+Usage: `python -m scale.stub_backends COUNT SERVICE_MS`. It prints the addresses of the backends as a JSON
+line and exits when standard input is readable or ends. The body of a response is the time (us) that the
+request has spent in the backend.
 """
 
 from __future__ import annotations
@@ -43,17 +44,17 @@
 
 
 async def serve(count: int, service_ms: float) -> None:
-    """Run `count` backends until standard input ends."""
+    """Run `count` backends until standard input is readable or ends."""
     loop = asyncio.get_running_loop()
-    input_ended = asyncio.Event()
+    input_readable = asyncio.Event()
     servers = [
         await loop.create_server(lambda: BackendConnection(service_ms / 1000), "127.0.0.1", 0)
         for _ in range(count)
     ]
     addresses = ["{}:{}".format(*server.sockets[0].getsockname()[:2]) for server in servers]
     print(json.dumps(addresses), flush=True)
-    loop.add_reader(0, input_ended.set)
-    await input_ended.wait()
+    loop.add_reader(0, input_readable.set)
+    await input_readable.wait()
 
 
 if __name__ == "__main__":
--- a/scale/stub_discovery.py
+++ b/scale/stub_discovery.py
@@ -69,8 +69,8 @@
     With `answer_at_once`, a watch without an update gets the empty delta at once.
     """
 
-    def __init__(self, snapshot: bytes, answer_at_once: bool = False) -> None:
-        self._snapshot = snapshot
+    def __init__(self, initial_body: bytes, answer_at_once: bool = False) -> None:
+        self._initial_body = initial_body  # response to a request without a revision
         self._answer_at_once = answer_at_once
         self.updates: dict[int, bytes] = {}  # response bodies, by the revision that they follow
         self.exchanges: list[Exchange] = []
@@ -105,7 +105,7 @@
         """Respond to a request, or keep the watch open; runs in the service's thread."""
         query = WATCH_QUERY.search(head)
         if query is None:
-            connection.respond(len(head), self._snapshot)
+            connection.respond(len(head), self._initial_body)
             return
         since = int(query[1])
         wait_ms = int(query[2])
@@ -114,13 +114,13 @@
         elif self._answer_at_once:
             connection.respond(len(head), synthetic.empty_delta_body(since))
         else:
-            timer = self._loop.call_later(wait_ms / 1000, self._end_wait, connection)
+            timer = self._loop.call_later(wait_ms / 1000, self._answer_timed_out_watch, connection)
             self.waiting[connection] = WaitingWatch(since, len(head), timer)
         with self._changed:
             self._watched_revisions.add(since)
             self._changed.notify_all()
 
-    def _end_wait(self, connection: _DiscoveryConnection) -> None:
+    def _answer_timed_out_watch(self, connection: _DiscoveryConnection) -> None:
         watch = self.waiting.pop(connection, None)
         if watch is not None:
             connection.respond(watch.request_bytes, synthetic.empty_delta_body(watch.since))
--- a/scale/synthetic.py
+++ b/scale/synthetic.py
@@ -53,7 +53,10 @@
 
 
 def delta_body(revision: int, count: int) -> bytes:
-    """Return the body of a delta of `count` entries, alternately a draining and a new backend."""
+    """Return the body of a delta of `count` entries, alternately a draining and a new backend.
+
+    New backends are numbered from 200,000, above those of snapshots of the default sizes.
+    """
     entries = [
         list_entry(number, "leaving") if number % 2 == 0 else list_entry(200_000 + revision * 100 + number)
         for number in range(count)
@@ -107,7 +110,7 @@
 
 
 def configuration(
-    discovery: str, listen: str, proxy_settings: dict[str, Any], cached_entries: list[dict[str, Any]]
+    discovery: str, listen: str, raw_settings: dict[str, Any], cached_entries: list[dict[str, Any]]
 ) -> dict[str, Any]:
     """Return the configuration file of a proxy as an object; `discovery` and `listen` are `host:port`."""
     return {
@@ -117,5 +120,5 @@
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": endpoint_list(1, cached_entries),
-        "settings": proxy_settings,
+        "settings": raw_settings,
     }
--- a/soak/backends.py
+++ b/soak/backends.py
@@ -18,7 +18,7 @@
 ERROR_RESPONSE = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 REJECTION = b"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 UNPARSEABLE_RESPONSE = bytes(range(128, 250))
-FOLLOW_UP_DELAY_S = 0.004  # to a reset after a partial response; longest delay of a duplicate response
+FOLLOW_UP_DELAY_S = 0.004  # from a partial response to its reset; maximum delay of a duplicate response
 SLOW_SERVICE_FACTOR = 6.0  # multiple of the usual service time
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled with 0 s: a close sends a reset
 
@@ -58,7 +58,7 @@
         self, backend_id: str, cell: int, record: RunRecord, random: Random, service_s: float
     ) -> None:
         self.backend_id = backend_id
-        self.cell = cell
+        self.cell = cell  # rack, whose backends deduplicate keyed requests together
         self.record = record
         self.overrides: list[BehaviourOverride] = []
         self.connections: set[BackendConnection] = set()
@@ -150,7 +150,7 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Begin an attempt for each complete request."""
+        """Record an attempt for each complete request and schedule its response."""
         if self._first_byte_at is None:
             self._first_byte_at = self._loop.time()
         for message in self._reader.feed(data):
@@ -179,7 +179,7 @@
 
     def _respond(self, attempt: Attempt, behaviour: Behaviour) -> None:
         if attempt is not self._attempt or self._transport.is_closing():
-            return  # The proxy has abandoned the attempt.
+            return  # The attempt has ended: the proxy abandoned it, or this backend was killed.
         body = f"{attempt.backend_id} {attempt.request_id}".encode()
         response = OK_STATUS_LINE + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
         match behaviour:
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -17,7 +17,7 @@
 
 CONNECT_AFTER_STOP_S = 0.3  # time after SIGTERM during which clients still open connections
 SLOW_WRITE_CHUNKS = 3
-SLOW_WRITE_PAUSE_S = (0.05, 0.3)
+SLOW_WRITE_PAUSE_S = (0.05, 0.3)  # between two chunks
 MIN_BUDGET_FRACTION = 0.7  # smallest budget, as a fraction of the class's deadline
 SHORT_BUDGET_SHARE = 0.03  # fraction of requests with a budget from SHORT_BUDGET_S
 SHORT_BUDGET_S = (0.01, 0.15)
@@ -25,7 +25,7 @@
 LONG_PIPELINE_LENGTH = (30, 60)
 LONG_PIPELINE_SHARE = 0.1  # fraction of pipelines with a length from LONG_PIPELINE_LENGTH
 CONNECTION_FLOOD_S = 4.0  # duration of a connection flood, unless the proxy closes the connections
-MAX_DISCONNECT_DELAY_S = 0.1
+MAX_DISCONNECT_DELAY_S = 0.1  # from the request to the disconnect
 BYTE_FLOOD_BYTES = 2 * 1024 * 1024
 BYTE_FLOOD_DELAY_S = 0.002  # between the request and the flood
 GARBAGE = b"\x16\x03\x01 this is no request\r\n\r\n"
--- a/soak/environment.py
+++ b/soak/environment.py
@@ -31,7 +31,7 @@
 
 SERVICE_S = 0.03  # mean service time of a request
 CELL_COUNT = 4
-DRAIN_STAGE_S = 3.5  # from a drain to the removal from the list, and from there to the end of the process
+DRAIN_STAGE_S = 3.5  # from a drain to the removal from the list, and from the removal to the kill
 
 
 @dataclass(frozen=True)
--- a/soak/fault_injection.py
+++ b/soak/fault_injection.py
@@ -14,13 +14,13 @@
 from soak.faults import Fault, FaultKind, draw_process_environment
 from soak.proxies import ProxyProcess
 
-RESTART_DELAY_S = (0.05, 0.5)
-RELOAD_PAUSE_S = (0.0, 0.4)
+RESTART_DELAY_S = (0.05, 0.5)  # from the exit of a process to the start of the next
+RELOAD_PAUSE_S = (0.0, 0.4)  # after a reload
 AGENT_CLOSE_DELAY_S = 1.5  # from SIGHUP until the old agent closes its connections
 PAUSE_S = (0.02, 0.15)  # between SIGSTOP and SIGCONT
-PAUSE_INTERVAL_S = (0.1, 1.0)  # between SIGCONT and SIGSTOP
+PAUSE_INTERVAL_S = (0.1, 1.0)  # from SIGCONT to the next SIGSTOP
 FLOOD_CONNECTIONS = 70  # per proxy
-MIN_BACKENDS = 6  # kept in service by drains
+MIN_BACKENDS = 6  # minimum number of backends that drains leave in service
 OVERRIDE_SHARE = (0.3, 1.0)  # fraction of a faulty backend's requests
 
 
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -23,11 +23,15 @@
     RELOAD = "reload"  # give some proxies another discovery address by SIGHUP, once or twice
     PAUSE = "pause"  # pause some proxies repeatedly with SIGSTOP, for up to 0.15 s
     DISCOVERY_DOWN = "discovery down"  # discovery doesn't respond to any proxy
-    UNRESPONSIVE_WATCHES = "unresponsive watches"  # no response on the connections that are open to discovery
+    UNRESPONSIVE_WATCHES = (
+        "unresponsive watches"  # the open connections to discovery never get a response; new ones do
+    )
     DRAIN = "drain"  # drain some backends, then remove them
     JOIN = "join"  # add cold backends
     REPLACE = "replace"  # add cold backends and drain others
-    FAULTY_BACKENDS = "faulty backends"  # some backends change to one faulty behaviour
+    FAULTY_BACKENDS = (
+        "faulty backends"  # some backends show the same faulty behaviour on part of their requests
+    )
     CLOSE_IDLE = "close idle connections"  # all backends close their idle connections
     CONNECTION_FLOOD = "connection flood"  # idle client connections to some proxies
 
@@ -49,7 +53,10 @@
 
 
 class SystemCallFault(NamedTuple):
-    """A call name of `shim/faults.c` and the errno with which the call fails; 0 for `short`."""
+    """A call named in `soak/shim/faults.c`, and the errno with which it fails.
+
+    `short` is no failure: reads and writes on sockets transfer fewer bytes than requested.
+    """
 
     call: str
     error: int
@@ -73,17 +80,20 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault of a run, with its start in seconds after the start of the load."""
+    """One fault of a run; all values are drawn for each kind, also those that the kind does not use."""
 
-    at_s: float
+    at_s: float  # time after the start of the load
     kind: FaultKind
-    duration_s: float
-    share: float  # fraction of the proxies or backends
+    duration_s: float  # used by PAUSE, DISCOVERY_DOWN and FAULTY_BACKENDS
+    share: float  # of the proxies or backends; unused by DISCOVERY_DOWN, UNRESPONSIVE_WATCHES, CLOSE_IDLE
     behaviour: Behaviour = Behaviour.GOOD  # of faulty backends
 
     def __str__(self) -> str:
         behaviour = "" if self.behaviour is Behaviour.GOOD else f" ({self.behaviour.value})"
-        return f"{self.at_s:.1f} s {self.kind.value}{behaviour}, {self.share:.0%}, {self.duration_s:.1f} s"
+        return (
+            f"at {self.at_s:.1f} s: {self.kind.value}{behaviour}, drawn share {self.share:.0%}, "
+            f"drawn duration {self.duration_s:.1f} s"
+        )
 
 
 def draw_faults(random: Random, seconds: float, count: int) -> list[Fault]:
@@ -101,7 +111,7 @@
 def draw_process_environment(random: Random, library: str | None, share: float) -> dict[str, str]:
     """Draw the environment variables of one process, which set its system call faults and its clock offset.
 
-    They are empty except for a fraction `share` of the processes, and always without a fault library.
+    Return none if `library` is None, and for all but a fraction `share` of the processes.
     """
     if library is None or random.random() >= share:
         return {}
--- a/soak/gossip_relay.py
+++ b/soak/gossip_relay.py
@@ -1,4 +1,4 @@
-"""The gossip address of the whole deployment: a relay to all proxies."""
+"""A stand-in for the platform's gossip broadcast address (`peers_all`), which forwards to all proxies."""
 
 from __future__ import annotations
 
@@ -31,7 +31,8 @@
 
     def datagram_received(self, data: bytes, sender: Any) -> None:
         """Forward a datagram."""
-        # Proxies identify a peer by a datagram's source address, which is the relay's for forwarded ones.
+        # A forwarded datagram has the source address of the relay, which is no peer of the proxies. They drop
+        # all such datagrams, so a run only tests that gossip is sent and dropped.
         for receiver in self._receivers:
             if receiver != sender:
                 self._transport.sendto(data, receiver)
--- a/soak/proxies.py
+++ b/soak/proxies.py
@@ -18,9 +18,9 @@
 
 FAULT_LIBRARY_SOURCE = Path(__file__).parent / "shim" / "faults.c"
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n"
-READINESS_INTERVAL_S = 0.05
+READINESS_INTERVAL_S = 0.05  # between two readiness requests
 MAX_LOG_LINES = 2000  # kept per process
-TERMINATION_TIMEOUT_S = 6.0  # until SIGKILL; longer than the rules allow a shutdown to take
+TERMINATION_TIMEOUT_S = 6.0  # after which SIGKILL is sent; longer than the rules allow for a shutdown
 
 
 def build_fault_library(folder: Path) -> Path | None:
--- a/soak/records.py
+++ b/soak/records.py
@@ -108,7 +108,7 @@
     idempotency: Idempotency
     objective_s: float
     deadline_s: float
-    deduplication_window_s: float = 0.0  # keyed only: how long a cell drops repeats
+    deduplication_window_s: float = 0.0  # for keyed requests: time in which a cell drops repeats
 
 
 @dataclass(frozen=True)
@@ -117,8 +117,8 @@
 
     cold_s: float = 0.0  # time from the start of a backend until it is warm
     start_capacity: float = 1.0  # at the start, as a fraction of a warm backend's capacity
-    overload_multiple: float = 3.0  # maximum load, as a multiple of warm_rate at its capacity
-    overload_window_s: float = 1.0  # over which requests are counted
+    overload_multiple: float = 3.0  # maximum requests per second, as a multiple of warm_rate * capacity
+    overload_window_s: float = 1.0  # period over which requests are counted
     warm_rate: float = 0.0  # mean requests per second of a warm backend
 
 
@@ -134,11 +134,13 @@
     misbehaving_clients: list[MisbehavingClient] = field(default_factory=list)
     incarnations: list[Incarnation] = field(default_factory=list)
     notifications: list[ListNotification] = field(default_factory=list)
-    drained_at: dict[str, float] = field(default_factory=dict)  # by backend, when it was published
-    reachable: dict[int, list[ReachableSpan]] = field(default_factory=dict)  # when its agent was, by proxy
+    # When the drain or removal of a backend was first published, by backend id.
+    drained_at: dict[str, float] = field(default_factory=dict)
+    # When the discovery agent of a proxy was reachable, by proxy.
+    reachable: dict[int, list[ReachableSpan]] = field(default_factory=dict)
     # When a SIGHUP told a proxy of a new discovery address, by proxy.
     relocated_at: dict[int, list[float]] = field(default_factory=dict)
-    cold_started_at: dict[str, float] = field(default_factory=dict)  # by id of each cold backend
+    cold_started_at: dict[str, float] = field(default_factory=dict)  # by backend id; cold backends only
     max_lag_s: float = 0.0  # largest delay of the tool's own event loop
 
     def incarnation_of(self, request: Request) -> Incarnation:
--- a/soak/rules.py
+++ b/soak/rules.py
@@ -18,7 +18,7 @@
 SOCKET_SLACK_S = 0.05  # added to each limit on an event that the tool sees on a socket
 # The end of an attempt and the next attempt reach the tool on two connections, in either order.
 CONCURRENCY_SLACK_S = 0.05
-NOTIFICATION_LIMIT_S = 6.0  # to learn of a change, counted from when discovery has it and is reachable
+NOTIFICATION_LIMIT_S = 6.0  # to learn of a change, from when it is published and discovery is reachable
 RELOCATION_LIMIT_S = 4.0  # to learn of changes from a new discovery address, counted from the SIGHUP
 MISBEHAVING_CLIENT_LIMIT_S = 3.0  # for an error response or a close, counted from the connect
 READINESS_LIMIT_S = 10.0  # counted from the start of the process
@@ -124,7 +124,7 @@
 
 
 def check_executions(record: RunRecord, request: Request, attempts: list[Attempt]) -> Iterator[Violation]:
-    """Check that a request was neither repeated against its class nor rejected after it may have run."""
+    """Check that a request was not repeated where its class forbids it or rejected after it may have run."""
     request_class = record.classes[request.class_index]
     executed = [attempt for attempt in attempts if attempt.execution is not Execution.REJECTED]
     if not executed or request_class.idempotency is Idempotency.IDEMPOTENT:
--- a/soak/run.py
+++ b/soak/run.py
@@ -16,7 +16,7 @@
 from soak.records import RunRecord
 from soak.rules import Violation, find_violations
 
-LAG_INTERVAL_S = 0.02
+LAG_INTERVAL_S = 0.02  # between two measurements of the event loop's delay
 SETTLE_BEFORE_S = 1.0  # from the readiness of all proxies to the first request
 SETTLE_AFTER_S = 3.5  # after the last request, for the responses to arrive
 
--- a/soak/shim/faults.c
+++ b/soak/shim/faults.c
@@ -6,8 +6,8 @@
  *     short:0:PERCENT:FROM_MS:TO_MS           reads and writes on sockets transfer fewer bytes than requested
  *
  * A rule applies to PERCENT of its calls. CALL is socket, connect, accept, open (of the configuration file),
- * log (writes to standard error) or wait (epoll). SOAK_CLOCK_MS is added to the wall clock, in whole seconds.
- * SOAK_SEED seeds the random draws. Nothing outside the process is affected.
+ * log (writes to standard error) or wait (epoll). SOAK_CLOCK_MS, truncated to whole seconds, is added to the wall
+ * clock. SOAK_SEED seeds the random draws. Nothing outside the process is affected.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -169,6 +169,7 @@
     return real(fd, data, shortened_size(fd, size));
 }
 
+/* A shortened call writes at most about half of the first part. */
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     DECLARE_REAL(ssize_t, "writev", int, const struct iovec *, int);
     if (count > 0 && shortened_size(fd, parts[0].iov_len) < parts[0].iov_len)
@@ -178,7 +179,7 @@
 
 ssize_t read(int fd, void *data, size_t size) {
     DECLARE_REAL(ssize_t, "read", int, void *, size_t);
-    size_t limit = size > 200 ? 200 : size; /* a buffer is far larger than the data that arrives */
+    size_t limit = size > 200 ? 200 : size; /* in bytes; buffers are far larger than the data that arrives */
     return real(fd, data, shortened_size(fd, size) < size ? 1 + draw_below((unsigned)limit) : size);
 }
 
--- a/tests/tools/scale/test_fit.py
+++ b/tests/tools/scale/test_fit.py
@@ -15,7 +15,7 @@
     assert fit([1, 2, 3], [[5.0, 5.0, 5.0]]).r2 == 1.0
 
 
-def test_fit_of_a_curve_has_a_large_distance_and_a_fit_of_one_size_is_an_error() -> None:
+def test_fit_of_a_curve_has_a_large_worst_distance_and_fit_of_one_size_raises_value_error() -> None:
     assert fit([1, 2, 3], [[2.0, 4.0, 6.0]]).worst == pytest.approx(0.0)
     curve = fit([1, 10, 100], [[1.0, 100.0, 10000.0]])
     assert curve.r2 < 0.999 and curve.worst > 100
--- a/tests/tools/scale/test_slopes.py
+++ b/tests/tools/scale/test_slopes.py
@@ -14,13 +14,13 @@
 from scale.measurement import DEFAULT_SIZES, MEASUREMENTS, Series, Values
 from scale.slopes_report import format_values, summarize_series
 
-TINY = ["--sizes", "10,20", "--repeats", "2", "--quiet"]
-TINY += [part for axis in DEFAULT_SIZES if axis != "backend" for part in ("--counts", f"{axis}=5,7")]
+SMALL_SIZES = ["--sizes", "10,20", "--repeats", "2", "--quiet"]
+SMALL_SIZES += [part for axis in DEFAULT_SIZES if axis != "backend" for part in ("--counts", f"{axis}=5,7")]
 
 
 def run_slopes(folder: Path, *arguments: str) -> dict[str, Any]:
     file = folder / "slopes.json"
-    assert main(["slopes", *TINY, *arguments, "--json", str(file)]) == 0
+    assert main(["slopes", *SMALL_SIZES, *arguments, "--json", str(file)]) == 0
     report: dict[str, Any] = json.loads(file.read_text())
     return report
 
--- a/tests/tools/soak/test_rules.py
+++ b/tests/tools/soak/test_rules.py
@@ -43,13 +43,13 @@
         reachable={0: [ReachableSpan(0.0)]},
     )
     for class_index in (IDEMPOTENT, NON_IDEMPOTENT, KEYED):
-        name = f"r{class_index}"
+        request_id = f"r{class_index}"
         at = 10.0 + class_index
-        record.requests[name] = Request(
-            name, 0, 1, class_index, at, 0.8, False, None, at + 0.1, 200, f"s {name}".encode()
+        record.requests[request_id] = Request(
+            request_id, 0, 1, class_index, at, 0.8, False, None, at + 0.1, 200, f"s {request_id}".encode()
         )
         record.attempts.append(
-            Attempt(name, "s", 1, at + 0.01, at + 0.01, 790, Execution.EXECUTED, at + 0.09)
+            Attempt(request_id, "s", 1, at + 0.01, at + 0.01, 790, Execution.EXECUTED, at + 0.09)
         )
     return record
 
@@ -187,7 +187,9 @@
         ),
     ],
 )
-def test_record_with_a_violation_is_reported_under_its_rule(changes: list[Change], rules: list[Rule]) -> None:
+def test_changed_record_has_the_violations_that_its_changes_cause(
+    changes: list[Change], rules: list[Rule]
+) -> None:
     record = record_without_violations()
     for change in changes:
         change(record)
@@ -195,7 +197,7 @@
     assert set(rules) <= found if Rule.DRAIN in rules else found == set(rules)
 
 
-def test_cold_backend_violates_its_rule_above_the_maximum_requests_only() -> None:
+def test_cold_start_rule_is_violated_only_above_the_maximum_number_of_requests() -> None:
     for request_count, is_violated in (
         (int(max_cold_requests(record_without_violations(), 1.0)), False),
         (int(max_cold_requests(record_without_violations(), 1.0)) + 1, True),
