--- a/scale/load_report.py
+++ b/scale/load_report.py
@@ -35,13 +35,11 @@
     "failed",
 )
 EXPLANATION = (
-    "path: proxy, or direct for the same clients connected to the backends without a proxy; added: time from",
-    "the scheduled time of a request to its response, minus the service time that the backend reported, in",
-    "ms, over all repeats; min and max: p99 of single repeats; within: repeats with p99 up to",
-    f"{MAX_ADDED_MS} ms; late: time from the scheduled time of a request until it was sent, p99 in ms; cpu:",
-    "processor time of the proxy; cpu wait: time that the proxy waited for a core; both in us per answered",
-    "request (median of the repeats); core: share of a core that the proxy used; rejected: responses with",
-    "status 429 or 503; failed: requests with another status or without a complete response.",
+    "added: ms from the scheduled time of a request to its response, minus the service time that the backend",
+    "reported, over all repeats; min, max: p99 of single repeats; within: number of repeats with p99 up to",
+    f"{MAX_ADDED_MS} ms; late: p99 of the ms from the scheduled to the actual sending; cpu, cpu wait:",
+    "time that the proxy used or waited for a core, us per answered request (median of repeats); core: share",
+    "of a core that the proxy used; rejected: status 429 or 503. direct: the same clients without the proxy.",
     "",
 )
 
