--- a/soak/fault_injection.py
+++ b/soak/fault_injection.py
@@ -14,13 +14,13 @@
 from soak.faults import Fault, FaultKind, draw_process_environment
 from soak.proxies import ProxyProcess
 
-RESTART_DELAY_S = (0.05, 0.5)
-RELOAD_PAUSE_S = (0.0, 0.4)
+RESTART_DELAY_S = (0.05, 0.5)  # from the exit of a process to the start of the next
+RELOAD_PAUSE_S = (0.0, 0.4)  # after a reload
 AGENT_CLOSE_DELAY_S = 1.5  # from SIGHUP until the old agent closes its connections
 PAUSE_S = (0.02, 0.15)  # between SIGSTOP and SIGCONT
-PAUSE_INTERVAL_S = (0.1, 1.0)  # between SIGCONT and SIGSTOP
+PAUSE_INTERVAL_S = (0.1, 1.0)  # from SIGCONT to the next SIGSTOP
 FLOOD_CONNECTIONS = 70  # per proxy
-MIN_BACKENDS = 6  # kept in service by drains
+MIN_BACKENDS = 6  # minimum number of backends that drains leave in service
 OVERRIDE_SHARE = (0.3, 1.0)  # fraction of a faulty backend's requests
 
 
@@ -64,7 +64,7 @@
     def _proxy_action(self, fault: Fault) -> Callable[[ProxyProcess], Coroutine[Any, Any, None]] | None:
         """Return the action of a fault on each chosen proxy, or None if the fault doesn't act on proxies."""
         match fault.kind:
-            case FaultKind.STOP:
+            case FaultKind.TERMINATE:
                 return lambda proxy: self._restart(proxy, signal.SIGTERM)
             case FaultKind.KILL:
                 return lambda proxy: self._restart(proxy, signal.SIGKILL)
@@ -90,7 +90,7 @@
             case FaultKind.CLOSE_IDLE:
                 for backend in environment.backends.values():
                     backend.close_idle_connections()
-            case FaultKind.BAD_BACKENDS:
+            case FaultKind.FAULTY_BACKENDS:
                 await self._override_behaviour(fault)
             case _:
                 await self._change_backends(fault)
