--- a/dunecove/proxy/disconnect_watcher.py
+++ b/dunecove/proxy/disconnect_watcher.py
@@ -10,11 +10,11 @@
 if TYPE_CHECKING:
     from dunecove.proxy.client_connection import ClientConnection
 
-DISCONNECT_POLL_S = 0.05
+DISCONNECT_POLL_INTERVAL_S = 0.05
 
 
 class DisconnectWatcher:
-    """Polls the connections that are paused for reading, since the event loop does not report their end.
+    """Polls connections on which reading is paused, since the event loop does not report their end.
 
     A client that has disconnected must not keep using a slot and the capacity of a backend.
     """
@@ -28,7 +28,7 @@
         """Start polling a connection."""
         self.paused.add(connection)
         if self.poll_timer is None:
-            self.poll_timer = self._loop.call_later(DISCONNECT_POLL_S, self.poll)
+            self.poll_timer = self._loop.call_later(DISCONNECT_POLL_INTERVAL_S, self.poll)
 
     def unwatch(self, connection: ClientConnection) -> None:
         """Stop polling a connection, if it is polled."""
@@ -40,4 +40,4 @@
         for transport in find_closed_by_peer(connection.transport for connection in self.paused):
             transport.abort()
         if self.paused:
-            self.poll_timer = self._loop.call_later(DISCONNECT_POLL_S, self.poll)
+            self.poll_timer = self._loop.call_later(DISCONNECT_POLL_INTERVAL_S, self.poll)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -64,8 +64,8 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[:-2]
-    return first, {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
+    start_line, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[:-2]
+    return start_line, {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
 
 
 class ReceivedRequest(NamedTuple):
@@ -110,10 +110,10 @@
         connection_number, closed = self.connection_count, asyncio.Event()
         try:
             while True:
-                line, headers = await read_head(reader)
+                request_line, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
                 await self.requests.put(
-                    ReceivedRequest(line, headers, body, writer, connection_number, closed)
+                    ReceivedRequest(request_line, headers, body, writer, connection_number, closed)
                 )
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
@@ -156,9 +156,9 @@
         self.writer.write(encode_request(path, method, body=body, **headers))
 
     async def read_response(self) -> ReceivedResponse:
-        line, headers = await read_head(self.reader)
+        status_line, headers = await read_head(self.reader)
         body = await self.reader.readexactly(int(headers["content-length"]))
-        return ReceivedResponse(int(line.split()[1]), headers, body)
+        return ReceivedResponse(int(status_line.split()[1]), headers, body)
 
     async def exchange(
         self, path: str = "/answer", method: str = "POST", **headers: str | None
@@ -201,7 +201,7 @@
     return {"rev": rev, "all": is_snapshot, "targets": list(targets)}
 
 
-def make_configuration(discovery: str, *targets: dict[str, Any], **overrides: Any) -> dict[str, Any]:
+def make_configuration(discovery_address: str, *targets: dict[str, Any], **overrides: Any) -> dict[str, Any]:
     """Return the content of a configuration file.
 
     `overrides` are keys of `Limits` in the settings, or `settings`, `memory_mb`, `sockets`, `discovery_mode`.
@@ -210,7 +210,7 @@
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
-        "discovery": discovery,
+        "discovery": discovery_address,
         "seed": "8c1f30d27a5be964",
         "limits": {
             "cores": 1.0,
@@ -235,7 +235,9 @@
     """Write the configuration file of a proxy process; return the environment to start the process with."""
     path = folder / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
-    return {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | {"LB_CONFIG": str(path)}
+    return {name: value for name, value in os.environ.items() if not name.startswith("LB_")} | {
+        "LB_CONFIG": str(path)
+    }
 
 
 class ConnectGate:
@@ -245,11 +247,11 @@
         self.create_task, self.call_later = loop.create_task, loop.call_later
         self.connect = loop.create_connection
         # One event for each connection that the pool opens; setting the event lets the connection open.
-        self.attempts: asyncio.Queue[asyncio.Event] = asyncio.Queue()
+        self.pending_connects: asyncio.Queue[asyncio.Event] = asyncio.Queue()
 
     async def create_connection(self, *args: Any) -> Any:
         may_open = asyncio.Event()
-        await self.attempts.put(may_open)
+        await self.pending_connects.put(may_open)
         await may_open.wait()
         return await self.connect(*args)
 
@@ -271,10 +273,10 @@
 
 
 @asynccontextmanager
-async def proxy(backends: int = 1, **overrides: Any) -> AsyncIterator[Proxy]:
+async def run_proxy(backends: int = 1, **overrides: Any) -> AsyncIterator[Proxy]:
     """Run a whole proxy in this process, with scripted backends and a scripted discovery service.
 
-    `overrides` are those of `make_configuration`.
+    `overrides` are passed to `make_configuration`.
     """
     backend_servers = [await ScriptedServer().open() for _ in range(backends)]
     discovery = await ScriptedServer().open()
