--- a/dunecove/policy/bandit.py
+++ b/dunecove/policy/bandit.py
@@ -14,7 +14,7 @@
 from dunecove.policy.settings import Settings
 
 PAYOFF_WEIGHT = 0.1  # weight of one outcome in a backend's payoff: about the last ten outcomes count
-EXPLORATION_BONUS = 0.2  # weight of the UCB1 exploration bonus, which lets idle backends be tried again
+EXPLORATION_WEIGHT = 0.2  # weight of the UCB1 exploration bonus, which lets idle backends be tried again
 OUTCOME_COUNT_DECAY = 0.8  # factor per second: an idle backend's count falls below 1 in about ten seconds
 # Scores (payoff + exploration bonus) with a smaller difference are equal: one outcome changes a payoff by as
 # much.
@@ -133,4 +133,4 @@
 
     def _score(self, backend: Backend) -> float:
         uncertainty = sqrt(log(1 + self.outcome_count) / (1 + backend.outcome_count))
-        return backend.payoff + EXPLORATION_BONUS * uncertainty
+        return backend.payoff + EXPLORATION_WEIGHT * uncertainty
