--- a/dunecove/policy/dispatcher.py
+++ b/dunecove/policy/dispatcher.py
@@ -61,7 +61,7 @@
             request.queue.pop_head(now)
             forwards.append(self.forward(now, request, candidates))
             backend = request.attempts[-1].backend
-            if not backend.has_capacity(now, self._backends.sparse_backend_limit):
+            if not backend.has_capacity(now, self._backends.min_backend_limit):
                 candidates.remove(backend)
         return forwards
 
@@ -99,7 +99,7 @@
         return candidates, available_sends
 
     def _with_capacity(self, now: float, backends: Sequence[Backend]) -> list[Backend]:
-        min_limit = self._backends.sparse_backend_limit
+        min_limit = self._backends.min_backend_limit
         return [backend for backend in backends if backend.has_capacity(now, min_limit)]
 
     def _available_concurrency(self, now: float) -> float:
--- a/dunecove/policy/pinned_retries.py
+++ b/dunecove/policy/pinned_retries.py
@@ -39,7 +39,7 @@
             candidates = [
                 backend
                 for backend in self._scope_members(now, request, executed)
-                if backend.has_capacity(now, self._backends.sparse_backend_limit)
+                if backend.has_capacity(now, self._backends.min_backend_limit)
             ]
             if candidates and now < request.send_deadline:
                 request.is_queued = False
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -55,7 +55,7 @@
         self.subset: list[Backend] = []  # the backends that requests are sent to
         self.subset_size = 0  # of a sparse proxy: wanted size of the subset
         self.cold_subset: list[Backend] = []  # backends that were cold when the subset was chosen
-        self.sparse_backend_limit = 0.0  # of a sparse proxy: minimum concurrency limit of each backend
+        self.min_backend_limit = 0.0  # minimum concurrency limit of each backend; 0 in a dense tier
 
     def find_by_hash(self, name_hash: int) -> Sequence[Backend]:
         """Return the subscribed backends whose names have this hash, the oldest subscription first."""
@@ -147,7 +147,7 @@
             ranked = sorted(self.active, key=lambda backend: backend.rank)
             available = [backend for backend in ranked if backend.ejected_until <= now]
             self.subset = available[: self.subset_size] or ranked
-            self.sparse_backend_limit = max(1.0, self._in_flight.limit / max(len(self.subset), 1))
+            self.min_backend_limit = max(1.0, self._in_flight.limit / max(len(self.subset), 1))
         self.cold_subset = [backend for backend in self.subset if backend.cold_until > now]
 
     def shrink_subscriptions(self) -> None:
