--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -16,7 +16,7 @@
 from dunecove.policy.request_queue import RequestQueue
 from dunecove.policy.settings import Settings
 from dunecove.policy.slow_start_budget import SlowStartBudget
-from dunecove.policy.unsubscribed_backends import Rank, UnsubscribedBackends
+from dunecove.policy.unsubscribed_backends import SortKey, UnsubscribedBackends
 
 MIN_SUBSET = 8  # backends; with a few requests per second a sparse proxy cannot learn about more in time
 MIN_SUBSCRIBED = 256  # backends with state; of a sparse proxy twice its subset if that is more
@@ -26,7 +26,7 @@
 MAX_SUBSCRIBE_STEP = 128  # dense tier: backends subscribed at once
 
 
-def _rank_of(backend: Backend) -> Rank:
+def _sort_key(backend: Backend) -> SortKey:
     return backend.rank, backend.id
 
 
@@ -46,7 +46,7 @@
         self._in_flight = in_flight
         self._slow_start_budget = slow_start_budget
         self._by_hash: dict[int, list[Backend]] = {}  # two names rarely have the same hash
-        self._rank_boundary: Rank = (0, "")  # all active backends up to this rank are subscribed
+        self._subscribed_boundary: SortKey = (0, "")  # all active backends up to this sort key are subscribed
         self._max_subscribed = MIN_SUBSCRIBED  # number of backends to subscribe to, without the slack
         self.by_id: dict[str, Backend] = {}  # the subscribed backends, in any state
         self.active: list[Backend] = []  # the subscribed backends that are active
@@ -88,7 +88,7 @@
             self._add_or_update(now, entry)
         elif entry.state is not BackendState.ACTIVE:
             self.unsubscribed.pop(entry.backend_id)
-        elif self.unsubscribed.rank(entry.backend_id) > self._rank_boundary:
+        elif self.unsubscribed.sort_key(entry.backend_id) > self._subscribed_boundary:
             self.unsubscribed.put(entry)
         else:
             self._add_or_update(now, entry)
@@ -160,7 +160,7 @@
         if self.unsubscribed.count and len(self.active) < self._max_subscribed:
             names = self.unsubscribed.first(self._max_subscribed - len(self.active))
             self.subscribe(now, names)
-            self._rank_boundary = max(self._rank_boundary, self.unsubscribed.rank(names[-1]))
+            self._subscribed_boundary = max(self._subscribed_boundary, self.unsubscribed.sort_key(names[-1]))
         if self._has_too_many_subscribed():
             self._trim_subscribed()
             self.refresh_active()
@@ -188,9 +188,11 @@
             self._remove(backend, BackendState.DRAINING)
         if len(self.by_id) <= self._max_subscribed:
             return
-        ranked = sorted(self.by_id.values(), key=_rank_of)
-        last_rank = _rank_of(ranked[: self._max_subscribed][-1])
-        self._rank_boundary = min(self._rank_boundary, last_rank) if self.unsubscribed.count else last_rank
+        ranked = sorted(self.by_id.values(), key=_sort_key)
+        last_key = _sort_key(ranked[: self._max_subscribed][-1])
+        self._subscribed_boundary = (
+            min(self._subscribed_boundary, last_key) if self.unsubscribed.count else last_key
+        )
         for backend in ranked[self._max_subscribed :]:
             if backend.in_flight == 0:
                 self._remove(backend, BackendState.ACTIVE)
--- a/dunecove/policy/unsubscribed_backends.py
+++ b/dunecove/policy/unsubscribed_backends.py
@@ -18,7 +18,7 @@
 _MARSHAL_VERSION = 2
 
 
-Rank = tuple[int, str]  # sort key of this proxy's order: the hash, then the name if hashes are equal
+SortKey = tuple[int, str]  # sort key of this proxy's order: the hash, then the name if hashes are equal
 
 
 def _encode(info: BackendInfo) -> bytes:
@@ -43,7 +43,7 @@
         self._zone_hints: dict[int, int] = {}
         self._cell_hints: dict[int, int] = {}
 
-    def rank(self, backend_id: str) -> Rank:
+    def sort_key(self, backend_id: str) -> SortKey:
         """Return a backend's sort key in this proxy's order."""
         name_hash = rendezvous_hash.name_hash(backend_id)
         return rendezvous_hash.hash_pair(self._rank_key, name_hash), backend_id
@@ -83,7 +83,7 @@
         for bucket_number in sorted(self._buckets):
             if len(names) >= count:
                 break
-            names += nsmallest(count - len(names), self._buckets[bucket_number], key=self.rank)
+            names += nsmallest(count - len(names), self._buckets[bucket_number], key=self.sort_key)
         return names
 
     def scope_members(self, scope: DeduplicationScope, executed: Location) -> list[str]:
@@ -108,4 +108,4 @@
         return names
 
     def _bucket_number(self, backend_id: str) -> int:
-        return self.rank(backend_id)[0] >> BUCKET_SHIFT
+        return self.sort_key(backend_id)[0] >> BUCKET_SHIFT
