--- a/dunecove/policy/actions.py
+++ b/dunecove/policy/actions.py
@@ -13,10 +13,10 @@
     UNSPECIFIED = "unspecified"
     LOAD_SHED = "load_shed"  # rejected on arrival, because of overload
     DEADLINE_TOO_CLOSE = "deadline_too_close"  # failed on arrival: too little time left for a response
-    QUEUE_TIMEOUT = "queue_timeout"  # no backend had capacity before the send deadline
+    QUEUE_TIMEOUT = "queue_timeout"  # no backend had capacity by the send deadline; earlier under overload
     RETRY_BUDGET_EXHAUSTED = "retry_budget_exhausted"
     RETRY_NOT_ALLOWED = "retry_not_allowed"  # because of the request's class, deadline or number of attempts
-    ATTEMPT_WITHDRAWN = "attempt_withdrawn"  # withdrawn before it was written to a backend
+    ATTEMPT_WITHDRAWN = "attempt_withdrawn"  # withdrawn before it was written completely
     BAD_REQUEST = "bad_request"  # the backend reported that the request is invalid
 
 
@@ -52,13 +52,13 @@
 
 
 class SendHealthCheck(NamedTuple):
-    """Check a backend's health. Part of the wire format; `Balancer` never returns it."""
+    """Check a backend's health. Part of the simulator's wire format; `Balancer` never returns it."""
 
     backend_id: str
 
 
 class PollDiscovery(NamedTuple):
-    """Poll discovery: open a watch on the endpoint list."""
+    """Poll discovery: open a watch (long polls of the endpoint list) unless there is one."""
 
 
 class SendGossip(NamedTuple):
--- a/dunecove/policy/admission.py
+++ b/dunecove/policy/admission.py
@@ -25,13 +25,14 @@
 SPARSE_LATE_WORK_THRESHOLD = 0.6
 SPARSE_LATE_WORK_WEIGHT_FACTOR = 0.2
 
-# Level 4 is shed even if the queue is empty while its readmission period exceeds this number of latency
-# objectives. After a single overload the period is shorter: shedding with an empty queue would leave backends
-# idle.
+# After an overload, level 4 is gradually admitted again over the readmission period. If that exceeds this
+# number of latency objectives, this applies even while the queue is empty. After a single overload the
+# period is shorter: shedding with an empty queue would leave backends idle.
 LONG_READMISSION_OBJECTIVES = 1.0
-LEVEL_3_SHED_RATIO = 3.0  # overload ratio above which some of level 3 is shed; at twice this, all of it
-# Fraction of outcomes that are overload samples above which a sparse proxy is overloaded. It is not 0: a few
-# responses always take long.
+# Overload ratio (above 1: the queue is overloaded) above which some of level 3 is shed; at twice this, all.
+LEVEL_3_SHED_RATIO = 3.0
+# Fraction of outcomes that are overload samples (see `in_flight_limit`: rejections, timeouts, long responses)
+# above which a sparse proxy is overloaded. It is not 0: a few responses always take long.
 MAX_OVERLOAD_FRACTION = 0.15
 
 
@@ -67,7 +68,10 @@
         return 1 + sum(weight < min_weight for min_weight in LEVEL_WEIGHTS)
 
     def should_shed(self, now: float, level: int, queue: RequestQueue) -> bool:
-        """Return whether to reject an arriving request of this level; update the queue's overload state."""
+        """Return whether to reject an arriving request of this level.
+
+        For a level that may be shed, update the queue's overload state.
+        """
         if level < HIGHEST_SHEDDABLE_LEVEL:
             return False
         detector = queue.detector
--- a/dunecove/policy/backend.py
+++ b/dunecove/policy/backend.py
@@ -94,13 +94,13 @@
         self.responses_since_update = 0  # since the last update of the response rate
         self.response_rate = 0.0  # responses per second, smoothed
         self.slow_start_tokens = 0.0  # requests that the backend may get while it is cold
-        self.next_token_draw_at = 0.0  # next random draw of a slow start token by a sparse proxy
+        self.next_token_draw_at = 0.0  # when a sparse proxy next draws whether it gets a token
         self.last_progress_at = 0.0  # last response, or last attempt started while none was in flight
         self.started_at: float | None = None
         self.cold_until = 0.0  # time at which the backend becomes warm; 0 if it is not known to be cold
 
     def has_capacity(self, now: float, min_limit: float = 0.0) -> bool:
-        """Whether the backend may get another request, with a concurrency limit of at least `min_limit`."""
+        """Whether the backend may get another request; its limit counts as at least `min_limit`."""
         if self.ejected_until > now:
             return False
         if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:  # after an ejection: one trial request
--- a/dunecove/policy/bandit.py
+++ b/dunecove/policy/bandit.py
@@ -16,17 +16,21 @@
 PAYOFF_WEIGHT = 0.1  # weight of one outcome in a backend's payoff: about the last ten outcomes count
 EXPLORATION_WEIGHT = 0.2  # weight of the UCB1 exploration bonus, which lets idle backends be tried again
 OUTCOME_COUNT_DECAY = 0.8  # factor per second: an idle backend's count falls below 1 in about ten seconds
-# Scores (payoff + exploration bonus) with a smaller difference are equal: one outcome changes a payoff by as
-# much.
+# Scores (payoff + exploration bonus) with a smaller difference are equal: in a dense tier one outcome changes
+# a payoff by up to this.
 SCORE_TIE = 0.1
-SPARSE_PAYOFF_RECOVERY = 0.1  # fraction of the gap to the mean payoff recovered per second without outcomes
+SPARSE_PAYOFF_RECOVERY = 0.1  # fraction of the gap to the mean payoff recovered by an idle backend per second
 
-# A kind is suitable for a request if it is expected to do the hinted work in this fraction of the objective.
+# A kind is suitable for a request if it is expected to do the hinted work (`Request.work_hint_ms`) in this
+# fraction of the objective.
 MAX_WORK_OBJECTIVE_FRACTION = 0.35
-WORK_RATE_TIE_FACTOR = 1.15  # kinds with at most this multiple of the fastest kind's work rate are as fast
-COLD_WORK_RATE_FACTOR = 2.0  # multiple of its kind's work rate that a cold backend has
-# The choice is restricted to suitable backends only if they are at least 1 in this many of the subset: fewer
-# would be overloaded.
+# Work rates are in ms of latency per ms of hinted work: lower is faster.
+WORK_RATE_TIE_FACTOR = (
+    1.15  # a kind counts as fast up to this multiple of the fastest kind's work rate
+)
+COLD_WORK_RATE_FACTOR = 2.0  # a cold backend is assumed to have this multiple of its kind's work rate
+# The choice is restricted to the suitable candidates (untried, with capacity) only if they are at least 1 in
+# this many of the subset: fewer would be overloaded.
 MAX_BACKENDS_PER_SUITABLE = 3
 
 
@@ -106,7 +110,8 @@
     def _choose_two(self, request: Request, candidates: list[Backend]) -> tuple[Backend, Backend]:
         key = request.affinity_key
         if self._has_key_affinity and key is not None:
-            # A backend needs less work for a key it has recently handled: all proxies choose the same two.
+            # A backend needs less work for a key it has recently handled: proxies with the same candidates
+            # choose the same two.
             first, second = nlargest(
                 2, candidates, key=lambda backend: rendezvous_hash.hash_pair(key, backend.name_hash)
             )
--- a/dunecove/policy/client_retries.py
+++ b/dunecove/policy/client_retries.py
@@ -7,7 +7,9 @@
 # An unmarked request is treated as a retry only if its client has waited longer than this fraction of the
 # latency objective: the network may take as much of an original request's time.
 MIN_WAIT_FRACTION = 0.1
-RETRIES_PER_REJECTION = 2.0  # expected retries for each rejection or disconnect, at this proxy or another one
+# Expected retries at this proxy for each rejection or disconnect here; assumed to include the retries after
+# those at other proxies.
+RETRIES_PER_REJECTION = 2.0
 MAX_EXPECTED_RETRIES = 200.0
 INITIAL_EXPECTED_RETRIES = 10.0
 EXPECTED_RETRIES_DECAY = 0.8  # factor per second
--- a/dunecove/policy/concurrency_limit.py
+++ b/dunecove/policy/concurrency_limit.py
@@ -95,7 +95,8 @@
 class SharedSaturation:
     """The mean saturation of all backends.
 
-    With several proxies, each receives too few responses of a single backend to judge its saturation.
+    With several proxies, each receives few responses of a single backend, so the saturation of that backend
+    alone (`LearnedLimit.saturation`) is judged late.
     """
 
     def __init__(self) -> None:
--- a/dunecove/policy/discovery_polling.py
+++ b/dunecove/policy/discovery_polling.py
@@ -11,16 +11,19 @@
 # Maximum time in which the first polls of all proxies are spread, as a fraction of the maximum poll interval.
 FIRST_POLL_MAX_FRACTION = 0.7
 FIRST_POLL_MAX_MS = 2500.0  # the same as a time; the shorter one applies
-RETRY_SLOT_MS = 10.0  # minimum delay after a failed poll, per proxy of the tier
+# Delay after a failed poll, per proxy of the tier, unless the doubled delay below is longer; the maxima and
+# the jitter apply to both.
+RETRY_SLOT_MS = 10.0
 FIRST_RETRY_MS = 500.0  # delay after the first failure, doubled with each further one
 MAX_COUNTED_FAILURES = 6  # consecutive failures after which the delay is no longer doubled
 FAST_RETRIES = 2  # consecutive failures up to which the maximum delay is `FAST_RETRY_MAX_MS`
 FAST_RETRY_MAX_MS = 750.0  # after more failures, the rest of `MAX_POLL_GAP_MS` if that is longer
-# Maximum time between the starts of two polls. A proxy is considered notified of an update after 6 s, of
-# which the detection of an unresponsive watch may take 2 s, and then a hanging poll another 2 s.
+# Maximum time from the start of a failed poll, which may hang for 2 s, to the next poll. A proxy counts as
+# notified of an update after 6 s, of which the detection of an unresponsive watch may take 2 s beforehand.
 MAX_POLL_GAP_MS = 3500.0
-MOVE_WINDOW_MS = 4000.0  # a proxy is considered notified of a new service's updates this long after the move
-# Maximum delay after a failed poll in that window or of a pushed list: the service then has spare capacity.
+MOVE_WINDOW_MS = 4000.0  # a proxy counts as notified of a new service's updates this long after the move
+# Maximum delay after a failure in that window, or if the list is pushed: the service is assumed to have the
+# capacity for frequent retries.
 MOVE_RETRY_MS = 100.0
 RETRY_JITTER = (0.5, 1.0)  # range of the random factor on the delay
 
@@ -40,7 +43,7 @@
         """Schedule the first poll.
 
         Proxies that restart together must not poll at the same moment, so each has a slot. All slots
-        end within the maximum poll interval: after that interval a proxy is considered notified of drains
+        end within the maximum poll interval: after that interval a proxy counts as notified of drains
         even if it has not received them.
         """
         settings = self._settings
--- a/dunecove/policy/dispatcher.py
+++ b/dunecove/policy/dispatcher.py
@@ -85,7 +85,7 @@
         """Return the backends with capacity, and how many requests may be sent now."""
         candidates = self._with_capacity(now, self._backends.subset)
         if self._is_sparse:
-            if not candidates:  # no request waits while a warm backend has capacity
+            if not candidates:  # rather than wait, use any subscribed warm backend
                 warm = [backend for backend in self._backends.active if backend.cold_until <= now]
                 candidates = self._with_capacity(now, warm)
             return candidates, self._in_flight.available_sends(now)
@@ -93,7 +93,7 @@
         if self._backends.unsubscribed.count and (
             not candidates or available_sends < sum(len(queue) for queue in self._queues)
         ):
-            self._backends.choose_subset(now)  # subscribes to more backends under load
+            self._backends.choose_subset(now)  # subscribes to more listed backends under load
             candidates = self._with_capacity(now, self._backends.subset)
             available_sends = self._available_concurrency(now)
         return candidates, available_sends
--- a/dunecove/policy/events.py
+++ b/dunecove/policy/events.py
@@ -31,7 +31,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The first part of a streamed response has been received (raised by the simulator only).
+    """The first part of a streamed response has been received (only the simulator sends this event).
 
     A retry of the request that is still queued is dropped.
     """
@@ -54,11 +54,11 @@
     SNAPSHOT = "snapshot"  # all entries
     CACHED = "cached"  # a list from before this process started, of unknown age
     CACHED_CONTINUED = "cached_continued"  # further entries of a long cached list
-    FAILED = "failed"  # no entries: the poll failed
+    FAILED = "failed"  # no entries: a poll or a watch failed
 
 
 class BackendListUpdate(NamedTuple):
-    """Discovery has returned an endpoint list update, or the poll has failed."""
+    """Discovery has returned an endpoint list update, or a poll or a watch has failed."""
 
     kind: ListUpdateKind
     entries: tuple[BackendInfo, ...] = ()
@@ -69,7 +69,7 @@
 
 
 class HealthCheckResult(NamedTuple):
-    """A health check has ended. Part of the wire format; `Balancer` ignores it."""
+    """A health check has ended. Part of the simulator's wire format; `Balancer` ignores it."""
 
     backend_id: str
     result: AttemptResult
--- a/dunecove/policy/in_flight_limit.py
+++ b/dunecove/policy/in_flight_limit.py
@@ -83,7 +83,7 @@
     def end_attempt(self, event: AttemptEnded) -> None:
         """Charge the latency of an ended attempt to the budget."""
         self.count -= 1
-        if event.result in BACKEND_FAULTS:  # the backend did no work for it
+        if event.result in BACKEND_FAULTS:  # assumed to have cost the backend no work
             return
         max_charge_ms = MAX_CHARGED_LATENCIES * (self._latencies.overall_ms or event.latency_ms)
         self._budget_ms -= min(event.latency_ms, max_charge_ms)
--- a/dunecove/policy/latency_tracker.py
+++ b/dunecove/policy/latency_tracker.py
@@ -1,4 +1,7 @@
-"""Mean latencies, overall and by request class, and the work rate of each kind of hardware."""
+"""Mean latencies, overall and by request class, and the work rate of each kind of hardware.
+
+A work rate is in ms of latency per ms of hinted work (`Request.work_hint_ms`): a lower rate is faster.
+"""
 
 from __future__ import annotations
 
--- a/dunecove/policy/list_updates.py
+++ b/dunecove/policy/list_updates.py
@@ -57,8 +57,8 @@
     def _update_cold(self, now: float) -> None:
         """Update which backends are cold.
 
-        Start times are judged by one another and by the clock, so an update may also change the state of
-        backends that it does not contain.
+        Whether a start time is trusted depends on the other start times and the clock (see `slow_start`), so
+        an update may also change the state of backends that it does not contain.
         """
         for backend in [b for b in self._backends.by_id.values() if b.started_at is not None]:
             self._slow_start_budget.update(now, backend)
--- a/dunecove/policy/models.py
+++ b/dunecove/policy/models.py
@@ -32,8 +32,9 @@
     CONNECT_FAILED = "connect_failed"  # also: the request was not written completely
     RESET = "reset"
     CANCELLED = "cancelled"
-    WITHDRAWN = "withdrawn"  # before it was written, since its result is no longer needed
-    NO_LOCAL_RESOURCE = "no_local_resource"  # no connection, file descriptor or time was left at this proxy
+    WITHDRAWN = "withdrawn"  # before it was written completely: no longer needed, or no longer allowed
+    # This proxy had no connection or file descriptor left, or delayed the attempt beyond its deadline.
+    NO_LOCAL_RESOURCE = "no_local_resource"
     BAD_REQUEST = "bad_request"  # the request is invalid; any other backend would report the same
 
 
--- a/dunecove/policy/outlier_detection.py
+++ b/dunecove/policy/outlier_detection.py
@@ -30,7 +30,7 @@
 REPORT_WINDOW_MS = 1000.0
 MIN_REPORTS = 3  # within the window, to eject a backend
 MIN_REPORTERS = 2  # minimum number of proxies that sent these reports
-MAX_KEPT_REPORTS = 60  # per backend
+MAX_KEPT_REPORTS = 60  # per backend, besides the newest
 GOSSIP_INTERVAL_MS = 100.0  # minimum time between two reports of one backend; more would add no information
 # Range of the random factor on the duration of an ejection caused by reports: all proxies eject the backend
 # at the same moment, but must not all send requests to it again at the same moment.
--- a/dunecove/policy/overload_detector.py
+++ b/dunecove/policy/overload_detector.py
@@ -7,7 +7,7 @@
 from dunecove.policy.settings import ACTION_DELAY_STEPS
 
 WINDOW_OBJECTIVES = 0.5  # window in latency objectives; short enough to react before requests miss theirs
-MIN_WINDOW_SENDS = 8  # the window is extended until it has as many samples: fewer are not significant
+MIN_WINDOW_SENDS = 8  # each half window is extended until it has half as many: fewer are not significant
 # The queue is overloaded if its minimum wait exceeds this fraction of (latency objective - mean latency).
 MAX_WAIT_SLACK_FRACTION = 0.08
 # Readmission period: time after an overload over which the lowest priority level is gradually admitted again,
--- a/dunecove/policy/pinned_retries.py
+++ b/dunecove/policy/pinned_retries.py
@@ -43,14 +43,14 @@
             ]
             if candidates and now < request.send_deadline:
                 request.is_queued = False
-                # The in-flight limit is not applied: the retry budget already limits these attempts.
+                # `InFlightLimit` is not applied: the retry budget already limits these attempts.
                 forwards.append(self._dispatcher.forward(now, request, candidates))
             else:
                 self.waiting.append(request)
         return forwards
 
     def _scope_members(self, now: float, request: Request, executed: Attempt) -> list[Backend]:
-        """Return the active backends in a request's scope; if they are few, subscribe to more first."""
+        """Return the subscribed active backends in a request's scope; if few, subscribe to more first."""
         scope = request.request_class.dedup_scope
         members = [backend for backend in self._backends.active if in_dedup_scope(scope, backend, executed)]
         unsubscribed = self._backends.unsubscribed
--- a/dunecove/policy/request_rules.py
+++ b/dunecove/policy/request_rules.py
@@ -1,7 +1,8 @@
 """The rules that decide whether an attempt, a retry, a rejection or the close of a connection is allowed.
 
-They depend on a request and its class. `RequestLifecycle` and `ConnectionPool` check whether the client has
-disconnected, the backend was removed or a deadline has passed; `Denial` includes these reasons too.
+Those for requests depend only on the settings, the request's class and attempts, the backend's location and
+the time. `RequestLifecycle` and `ConnectionPool` check whether the client has disconnected, the backend was
+removed or a deadline has passed; `Denial` includes these reasons too.
 
 This module uses no sockets and no clock: the caller passes the time, in milliseconds. The balancer applies
 the rules when it decides, and the network code applies them again just before the first byte of an attempt is
@@ -76,7 +77,7 @@
 
     @property
     def sent_at(self) -> float:
-        """A time at or before which its first byte was written, in ms."""
+        """The time at which its first byte was written, or an earlier one, in ms."""
 
     @property
     def is_open(self) -> bool:
--- a/dunecove/policy/settings.py
+++ b/dunecove/policy/settings.py
@@ -8,8 +8,10 @@
 
 from dunecove.policy.models import DeduplicationScope, Idempotency
 
-MAX_DENSE_PROXIES = 4  # a tier with more proxies is sparse
-ACTION_DELAY_STEPS = 2  # step intervals until an action has taken effect
+# A tier is the set of proxies that share the load; with more proxies than this it is sparse.
+MAX_DENSE_PROXIES = 4
+# Assumed time until an action has taken effect, in units of `Settings.step_interval_ms`.
+ACTION_DELAY_STEPS = 2
 
 
 class InvalidSettingError(ValueError):
@@ -35,12 +37,14 @@
 class RequestClass:
     """The settings of one request class."""
 
-    latency_objective_ms: float  # a response within this time earns the full priority weight
+    # A response within this time of the request's arrival earns the full priority weight. If late responses
+    # have no value, the time counts from the arrival of the client's original request.
+    latency_objective_ms: float
     deadline_ms: float  # time for which the client waits, including its own retries
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    dedup_scope: DeduplicationScope = DeduplicationScope.ALL  # KEYED only
-    dedup_window_ms: float = 0.0  # KEYED only: time for which backends remember a key
-    priority_weight: float = 1.0  # value of a response within the objective, per unit of work
+    dedup_scope: DeduplicationScope = DeduplicationScope.ALL  # of `Idempotency.KEYED` requests
+    dedup_window_ms: float = 0.0  # of KEYED requests: time for which backends remember a key
+    priority_weight: float = 1.0  # relative value of a response within the objective, for equal backend work
     late_weight: float = 0.0  # fraction of the priority weight earned by a response after the objective
     streams_response: bool = False
 
@@ -58,8 +62,8 @@
     over_quota_weight: float = 1.0  # factor on the priority weight of requests over their tenant's quota
     step_interval_ms: float = 1.0  # minimum time between two calls of `Balancer.step`
     polls_discovery: bool = False  # whether the endpoint list is polled rather than pushed
-    max_poll_interval_ms: float = 10000.0  # maximum time without a poll or an open watch
-    may_cancel: bool = False
+    max_poll_interval_ms: float = 10000.0  # maximum time without a poll or an open watch (long polls)
+    may_cancel: bool = False  # whether open attempts are cancelled when the client disconnects
     may_hedge: bool = False  # whether a request may have several open attempts at once
     may_health_check: bool = False  # not used by `Balancer`
     may_gossip: bool = False
@@ -77,8 +81,8 @@
     def is_sparse_tier(self) -> bool:
         """Whether the tier has more than `MAX_DENSE_PROXIES` proxies.
 
-        A proxy's share of one backend is then less than one request in flight, too few to judge the backend
-        from this proxy's own requests.
+        A proxy's share of a backend's initial concurrency limit is then less than one request in flight, too
+        few to judge the backend from this proxy's own requests.
         """
         return self.proxy_count > MAX_DENSE_PROXIES
 
@@ -97,7 +101,7 @@
         _check_non_negative(self, _NON_NEGATIVE_FIELDS)
         for quota in self.tenant_quotas:
             if not 0 <= quota < inf:
-                raise InvalidSettingError("tenant_quotas", f"must not be negative or infinite: {quota!r}")
+                raise InvalidSettingError("tenant_quotas", f"must be at least 0 and finite: {quota!r}")
 
 
 _POSITIVE_FIELDS = (
@@ -141,4 +145,4 @@
     for field in fields:
         value = getattr(owner, field)
         if not 0 <= value < inf:
-            raise InvalidSettingError(field, f"must not be negative or infinite: {value!r}", class_index)
+            raise InvalidSettingError(field, f"must be at least 0 and finite: {value!r}", class_index)
--- a/dunecove/policy/slow_start.py
+++ b/dunecove/policy/slow_start.py
@@ -2,8 +2,9 @@
 
 The endpoint list gives the wall-clock time at which each backend started. That clock, or the one that this
 proxy read when it started, may be wrong by seconds or by an hour, so a start time alone proves nothing. It
-proves a restart if it is new to a process that already had a list. Start times in a process's first lists can
-only be compared with one another. Times are in ms of the proxy's own clock, which is monotonic.
+proves a restart if it is new to a proxy process that already had a list. Start times in the first lists of
+such a process can only be compared with one another. Times are in ms of the proxy's own clock, which is
+monotonic.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
         return self._newest_received_at + self._slow_start_ms - (self._newest_start - started_at)
 
     def record_restart(self, now: float, backend_id: str, started_at: float | None) -> None:
-        """Record a start that is new to a process which already had a list."""
+        """Record a start that is new to this proxy process, which already had a list."""
         self.forget(backend_id)
         if started_at is None or self._slow_start_ms <= 0:
             return
@@ -56,7 +57,7 @@
             self.record_cached(now, backend_id, started_at)
 
     def record_cached(self, now: float, backend_id: str, started_at: float | None) -> None:
-        """Record a start from the cached list that this process started with."""
+        """Record a start from the cached list, or one from the first update that need not be recent."""
         self.forget(backend_id)
         if started_at is None or self._slow_start_ms <= 0:
             return
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -1,8 +1,9 @@
 """The backends that a proxy subscribes to, and the subset of these that it sends requests to.
 
 Each proxy ranks all backends by rendezvous hash and keeps state only of the first ones, the subscribed
-backends: no cost grows with the number of others. A sparse proxy sends requests to only a few of these, and
-to more as its traffic grows: it learns about a few backends quickly, and each one has few connections.
+backends: no cost of a request or a tick grows with the number of others. A sparse proxy sends requests to
+only a few subscribed backends, and to more as its traffic grows: it learns about a few backends quickly, and
+each one has few connections.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 MIN_SUBSET = 8  # backends; with a few requests per second a sparse proxy cannot learn about more in time
 MIN_SUBSCRIBED = 256  # backends with state; of a sparse proxy twice its subset if that is more
 SUBSCRIBED_SLACK = 64  # backends above the wanted number before some are unsubscribed: the list changes often
-SUBSCRIPTION_DECAY = 0.9  # factor per second on the number of subscribed backends as load falls
+SUBSCRIPTION_DECAY = 0.9  # factor per second on the maximum number of subscribed backends as load falls
 BACKENDS_PER_REQUEST = 2  # dense tier: backends subscribed per request that is queued or in flight here
 MAX_SUBSCRIBE_STEP = 128  # dense tier: backends subscribed at once
 
@@ -136,8 +137,9 @@
     def choose_subset(self, now: float) -> None:
         """Choose the backends that requests are sent to.
 
-        The subset includes backends of all zones, as the proxies of one zone alone would leave its backends
-        half idle or overload them. It includes cold ones, as after a release most backends are cold.
+        The subset includes backends of all zones: clients use the proxies of their own zone, whose traffic
+        alone may be too little or too much for its backends. It includes cold backends, as after a release
+        most are cold.
         """
         if self._is_sparse:
             self.subset_size = max(MIN_SUBSET, int(2 * (self._in_flight.limit + 1)))
@@ -151,7 +153,7 @@
         self.cold_subset = [backend for backend in self.subset if backend.cold_until > now]
 
     def shrink_subscriptions(self) -> None:
-        """Reduce the number of subscribed backends after a rise under load; call it once per second."""
+        """Lower the maximum number of subscribed backends, which rises under load; call once per second."""
         self._max_subscribed = int(self._max_subscribed * SUBSCRIPTION_DECAY)
 
     def _subscribe_more(self, now: float) -> None:
--- a/dunecove/policy/tenant_quotas.py
+++ b/dunecove/policy/tenant_quotas.py
@@ -54,7 +54,7 @@
 
         Traffic is seldom split evenly over the proxies: with a share of 1/N, the only proxy of a zone would
         treat all tenants as over quota. The median tenant is therefore assumed to use its quota in full, and
-        its usage is the estimate if it is above 1/N.
+        its usage is the estimate if it is above 1/N. With at most one tenant or one zone the share stays 1/N.
         """
         for tenant, quota in enumerate(self._quotas):
             usage = self._original_request_counts[tenant] / seconds / max(quota, MIN_QUOTA)
--- a/dunecove/policy/unsubscribed_backends.py
+++ b/dunecove/policy/unsubscribed_backends.py
@@ -1,7 +1,8 @@
-"""The active backends of the endpoint list that a proxy is not subscribed to.
+"""The active backends of the endpoint list that a proxy is not subscribed to: it keeps only their entries.
 
-They are stored in buckets by rank, so that most operations access a single bucket. A bucket is keyed by name,
-as two names may have the same rank. Its entries are bytes, which the garbage collector need not traverse.
+They are stored in buckets by rank (see `Backend.rank`), so that most operations access a single bucket. A
+bucket is keyed by name, as two names may have the same rank. Its entries are bytes, which the garbage
+collector need not traverse.
 """
 
 from __future__ import annotations
@@ -13,12 +14,14 @@
 from dunecove.policy.models import BackendInfo, BackendState, DeduplicationScope
 from dunecove.policy.request_rules import Location
 
-BUCKET_SHIFT = 54  # low bits of a rank that its bucket number omits; a bucket has about a hundred backends
+# Low bits of a 64-bit rank that its bucket number omits: of a list of 100,000, each of the 1024 buckets has
+# about a hundred backends.
+BUCKET_SHIFT = 54
 ENOUGH_SCOPE_MEMBERS = 8  # number of backends in a deduplication scope that is enough for a keyed retry
 _MARSHAL_VERSION = 2
 
 
-SortKey = tuple[int, str]  # sort key of this proxy's order: the hash, then the name if hashes are equal
+SortKey = tuple[int, str]  # the rank, then the name if ranks are equal
 
 
 def _encode(info: BackendInfo) -> bytes:
