--- a/dunecove/policy/actions.py
+++ b/dunecove/policy/actions.py
@@ -84,7 +84,7 @@
     consecutive_failures: int
 
     def __str__(self) -> str:
-        return f"ejected backend {self.backend_id}: {self.consecutive_failures} consecutive failures"
+        return f"ejected backend {self.backend_id}: outlier, {self.consecutive_failures} consecutive failures"
 
 
 Action = (
