--- a/dunecove/policy/admission.py
+++ b/dunecove/policy/admission.py
@@ -40,13 +40,13 @@
     """Decides whether an arriving request is admitted or shed."""
 
     def __init__(
-        self, settings: Settings, rng: Random, latencies: LatencyTracker, in_flight: InFlightLimit
+        self, settings: Settings, rng: Random, latencies: LatencyTracker, in_flight_limit: InFlightLimit
     ) -> None:
         self.quotas = TenantQuotas(settings)
         self._is_sparse = settings.is_sparse_tier
         self._rng = rng
         self._latencies = latencies
-        self._in_flight = in_flight
+        self._in_flight_limit = in_flight_limit
         self._over_quota_weight = settings.over_quota_weight
         self._max_priority_weight = max(request_class.priority_weight for request_class in settings.classes)
         self._late_work_threshold = SPARSE_LATE_WORK_THRESHOLD if self._is_sparse else LATE_WORK_THRESHOLD
@@ -96,5 +96,5 @@
             return ratio
         # A sparse proxy's queue is mostly empty and has few wait samples, so the expected wait counts too.
         # Its excess requests wait inside the backends, where only overload samples reveal them.
-        expected_ratio = self._in_flight.expected_wait_ms(now) / queue.threshold_ms()
-        return max(ratio, expected_ratio, self._in_flight.overload_fraction / MAX_OVERLOAD_FRACTION)
+        expected_ratio = self._in_flight_limit.expected_wait_ms(now) / queue.threshold_ms()
+        return max(ratio, expected_ratio, self._in_flight_limit.overload_fraction / MAX_OVERLOAD_FRACTION)
--- a/dunecove/policy/balancer.py
+++ b/dunecove/policy/balancer.py
@@ -74,24 +74,26 @@
         self.queues = list(queue_by_objective.values())
         self._queue_by_class = [queue_by_objective[c.latency_objective_ms] for c in settings.classes]
         self.latencies = LatencyTracker(len(settings.classes), is_sparse)
-        self.in_flight = InFlightLimit(settings.proxy_count, self.queues[0].objective_ms, self.latencies)
+        self.in_flight_limit = InFlightLimit(
+            settings.proxy_count, self.queues[0].objective_ms, self.latencies
+        )
         self._slow_start = SlowStart(settings.slow_start_ms)
         self._slow_start_budget = SlowStartBudget(settings, rng, self._slow_start)
-        self.backends = BackendSet(settings, self.queues, self.in_flight, self._slow_start_budget)
+        self.backends = BackendSet(settings, self.queues, self.in_flight_limit, self._slow_start_budget)
         self._list_updates = ListUpdates(
-            self.backends, self._slow_start, self._slow_start_budget, self.in_flight
+            self.backends, self._slow_start, self._slow_start_budget, self.in_flight_limit
         )
         self.bandit = Bandit(settings, rng, self.latencies)
         self._outliers = OutlierDetector(settings, rng, self.backends)
         self._feedback = Feedback(
-            settings, self.backends, self.latencies, self.in_flight, self.bandit, self._outliers
+            settings, self.backends, self.latencies, self.in_flight_limit, self.bandit, self._outliers
         )
-        self.admission = Admission(settings, rng, self.latencies, self.in_flight)
+        self.admission = Admission(settings, rng, self.latencies, self.in_flight_limit)
         self.client_retries = ClientRetries(len(settings.classes))
         self.retry_policy = RetryPolicy(settings, self.latencies)
         self._timeouts = QueueTimeouts(settings, self.latencies)
         self._dispatcher = Dispatcher(
-            settings, self.queues, self.backends, self.in_flight, self.latencies, self.bandit
+            settings, self.queues, self.backends, self.in_flight_limit, self.latencies, self.bandit
         )
         self.pinned_retries = PinnedRetries(self.backends, self._dispatcher)
         self.polling = DiscoveryPolling(settings, rng)
@@ -119,7 +121,7 @@
         self._is_started = True
         self._last_slow_tick_at = now
         self._slow_start_budget.start(now)
-        self.in_flight.start(now)
+        self.in_flight_limit.start(now)
         self.admission.quotas.start(now)
         self._actions.append(SetTimer(TICK_MS, 0))
         self.polling.start(now)
@@ -176,7 +178,7 @@
         attempt.end(event.result)
         request.open_attempt_count -= 1
         attempt.backend.end_attempt()
-        self.in_flight.end_attempt(event)
+        self.in_flight_limit.end_attempt(event)
         ejection = self._feedback.record(now, request, attempt.backend, event)
         if ejection is not None:
             self._actions.append(ejection)
--- a/dunecove/policy/dispatcher.py
+++ b/dunecove/policy/dispatcher.py
@@ -31,7 +31,7 @@
         settings: Settings,
         queues: Sequence[RequestQueue],
         backends: BackendSet,
-        in_flight: InFlightLimit,
+        in_flight_limit: InFlightLimit,
         latencies: LatencyTracker,
         bandit: Bandit,
     ) -> None:
@@ -39,7 +39,7 @@
         self._is_sparse = settings.is_sparse_tier
         self._queues = queues
         self._backends = backends
-        self._in_flight = in_flight
+        self._in_flight_limit = in_flight_limit
         self._latencies = latencies
         self._bandit = bandit
 
@@ -71,7 +71,7 @@
         backend = self._bandit.pick(now, request, candidates, len(self._backends.subset))
         request.attempts.append(Attempt(backend, now))
         request.open_attempt_count += 1
-        self._in_flight.begin_attempt()
+        self._in_flight_limit.begin_attempt()
         backend.begin_attempt(now)
         end = min(request.value_expires_at - self._settings.step_interval_ms, request.deadline)
         write_timeout_ms = inf
@@ -88,7 +88,7 @@
             if not candidates:  # rather than wait, use any subscribed warm backend
                 warm = [backend for backend in self._backends.active if backend.cold_until <= now]
                 candidates = self._with_capacity(now, warm)
-            return candidates, self._in_flight.available_sends(now)
+            return candidates, self._in_flight_limit.available_sends(now)
         available_sends = self._available_concurrency(now)
         if self._backends.unsubscribed.count and (
             not candidates or available_sends < sum(len(queue) for queue in self._queues)
--- a/dunecove/policy/feedback.py
+++ b/dunecove/policy/feedback.py
@@ -34,14 +34,14 @@
         settings: Settings,
         backends: BackendSet,
         latencies: LatencyTracker,
-        in_flight: InFlightLimit,
+        in_flight_limit: InFlightLimit,
         bandit: Bandit,
         outliers: OutlierDetector,
     ) -> None:
         self._is_sparse = settings.is_sparse_tier
         self._backends = backends
         self._latencies = latencies
-        self._in_flight = in_flight
+        self._in_flight_limit = in_flight_limit
         self._bandit = bandit
         self._outliers = outliers
         self._saturation = SharedSaturation()
@@ -62,7 +62,7 @@
         objective_ms = request.queue.objective_ms
         if self._is_sparse:
             subset = self._backends.subset
-            self._in_flight.record_outcome(result, latency_ms, objective_ms, backend, subset)
+            self._in_flight_limit.record_outcome(result, latency_ms, objective_ms, backend, subset)
         # The latency excludes the wait in the queue, which the backend does not cause.
         self._bandit.record_outcome(backend, result is AttemptResult.OK and latency_ms <= objective_ms)
         if result is AttemptResult.OK:
--- a/dunecove/policy/list_updates.py
+++ b/dunecove/policy/list_updates.py
@@ -22,12 +22,12 @@
         backends: BackendSet,
         slow_start: SlowStart,
         slow_start_budget: SlowStartBudget,
-        in_flight: InFlightLimit,
+        in_flight_limit: InFlightLimit,
     ) -> None:
         self._backends = backends
         self._slow_start = slow_start
         self._slow_start_budget = slow_start_budget
-        self._in_flight = in_flight
+        self._in_flight_limit = in_flight_limit
         self._has_discovery_list = False  # whether an update has come from discovery
 
     def apply(self, now: float, update: BackendListUpdate) -> None:
@@ -51,7 +51,7 @@
         self._has_discovery_list = self._has_discovery_list or not is_cached
         backends.refresh_active()
         if not backends.subset or update.kind is ListUpdateKind.CACHED_CONTINUED:
-            self._in_flight.reset(backends.listed_count)
+            self._in_flight_limit.reset(backends.listed_count)
         backends.choose_subset(now)
 
     def _update_cold(self, now: float) -> None:
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -38,13 +38,13 @@
         self,
         settings: Settings,
         queues: Sequence[RequestQueue],
-        in_flight: InFlightLimit,
+        in_flight_limit: InFlightLimit,
         slow_start_budget: SlowStartBudget,
     ) -> None:
         self._settings = settings
         self._is_sparse = settings.is_sparse_tier
         self._queues = queues
-        self._in_flight = in_flight
+        self._in_flight_limit = in_flight_limit
         self._slow_start_budget = slow_start_budget
         self._by_hash: dict[int, list[Backend]] = {}  # two names rarely have the same hash
         self._subscribed_boundary: SortKey = (0, "")  # all active backends up to this sort key are subscribed
@@ -142,14 +142,14 @@
         most are cold.
         """
         if self._is_sparse:
-            self.subset_size = max(MIN_SUBSET, int(2 * (self._in_flight.limit + 1)))
+            self.subset_size = max(MIN_SUBSET, int(2 * (self._in_flight_limit.limit + 1)))
         self._subscribe_more(now)
         self.subset = self.active
         if self._is_sparse:
             ranked = sorted(self.active, key=lambda backend: backend.rank)
             available = [backend for backend in ranked if backend.ejected_until <= now]
             self.subset = available[: self.subset_size] or ranked
-            self.min_backend_limit = max(1.0, self._in_flight.limit / max(len(self.subset), 1))
+            self.min_backend_limit = max(1.0, self._in_flight_limit.limit / max(len(self.subset), 1))
         self.cold_subset = [backend for backend in self.subset if backend.cold_until > now]
 
     def shrink_subscriptions(self) -> None:
@@ -177,7 +177,7 @@
         if self._is_sparse:
             return 2 * self.subset_size
         unavailable = sum(max(backend.cold_until, backend.ejected_until) > now for backend in self.active)
-        request_count = self._in_flight.count + sum(len(queue) for queue in self._queues)
+        request_count = self._in_flight_limit.count + sum(len(queue) for queue in self._queues)
         wanted = BACKENDS_PER_REQUEST * request_count + min(unavailable, 2 * MIN_SUBSCRIBED)
         return min(wanted, len(self.active) + MAX_SUBSCRIBE_STEP)
 
--- a/tests/policy/test_in_flight_limit.py
+++ b/tests/policy/test_in_flight_limit.py
@@ -23,11 +23,11 @@
         make_settings(RequestClass(300.0, 5000.0, late_weight=0.5), **SPARSE_TIER), *make_backends(40)
     )
     run_requests(driver, 20, 50.0)
-    limit_before = driver.balancer.in_flight.limit
+    limit_before = driver.balancer.in_flight_limit.limit
     run_requests(driver, 20, 290.0)
-    reduced_limit = driver.balancer.in_flight.limit
+    reduced_limit = driver.balancer.in_flight_limit.limit
     run_requests(driver, 60, 50.0)
-    assert reduced_limit < limit_before / 4 and driver.balancer.in_flight.limit > 2 * reduced_limit
+    assert reduced_limit < limit_before / 4 and driver.balancer.in_flight_limit.limit > 2 * reduced_limit
 
 
 def test_uneven_work_does_not_reduce_the_limit() -> None:
@@ -39,11 +39,11 @@
         make_settings(RequestClass(1000.0, 5000.0), proxy_count=40, zone_count=2), *make_backends(20)
     )
     run_requests(driver, 1, 5.0)
-    limit_before = driver.balancer.in_flight.limit
+    limit_before = driver.balancer.in_flight_limit.limit
     for _ in range(40):
         run_requests(driver, 3, 40.0)
         run_requests(driver, 1, 600.0)
-    assert driver.balancer.in_flight.limit >= limit_before
+    assert driver.balancer.in_flight_limit.limit >= limit_before
 
 
 def test_two_concurrent_requests_after_an_idle_time_are_both_sent() -> None:
@@ -56,7 +56,7 @@
 def test_small_limit_queues_most_of_a_burst() -> None:
     driver = Driver(make_settings(**SPARSE_TIER), *make_backends(40))
     run_requests(driver, 10, 50.0)
-    driver.balancer.in_flight.limit = 0.1
+    driver.balancer.in_flight_limit.limit = 0.1
     request_ids = [driver.send_request(timeout_ms=5000) for _ in range(20)]
     assert 1 <= sum(request_id in driver.forwards for request_id in request_ids) <= 6
 
@@ -74,7 +74,7 @@
     """
     driver = Driver(make_settings(RequestClass(900.0, 5000.0), **SPARSE_TIER), *make_backends(40))
     run_requests(driver, 20, 40.0)
-    driver.balancer.in_flight.limit = 1.0
+    driver.balancer.in_flight_limit.limit = 1.0
     driver.run_ticks(1000)
     for _ in range(attempt_count):
         driver.end_attempt(
@@ -90,7 +90,7 @@
 def test_long_responses_of_all_backends_exhaust_the_limit() -> None:
     driver = Driver(make_settings(RequestClass(900.0, 5000.0), **SPARSE_TIER), *make_backends(40))
     run_requests(driver, 60, 400.0)
-    driver.balancer.in_flight.limit = 0.5
+    driver.balancer.in_flight_limit.limit = 0.5
     sent = []
     for _ in range(20):
         request_id = driver.send_request(timeout_ms=5000)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -306,6 +306,6 @@
     """The few requests of one proxy of hundreds are too few to learn about a dozen backends."""
     driver = Driver(make_settings(**SPARSE_TIER), *make_backends(60))
     assert len(driver.balancer.backends.subset) <= 8
-    driver.balancer.in_flight.limit = 9.0
+    driver.balancer.in_flight_limit.limit = 9.0
     driver.run_ticks(1100)
     assert len(driver.balancer.backends.subset) == 20
