--- a/dunecove/adapter.py
+++ b/dunecove/adapter.py
@@ -21,7 +21,7 @@
     """One simulated proxy."""
 
     balancer: Balancer
-    class_count: int
+    request_class_count: int
 
 
 class Adapter:
@@ -60,7 +60,7 @@
                 pending.pop(index, None)
                 del self.instances[index]
             else:
-                event = read_event(raw, self.instances[index].class_count)
+                event = read_event(raw, self.instances[index].request_class_count)
                 pending.setdefault(index, []).append(event)
         except (DunecoveError, ValueError) as error:
             raise MalformedMessageError(f"{name} for instance {index}: {error}") from None
--- a/dunecove/policy/list_updates.py
+++ b/dunecove/policy/list_updates.py
@@ -61,7 +61,7 @@
         backends that it does not contain.
         """
         for backend in [b for b in self._backends.by_id.values() if b.started_at is not None]:
-            self._slow_start_budget.update(now, backend)
+            self._slow_start_budget.update_cold_until(now, backend)
 
     def _record_start(
         self, now: float, entry: BackendInfo, previous: UnsubscribedBackends, is_cached: bool
--- a/dunecove/policy/slow_start_budget.py
+++ b/dunecove/policy/slow_start_budget.py
@@ -32,7 +32,7 @@
         """Set the time from which the first refill counts."""
         self._refilled_at = now
 
-    def update(self, now: float, backend: Backend) -> None:
+    def update_cold_until(self, now: float, backend: Backend) -> None:
         """Update when a backend becomes warm; one that has just become cold gets a small budget."""
         was_cold = backend.cold_until > now
         backend.cold_until = self._slow_start.slow_start_end(backend.id)
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -121,7 +121,7 @@
         if entry.started_at != backend.started_at:
             backend.reset()
             backend.started_at = entry.started_at
-            self._slow_start_budget.update(now, backend)
+            self._slow_start_budget.update_cold_until(now, backend)
 
     def _remove(self, backend: Backend, state: BackendState) -> None:
         del self.by_id[backend.id]
--- a/dunecove/proxy/incremental_json.py
+++ b/dunecove/proxy/incremental_json.py
@@ -29,7 +29,7 @@
             yield chunk
 
 
-def consume(chunks: list[bytes | bytearray]) -> Iterator[bytes | bytearray]:
+def pop_chunks(chunks: list[bytes | bytearray]) -> Iterator[bytes | bytearray]:
     """Yield the chunks in order and remove each from the list, so that it is freed after use."""
     chunks.reverse()
     while chunks:
--- a/dunecove/proxy/long_list.py
+++ b/dunecove/proxy/long_list.py
@@ -17,7 +17,7 @@
     decode_endpoint,
     encode_endpoint,
 )
-from dunecove.proxy.incremental_json import ArraySlices, consume
+from dunecove.proxy.incremental_json import ArraySlices, pop_chunks
 from dunecove.proxy.sharded_table import ShardedTable
 from dunecove.wire.fields import as_array, as_object
 from dunecove.wire.settings import ProxySettings
@@ -53,7 +53,7 @@
         """Read the list and return its revision; empties `body_parts`, raises MalformedInputError."""
         await self._copy_endpoints()
         with malformed_list_errors():
-            slices = ArraySlices(consume(body_parts))
+            slices = ArraySlices(pop_chunks(body_parts))
             for entries in slices:
                 self._process_slice(entries)
                 await asyncio.sleep(0)
--- a/tests/proxy/test_incremental_json.py
+++ b/tests/proxy/test_incremental_json.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from dunecove.proxy import incremental_json
-from dunecove.proxy.incremental_json import ArraySlices, consume
+from dunecove.proxy.incremental_json import ArraySlices, pop_chunks
 
 TEXT = st.text(alphabet='ab{}[],:"\\ \n', max_size=8)
 
@@ -37,7 +37,7 @@
 
 def read(text: bytes, chunk_bytes: int, *path: str) -> tuple[list[Any], Any]:
     slices = ArraySlices(
-        consume([text[start : start + chunk_bytes] for start in range(0, len(text), chunk_bytes)]), *path
+        pop_chunks([text[start : start + chunk_bytes] for start in range(0, len(text), chunk_bytes)]), *path
     )
     entries = [entry for decoded in slices for entry in decoded]
     return entries, slices.remainder
