--- a/dunecove/adapter.py
+++ b/dunecove/adapter.py
@@ -1,4 +1,7 @@
-"""The simulator's adapter: reads batches of events from stdin and writes the actions to stdout."""
+"""The adapter through which a simulator runs balancers.
+
+It reads batches of events from stdin, one JSON object per line, and writes the balancers' actions to stdout.
+"""
 
 from __future__ import annotations
 
@@ -31,15 +34,15 @@
         self.instances: dict[int, Instance] = {}
 
     def handle_batch(self, line: bytes) -> bytes:
-        """Process a line and return the reply; raise MalformedInputError if the line is invalid."""
+        """Process a batch and return the reply; raise MalformedInputError if the line is invalid."""
         now_ms, entries = _read_batch(line)
         pending: dict[int, list[Event]] = {}
         for entry in entries:
             self._handle_entry(as_object(entry, "news entry"), pending)
-        commands: list[JsonObject] = []
+        actions: list[JsonObject] = []
         for index, events in pending.items():
-            commands += self._step(now_ms, index, events)
-        return orjson.dumps({"cmds": commands})
+            actions += self._step(now_ms, index, events)
+        return orjson.dumps({"cmds": actions})
 
     def _handle_entry(self, raw: JsonObject, pending: dict[int, list[Event]]) -> None:
         name = raw.get("what")
@@ -55,7 +58,7 @@
                 pending[index] = []
                 self.instances[index] = _provision(raw)
             elif index not in self.instances:
-                raise MalformedMessageError("instance was never provisioned")
+                raise MalformedMessageError("no such instance: not provisioned, or it has exited")
             elif name == "Exit":
                 pending.pop(index, None)
                 del self.instances[index]
@@ -63,7 +66,7 @@
                 event = read_event(raw, self.instances[index].request_class_count)
                 pending.setdefault(index, []).append(event)
         except (DunecoveError, ValueError) as error:
-            raise MalformedMessageError(f"{name} for instance {index}: {error}") from None
+            raise MalformedMessageError(f"event (what={name}) for instance {index}: {error}") from None
 
     def _step(self, now_ms: float, index: int, events: list[Event]) -> list[JsonObject]:
         try:
--- a/dunecove/config.py
+++ b/dunecove/config.py
@@ -35,13 +35,14 @@
 MIN_DESCRIPTORS = 32  # with fewer, hardly any client could be served
 # Descriptors for the program itself, for discovery and for connections that are being closed.
 RESERVED_DESCRIPTORS = 40
-# With few descriptors a quarter of them is reserved, but at least this number: a running program has 16 of
-# its own, including those for peers and discovery, and one more for each connection that is accepted or
-# opened while another is being closed.
+# Below 160 descriptors a quarter of them is reserved, but at least this number. The assumption is that a
+# running program has 16 open itself, including those for peers and discovery; the other 8 are for connections
+# that are accepted or opened while others are still being closed.
 MIN_RESERVED_DESCRIPTORS = 24
-# Fraction of the unreserved descriptors for backend connections. Requests hold at most a third of all
-# descriptors as client connections and, with one attempt at a time each, no more as backend connections. The
-# rest is for client connections that are idle or awaiting a request.
+# Fraction of the unreserved descriptors for backend connections; the others are for client connections. The
+# assumption is that requests hold at most a third of all descriptors as client connections and, with one
+# attempt at a time per request, at most as many as backend connections. The rest is for client connections
+# that are idle or have not yet sent a request.
 BACKEND_SHARE = 0.42
 
 
@@ -64,15 +65,16 @@
     proxy_settings: ProxySettings
     cached_list: CachedEndpointList
     max_descriptors: int
-    memory_mb: float
+    memory_mb: float  # memory limit of the process (MiB), which bounds the size of endpoint lists
     peer_addresses: PeerAddresses | None  # None: no gossip
 
 
 def read_config(environment: Mapping[str, str], *, skips_long_list: bool = False) -> Config:
     """Return the configuration; raise ConfigurationError if it is invalid or cannot be read.
 
-    With `skips_long_list` the entries of a long cached list are not read, as a running proxy doesn't need
-    them.
+    If the cached list (`known`) is longer than one slice of `ArraySlices`, the file is read a second time for
+    the entries that are in slices, which may raise OSError. With `skips_long_list` these entries are left out
+    of `cached_list`, as a running proxy doesn't need them.
     """
     path = environment.get("LB_CONFIG")
     if not path:
@@ -94,7 +96,7 @@
 
 
 def _read_outline(path: str) -> tuple[JsonObject, bool]:
-    """Return the configuration file without the entries of a long cached list, and whether it has one."""
+    """Return the configuration without those cached list entries that are in slices, and if there are any."""
     try:
         outline, has_long_list = ArraySlices(read_file(path), "known").read_remainder()
     except OSError as error:
@@ -160,7 +162,8 @@
     max_descriptors = min(configured, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
     if max_descriptors < MIN_DESCRIPTORS:
         raise InvalidFieldError(
-            f"sockets or the open file limit is {max_descriptors}, but must be at least {MIN_DESCRIPTORS}"
+            f"the smaller of limits.sockets and the open file limit is {max_descriptors}, "
+            f"but must be at least {MIN_DESCRIPTORS}"
         )
     return max_descriptors
 
@@ -173,7 +176,7 @@
 
 
 def _peer_addresses(fields: JsonObject) -> PeerAddresses | None:
-    """Return the addresses of the other proxies; None if none are configured."""
+    """Return the addresses for gossip; None if no peers are configured."""
     if not fields.get("peers"):
         return None
     addresses = PeerAddresses(
--- a/dunecove/proxy/incremental_json.py
+++ b/dunecove/proxy/incremental_json.py
@@ -15,7 +15,8 @@
 FILE_READ_BYTES = 64 * 1024
 MAX_PREFIX_BYTES = 1024 * 1024  # a document whose array starts later is decoded in one call
 # Consecutive positions tried as the end of a slice: some are inside an entry that holds objects. After these,
-# the tried position doubles with each try, so that the tries grow with the logarithm of the text's size.
+# the length of the slice is at least doubled for each further try, so that the number of tries grows with the
+# logarithm of the text's length.
 MAX_CONSECUTIVE_CUTS = 16
 ARRAY_MEMBER = "targets"
 _ARRAY_START = re.compile(rb'"targets"\s*:\s*\[')
@@ -77,10 +78,11 @@
         return bytes(text[: start.end()]) if start else b""
 
     def _next_slice(self, text: bytearray) -> list[Any] | None:
-        """Remove the next entries from `text`, reading more as needed; None if no more can be cut off.
+        """Remove the next entries from `text` and return them; None if no more can be cut off.
 
-        The text is cut between a closing brace and a comma. If that is inside an entry or a string, decoding
-        fails, since the brace of the entry is still open; then the next such position is tried.
+        More text is read as needed. It is cut between a closing brace and a comma. If that is inside an entry
+        or a string, decoding fails, since the brace of the entry is still open; then a later such position is
+        tried.
         """
         min_bytes = SLICE_BYTES
         failed_cuts = 0
@@ -103,7 +105,10 @@
 
 
 def _is_before_array(prefix: bytes, path: tuple[str, ...]) -> bool:
-    """Return whether `prefix` ends at the bracket of the array at `path`, not elsewhere or in a string."""
+    """Return whether `prefix` ends with the opening bracket of the `targets` of the object at `path`.
+
+    `prefix` may instead end in a string or at a member `targets` of another object.
+    """
     try:
         data = orjson.loads(prefix + b"]" + b"}" * (len(path) + 1))
     except orjson.JSONDecodeError:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -121,7 +121,7 @@
         (json.dumps({"TsMs": 1, "news": 5}), ["news"]),
         (json.dumps({"TsMs": "soon", "news": []}), ["TsMs"]),
         (batch(2, {"what": "Surprise", "ProxyId": 3}), ["Surprise", "instance 3", "unknown event"]),
-        (batch(2, CALL | {"ProxyId": 9}), ["instance 9", "never provisioned"]),
+        (batch(2, CALL | {"ProxyId": 9}), ["instance 9", "no such instance: not provisioned"]),
         (batch(2, without(CALL, "ProxyId")), ["ProxyId", "missing"]),
         (batch(2, without(CALL, "what")), ["what", "missing"]),
         (batch(2, CALL | {"Lane": 4}), ["Lane", "instance 3"]),
