--- a/dunecove/policy/bandit.py
+++ b/dunecove/policy/bandit.py
@@ -25,10 +25,10 @@
 # fraction of the objective.
 MAX_WORK_OBJECTIVE_FRACTION = 0.35
 # Work rates are in ms of latency per ms of hinted work: lower is faster.
-WORK_RATE_TIE_FACTOR = 1.15  # a kind counts as fast up to this multiple of the fastest kind's work rate
+WORK_RATE_TIE_FACTOR = 1.15  # kinds up to this multiple of the fastest kind's work rate count as equal
 COLD_WORK_RATE_FACTOR = 2.0  # a cold backend is assumed to have this multiple of its kind's work rate
-# The choice is restricted to the suitable candidates (untried, with capacity) only if they are at least 1 in
-# this many of the subset: fewer would be overloaded.
+# The choice is restricted to the suitable candidates (with capacity, and untried if possible) only if they
+# are at least 1 in this many of the subset: fewer would be overloaded.
 MAX_BACKENDS_PER_SUITABLE = 3
 
 
--- a/dunecove/policy/list_updates.py
+++ b/dunecove/policy/list_updates.py
@@ -66,7 +66,7 @@
     def _record_start(
         self, now: float, entry: BackendInfo, previous: UnsubscribedBackends, is_cached: bool
     ) -> None:
-        """Record the start of a backend if it is new to this process.
+        """Record the start of a backend if that start is new to this proxy process.
 
         `previous` contains the backends that were unsubscribed before the update.
         """
