--- a/dunecove/policy/list_updates.py
+++ b/dunecove/policy/list_updates.py
@@ -22,12 +22,12 @@
         backends: BackendSet,
         slow_start: SlowStart,
         slow_start_budget: SlowStartBudget,
-        in_flight: InFlightLimit,
+        in_flight_limit: InFlightLimit,
     ) -> None:
         self._backends = backends
         self._slow_start = slow_start
         self._slow_start_budget = slow_start_budget
-        self._in_flight = in_flight
+        self._in_flight_limit = in_flight_limit
         self._has_discovery_list = False  # whether an update has come from discovery
 
     def apply(self, now: float, update: BackendListUpdate) -> None:
@@ -51,14 +51,14 @@
         self._has_discovery_list = self._has_discovery_list or not is_cached
         backends.refresh_active()
         if not backends.subset or update.kind is ListUpdateKind.CACHED_CONTINUED:
-            self._in_flight.reset(backends.listed_count)
+            self._in_flight_limit.reset(backends.listed_count)
         backends.choose_subset(now)
 
     def _update_cold(self, now: float) -> None:
         """Update which backends are cold.
 
-        Start times are judged by one another and by the clock, so an update may also change the state of
-        backends that it does not contain.
+        Whether a start time is trusted depends on the other start times and the clock (see `slow_start`), so
+        an update may also change the state of backends that it does not contain.
         """
         for backend in [b for b in self._backends.by_id.values() if b.started_at is not None]:
             self._slow_start_budget.update_cold_until(now, backend)
@@ -66,7 +66,7 @@
     def _record_start(
         self, now: float, entry: BackendInfo, previous: UnsubscribedBackends, is_cached: bool
     ) -> None:
-        """Record the start of a backend if it is new to this process.
+        """Record the start of a backend if that start is new to this proxy process.
 
         `previous` contains the backends that were unsubscribed before the update.
         """
--- a/dunecove/policy/subsetting.py
+++ b/dunecove/policy/subsetting.py
@@ -1,8 +1,9 @@
 """The backends that a proxy subscribes to, and the subset of these that it sends requests to.
 
 Each proxy ranks all backends by rendezvous hash and keeps state only of the first ones, the subscribed
-backends: no cost grows with the number of others. A sparse proxy sends requests to only a few of these, and
-to more as its traffic grows: it learns about a few backends quickly, and each one has few connections.
+backends: no cost of a request or a tick grows with the number of others. A sparse proxy sends requests to
+only a few subscribed backends, and to more as its traffic grows: it learns about a few backends quickly, and
+each one has few connections.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 from dunecove.policy.request_queue import RequestQueue
 from dunecove.policy.settings import Settings
 from dunecove.policy.slow_start_budget import SlowStartBudget
-from dunecove.policy.unsubscribed_backends import Rank, UnsubscribedBackends
+from dunecove.policy.unsubscribed_backends import SortKey, UnsubscribedBackends
 
 MIN_SUBSET = 8  # backends; with a few requests per second a sparse proxy cannot learn about more in time
 MIN_SUBSCRIBED = 256  # backends with state; of a sparse proxy twice its subset if that is more
 SUBSCRIBED_SLACK = 64  # backends above the wanted number before some are unsubscribed: the list changes often
-SUBSCRIPTION_DECAY = 0.9  # factor per second on the number of subscribed backends as load falls
+SUBSCRIPTION_DECAY = 0.9  # factor per second on the maximum number of subscribed backends as load falls
 BACKENDS_PER_REQUEST = 2  # dense tier: backends subscribed per request that is queued or in flight here
 MAX_SUBSCRIBE_STEP = 128  # dense tier: backends subscribed at once
 
 
-def _rank_of(backend: Backend) -> Rank:
+def _sort_key(backend: Backend) -> SortKey:
     return backend.rank, backend.id
 
 
@@ -37,16 +38,16 @@
         self,
         settings: Settings,
         queues: Sequence[RequestQueue],
-        in_flight: InFlightLimit,
+        in_flight_limit: InFlightLimit,
         slow_start_budget: SlowStartBudget,
     ) -> None:
         self._settings = settings
         self._is_sparse = settings.is_sparse_tier
         self._queues = queues
-        self._in_flight = in_flight
+        self._in_flight_limit = in_flight_limit
         self._slow_start_budget = slow_start_budget
         self._by_hash: dict[int, list[Backend]] = {}  # two names rarely have the same hash
-        self._rank_boundary: Rank = (0, "")  # all active backends up to this rank are subscribed
+        self._subscribed_boundary: SortKey = (0, "")  # all active backends up to this sort key are subscribed
         self._max_subscribed = MIN_SUBSCRIBED  # number of backends to subscribe to, without the slack
         self.by_id: dict[str, Backend] = {}  # the subscribed backends, in any state
         self.active: list[Backend] = []  # the subscribed backends that are active
@@ -55,7 +56,7 @@
         self.subset: list[Backend] = []  # the backends that requests are sent to
         self.subset_size = 0  # of a sparse proxy: wanted size of the subset
         self.cold_subset: list[Backend] = []  # backends that were cold when the subset was chosen
-        self.sparse_backend_limit = 0.0  # of a sparse proxy: minimum concurrency limit of each backend
+        self.min_backend_limit = 0.0  # minimum concurrency limit of each backend; 0 in a dense tier
 
     def find_by_hash(self, name_hash: int) -> Sequence[Backend]:
         """Return the subscribed backends whose names have this hash, the oldest subscription first."""
@@ -88,7 +89,7 @@
             self._add_or_update(now, entry)
         elif entry.state is not BackendState.ACTIVE:
             self.unsubscribed.pop(entry.backend_id)
-        elif self.unsubscribed.rank(entry.backend_id) > self._rank_boundary:
+        elif self.unsubscribed.sort_key(entry.backend_id) > self._subscribed_boundary:
             self.unsubscribed.put(entry)
         else:
             self._add_or_update(now, entry)
@@ -136,22 +137,23 @@
     def choose_subset(self, now: float) -> None:
         """Choose the backends that requests are sent to.
 
-        The subset includes backends of all zones, as the proxies of one zone alone would leave its backends
-        half idle or overload them. It includes cold ones, as after a release most backends are cold.
+        The subset includes backends of all zones: clients use the proxies of their own zone, whose traffic
+        alone may be too little or too much for its backends. It includes cold backends, as after a release
+        most are cold.
         """
         if self._is_sparse:
-            self.subset_size = max(MIN_SUBSET, int(2 * (self._in_flight.limit + 1)))
+            self.subset_size = max(MIN_SUBSET, int(2 * (self._in_flight_limit.limit + 1)))
         self._subscribe_more(now)
         self.subset = self.active
         if self._is_sparse:
             ranked = sorted(self.active, key=lambda backend: backend.rank)
             available = [backend for backend in ranked if backend.ejected_until <= now]
             self.subset = available[: self.subset_size] or ranked
-            self.sparse_backend_limit = max(1.0, self._in_flight.limit / max(len(self.subset), 1))
+            self.min_backend_limit = max(1.0, self._in_flight_limit.limit / max(len(self.subset), 1))
         self.cold_subset = [backend for backend in self.subset if backend.cold_until > now]
 
     def shrink_subscriptions(self) -> None:
-        """Reduce the number of subscribed backends after a rise under load; call it once per second."""
+        """Lower the maximum number of subscribed backends, which rises under load; call once per second."""
         self._max_subscribed = int(self._max_subscribed * SUBSCRIPTION_DECAY)
 
     def _subscribe_more(self, now: float) -> None:
@@ -160,7 +162,7 @@
         if self.unsubscribed.count and len(self.active) < self._max_subscribed:
             names = self.unsubscribed.first(self._max_subscribed - len(self.active))
             self.subscribe(now, names)
-            self._rank_boundary = max(self._rank_boundary, self.unsubscribed.rank(names[-1]))
+            self._subscribed_boundary = max(self._subscribed_boundary, self.unsubscribed.sort_key(names[-1]))
         if self._has_too_many_subscribed():
             self._trim_subscribed()
             self.refresh_active()
@@ -175,7 +177,7 @@
         if self._is_sparse:
             return 2 * self.subset_size
         unavailable = sum(max(backend.cold_until, backend.ejected_until) > now for backend in self.active)
-        request_count = self._in_flight.count + sum(len(queue) for queue in self._queues)
+        request_count = self._in_flight_limit.count + sum(len(queue) for queue in self._queues)
         wanted = BACKENDS_PER_REQUEST * request_count + min(unavailable, 2 * MIN_SUBSCRIBED)
         return min(wanted, len(self.active) + MAX_SUBSCRIBE_STEP)
 
@@ -188,9 +190,11 @@
             self._remove(backend, BackendState.DRAINING)
         if len(self.by_id) <= self._max_subscribed:
             return
-        ranked = sorted(self.by_id.values(), key=_rank_of)
-        last_rank = _rank_of(ranked[: self._max_subscribed][-1])
-        self._rank_boundary = min(self._rank_boundary, last_rank) if self.unsubscribed.count else last_rank
+        ranked = sorted(self.by_id.values(), key=_sort_key)
+        last_key = _sort_key(ranked[: self._max_subscribed][-1])
+        self._subscribed_boundary = (
+            min(self._subscribed_boundary, last_key) if self.unsubscribed.count else last_key
+        )
         for backend in ranked[self._max_subscribed :]:
             if backend.in_flight == 0:
                 self._remove(backend, BackendState.ACTIVE)
