--- a/dunecove/proxy/attempt.py
+++ b/dunecove/proxy/attempt.py
@@ -31,18 +31,18 @@
         timeout_ms: float,
         on_end: Callable[[Attempt, AttemptResult, Response | None], None],
         write_timeout_ms: float = inf,
-        record_denial: Callable[[], Denial | None] = _never_denied,
+        check_denial: Callable[[], Denial | None] = _never_denied,
     ) -> None:
         """Create an attempt that ends within `timeout_ms` and is written within `write_timeout_ms`.
 
-        `head` is the request line and the headers, without the empty line at the end. `record_denial`
+        `head` is the request line and the headers, without the empty line at the end. `check_denial`
         returns and records why the rules forbid writing the request now; None if they allow it.
         """
         self.backend_id = backend_id
         self.head = head
         self.body = body
         self.on_end = on_end
-        self.record_denial = record_denial
+        self.check_denial = check_denial
         self.started_at = now_ms()
         self.sent_at = self.started_at  # not later than the time at which its first byte is written
         self.deadline = self.started_at + timeout_ms
--- a/dunecove/proxy/connection_pool.py
+++ b/dunecove/proxy/connection_pool.py
@@ -199,13 +199,13 @@
     def _find_denial(self, attempt: Attempt) -> Denial | None:
         """Return why an attempt must not be written, or None; called before its first byte is written.
 
-        Denials by the rules of the request are returned and recorded by `Attempt.record_denial`.
+        Denials by the rules of the request are returned and recorded by `Attempt.check_denial`.
         """
         if self.endpoints.get(attempt.backend_id) is None:
             return Denial.BACKEND_REMOVED
         if attempt.has_expired():
             return Denial.DEADLINE_EXCEEDED
-        return attempt.record_denial()
+        return attempt.check_denial()
 
     def end_if_denied(self, attempt: Attempt) -> None:
         """End an attempt that must not be written any more, now that its connection is open.
--- a/dunecove/proxy/request_lifecycle.py
+++ b/dunecove/proxy/request_lifecycle.py
@@ -129,7 +129,7 @@
                 request, attempt_index, ended, result, response
             ),
             action.write_timeout_ms - elapsed_ms,
-            lambda: self._record_denial(request, attempt_index),
+            lambda: self._check_denial(request, attempt_index),
         )
         request.attempts.append(attempt)
         self._telemetry.record(request.parsed.request_id, RequestStage.ATTEMPT_STARTED)
@@ -236,7 +236,7 @@
         self._raise_event(AttemptEnded(request_id, attempt_index, result, latency_ms, request.is_finished))
         self._queue_if_ended(request)
 
-    def _record_denial(self, request: OpenRequest, attempt_index: int) -> Denial | None:
+    def _check_denial(self, request: OpenRequest, attempt_index: int) -> Denial | None:
         """Return why an attempt may not be written now, or None if it may.
 
         A denial is recorded and, if unexpected, reported as a violation. Whether the client has disconnected
