--- a/dunecove/proxy/endpoint_list.py
+++ b/dunecove/proxy/endpoint_list.py
@@ -9,8 +9,8 @@
 from dunecove.proxy.sharded_table import ShardedTable
 
 # Indexes in the tuple that is an encoded endpoint.
-ZONE_OFFSET = 2
-CELL_OFFSET = 4
+ZONE_INDEX = 2
+CELL_INDEX = 4
 MARSHAL_VERSION = 2  # the last version without references, so that equal endpoints have equal encodings
 
 # The stored form of an active endpoint: compact, and not traversed by the garbage collector.
@@ -68,4 +68,4 @@
 def decode_location(encoded: EncodedEndpoint) -> tuple[int, int]:
     """Decode only zone and cell."""
     fields = loads(encoded)
-    return fields[ZONE_OFFSET], fields[CELL_OFFSET]
+    return fields[ZONE_INDEX], fields[CELL_INDEX]
