--- a/scale/measure_process.py
+++ b/scale/measure_process.py
@@ -144,13 +144,13 @@
         configuration = synthetic.configuration(discovery.address, "127.0.0.1:0", settings, cached)
         with ProxyProcess(configuration) as proxy:
             try:
-                wait_for_watch(discovery, 1)
+                wait_until_applied(discovery, 1)
                 yield discovery, proxy
             except UpdateRefusedError:
                 raise UpdateRefusedError(proxy.next_log_line()) from None
 
 
-def wait_for_watch(discovery: StubDiscovery, revision: int) -> None:
+def wait_until_applied(discovery: StubDiscovery, revision: int) -> None:
     """Wait until the proxy has applied the list up to `revision`.
 
     Raise UpdateRefusedError if it refuses an update, or MeasurementError after a timeout.
@@ -172,7 +172,7 @@
     for update in updates:
         discovery.publish(revision, update)
         revision += 1
-    wait_for_watch(discovery, revision)
+    wait_until_applied(discovery, revision)
     return revision
 
 
