--- a/scale/fleet/metrics.py
+++ b/scale/fleet/metrics.py
@@ -17,7 +17,7 @@
     FAILED = "failed"
     UNANSWERED = "unanswered"
     FORWARDS = "sends"
-    FORWARDS_AFTER_GRACE = "sends after grace"
+    FORWARDS_AFTER_DRAIN_GRACE = "sends after grace"
     FORWARDS_TO_STOPPED = "sends to gone"
     FORWARDS_TO_COLD = "sends to cold"
     FAILED_DISCOVERY_CALLS = "failed calls"
--- a/scale/fleet/proxy.py
+++ b/scale/fleet/proxy.py
@@ -327,7 +327,7 @@
         if revision is not None and backend.state != ACTIVE:
             grace_ms = self._cluster.settings.drain_grace_ms + SOCKET_SLACK_MS
             if self._loop.now_ms() > self.notified_at(revision) * 1000 + grace_ms:
-                counts[Count.FORWARDS_AFTER_GRACE] += 1
+                counts[Count.FORWARDS_AFTER_DRAIN_GRACE] += 1
 
     def notified_at(self, revision: int) -> float:
         """Return the time (s) at which this proxy counts as notified of a revision.
