--- a/dunecove/errors.py
+++ b/dunecove/errors.py
@@ -1,14 +1,17 @@
-"""The exceptions of the program. Their messages are written for operators, on one line."""
+"""Exceptions whose messages are written for operators, on one line."""
 
 from __future__ import annotations
 
 
 class DunecoveError(Exception):
-    """Base class of the program's exceptions."""
+    """Base class of the exceptions whose messages are written for operators."""
 
 
 class MalformedInputError(DunecoveError):
-    """JSON input is invalid; the message names the key, and the value if it is short."""
+    """JSON input is invalid.
+
+    Most messages name the key; those about a string, number or choice also contain the value.
+    """
 
 
 class MissingFieldError(MalformedInputError):
--- a/dunecove/proxy/attempt.py
+++ b/dunecove/proxy/attempt.py
@@ -36,7 +36,7 @@
         """Create an attempt that ends within `timeout_ms` and is written within `write_timeout_ms`.
 
         `head` is the request line and the headers, without the empty line at the end. `check_denial`
-        returns and records why the rules forbid writing the request now; None if they allow it.
+        returns why the rules forbid writing the request now, and records it; None if they allow it.
         """
         self.backend_id = backend_id
         self.head = head
--- a/dunecove/proxy/backend_connection.py
+++ b/dunecove/proxy/backend_connection.py
@@ -50,7 +50,7 @@
         super().__init__()
         self.owner = owner
         self.backend_connections = backend_connections
-        self.generation = backend_connections.generation
+        self.generation = backend_connections.generation  # if a later one has started, this is not reused
         self.address = address
         self.attempt: Attempt | None = None
         self.connect_task: asyncio.Task[None] | None = None
--- a/dunecove/proxy/cached_list_feed.py
+++ b/dunecove/proxy/cached_list_feed.py
@@ -1,4 +1,4 @@
-"""Feeds the proxy's endpoint list to a new balancer, one slice per step."""
+"""Feeds an endpoint list, cached or current, to a new balancer as a cached one, one slice per step."""
 
 from __future__ import annotations
 
--- a/dunecove/proxy/client_connection.py
+++ b/dunecove/proxy/client_connection.py
@@ -32,8 +32,8 @@
 LINGER_READ_TIMEOUT_S = 5.0  # time for a lingering client to read its last response
 MAX_LINGER_BYTES = 1024 * 1024  # received and discarded while lingering; any more abort the connection
 MAX_UNREAD_RESPONSE_BYTES = 2 * MAX_BODY_BYTES  # response bytes that a client may leave unread
-# Maximum time (ms) from the deadline of a pipelined request to its response: well within the grace period in
-# which a response still counts.
+# Maximum time (ms) from the deadline of a pipelined request to its response: well within the grace period, in
+# which a late response is no violation.
 PIPELINED_GRACE_MS = RESPONSE_GRACE_MS / 2
 READY_PATH = b"/health/ready"
 
@@ -225,7 +225,9 @@
         telemetry.count(CounterName.CONNECTION_CLOSED, reason.value)
         if self.has_unanswered_request() and reason is not CloseReason.CLIENT:
             telemetry.report_violation(
-                Violation.UNANSWERED, self.request_id or "", f"connection was closed: {reason.value}"
+                Violation.UNANSWERED,
+                self.request_id or "(not dispatched)",
+                f"connection was closed: {reason.value}",
             )
 
     def _linger(self) -> None:
@@ -285,7 +287,7 @@
             self.server.slots.mark_idle(self)
 
     def _update_reading(self) -> None:
-        """Pause reading while more than one chunk is buffered, and resume it otherwise."""
+        """Pause reading while more than `PARSE_CHUNK_BYTES` are buffered, and resume it otherwise."""
         if len(self.buffer) > PARSE_CHUNK_BYTES:
             self.paused_since = self.paused_since or now_ms()
             self.transport.pause_reading()
--- a/dunecove/proxy/connection_slots.py
+++ b/dunecove/proxy/connection_slots.py
@@ -15,7 +15,9 @@
 REQUEST_TIMEOUT_S = 2.0  # from connecting, or from a request's first byte, until the request must be complete
 IDLE_TIMEOUT_S = 30.0  # keep-alive time between two requests
 CROWDED_IDLE_TIMEOUT_S = 2.0  # keep-alive time while more than half of the slots are in use
-LINGER_TIMEOUT_S = 1.0  # time for which a connection may linger after its last response
+# Time for a client to close a lingering connection; up to `LINGER_READ_TIMEOUT_S` while its response is being
+# delivered.
+LINGER_TIMEOUT_S = 1.0
 # Time during which a new connection may send its first request, and a lingering one may close, without being
 # evicted.
 EVICTION_GRACE_MS = 250.0
@@ -43,7 +45,7 @@
         self.connections: set[ClientConnection] = set()
         self.awaiting_request: dict[ClientConnection, float] = {}  # new, or with an incomplete request
         self.idle: dict[ClientConnection, float] = {}  # kept alive between two requests
-        self.lingering: dict[ClientConnection, float] = {}  # the last response has been written
+        self.lingering: dict[ClientConnection, float] = {}  # no further response will be written
 
     def reserve(self) -> None:
         """Take a slot for a connection that is being accepted."""
@@ -82,7 +84,7 @@
         self.idle[connection] = now_ms()
 
     def mark_lingering(self, connection: ClientConnection) -> None:
-        """Record that the last response of a connection has been written, so that it may close."""
+        """Record that no further response will be written on a connection, so that it may close."""
         self._leave_state(connection)
         self.lingering[connection] = now_ms()
 
@@ -91,7 +93,7 @@
         self._leave_state(connection)
 
     def is_lingering(self, connection: ClientConnection) -> bool:
-        """Return whether a connection has had its last response and is waiting to close."""
+        """Return whether a connection waits to close, without any further response."""
         return connection in self.lingering
 
     def lingering_since(self, connection: ClientConnection) -> float:
--- a/dunecove/proxy/discovery_client.py
+++ b/dunecove/proxy/discovery_client.py
@@ -1,7 +1,8 @@
 """The client of the discovery service, whose watch keeps the endpoint list up to date.
 
 A watch is a sequence of long polls that ends when one fails. A call is one request to the service. An opening
-call is the first call of a watch; several may be in flight until one is answered.
+call is the first call of a watch. If it times out, the watch fails but the call stays in flight (unless the
+list is pushed), and its late response serves a later watch.
 """
 
 from __future__ import annotations
@@ -27,19 +28,21 @@
 from dunecove.wire.settings import ProxySettings
 
 OPENING_LONG_POLL_MS = 1  # the service responds at once, which shows that the watch works
-# A proxy counts as notified of an update that its unresponsive watch missed 6 s after the watch became
-# unresponsive. By then the watch must have timed out and been reopened, with a second try if connecting
-# hangs. So the service may wait for a change for 1 s, and then has 1 s to respond.
+# The platform counts a proxy as notified of an update 6 s after the service had it and could be reached. By
+# then an unresponsive watch must have timed out (after 1 s in which the service may wait for a change and 1 s
+# to respond) and been reopened, with a second opening call if the first one hangs (2 s each).
 LONG_POLL_MS = 1000.0
 RESPONSE_TIMEOUT_MS = 1000.0
 # An opening call may hang, or be queued by the service if many proxies call at once. After this timeout
 # another call is made, up to MAX_OPENING_CALLS in flight, while earlier calls keep their places in the
-# service's queue: if each try started at the end of the queue, some proxies might never be served.
+# service's queue: if each call replaced the one before it at the end of the queue, some proxies might never
+# be served.
 OPENING_TIMEOUT_MS = 2000.0
 MAX_OPENING_CALLS = 3
-# A proxy counts as notified of an update of a pushed list as soon as the service, an agent on this machine,
-# has recovered. A watch that hangs until then must time out and be reopened within the drain grace: each
-# timeout is limited to this fraction of the drain grace. The agent is slow only when the machine is.
+# Where lists are pushed to an agent on this machine, the platform counts a proxy as notified at once. A watch
+# that hangs until the agent has recovered must time out and be reopened within `drain_grace_ms`, in which
+# attempts to a draining backend may still be written: each timeout is at most this fraction of it. The agent
+# is assumed to be slow only when the machine is.
 DRAIN_GRACE_FRACTION = 0.4
 MIN_PUSHED_TIMEOUT_MS = 200.0
 # The maximum size of a list, as a fraction of the memory that the process itself leaves free: a list that
@@ -175,7 +178,7 @@
             return await self._fetch(self.connection, self.long_poll_ms)
 
     async def _open_watch(self) -> BodyParts:
-        """Return the first response to any opening call, including those of earlier tries."""
+        """Return the first response to any opening call, including timed-out calls of earlier watches."""
         latest = self._find_answered_call() or self._start_opening_call()
         try:
             async with _response_timeout(self.opening_timeout_ms) as timeout:
--- a/dunecove/proxy/discovery_errors.py
+++ b/dunecove/proxy/discovery_errors.py
@@ -32,7 +32,10 @@
 
 @contextmanager
 def malformed_list_errors() -> Iterator[None]:
-    """Convert errors raised while a list is read to MalformedListError."""
+    """Convert KeyError and ValueError raised while a list is read to MalformedListError.
+
+    Other errors, such as InvalidFieldError, pass unchanged.
+    """
     try:
         yield
     except KeyError as error:
--- a/dunecove/proxy/endpoint_list.py
+++ b/dunecove/proxy/endpoint_list.py
@@ -8,7 +8,7 @@
 from dunecove.policy.models import BackendInfo, BackendState
 from dunecove.proxy.sharded_table import ShardedTable
 
-# Indexes in the tuple that is an encoded endpoint.
+# Indexes in the tuple that `encode_endpoint` serialises.
 ZONE_INDEX = 2
 CELL_INDEX = 4
 MARSHAL_VERSION = 2  # the last version without references, so that equal endpoints have equal encodings
--- a/dunecove/proxy/engine.py
+++ b/dunecove/proxy/engine.py
@@ -133,6 +133,7 @@
     # Balancer steps
 
     def _feed_cached_list(self, backend_ids: list[str]) -> None:
+        """Start to pass the cached list, or after a failure the current one, to the balancer in slices."""
         self._list_updates = [self.cached_list_feed.start(backend_ids)]
 
     def _raise_event(self, event: Event) -> None:
@@ -156,7 +157,7 @@
         for action in actions:
             try:
                 self._execute(action)
-            except Exception:  # the other actions, such as the timer of the next tick, must still be executed
+            except Exception:  # the other actions, such as a `SetTimer`, must still be executed
                 log(f"internal error: action {action} failed\n{traceback.format_exc()}")
         self.requests.remove_ended(ended)
 
@@ -182,8 +183,8 @@
         # The delay leaves time to respond to clients if each new balancer fails in its first step.
         self._next_step = self._loop.call_later(RESTART_DELAY_S, self._step)
         if self.discovery is not None and not self._settings.polls_discovery:
-            # The event that the watch had ended may have been lost with the old balancer. With a pushed list
-            # a watch must always be open; otherwise the new balancer starts polling by itself.
+            # The event that the watch had ended may have been lost with the old balancer. A pushed list
+            # needs a watch at all times; for a polled list, the new balancer starts polling by itself.
             self.discovery.watch()
         self.requests.fail_all()
 
--- a/dunecove/proxy/http_request.py
+++ b/dunecove/proxy/http_request.py
@@ -51,7 +51,10 @@
 
 
 def check_framing(headers: Headers) -> None:
-    """Raise RequestError if the length of the body is ambiguous, which would allow request smuggling."""
+    """Raise RequestError if the body is too large, or its length is invalid or its coding not supported.
+
+    An ambiguous length is invalid, since it would allow request smuggling.
+    """
     lengths = [value for name, value in headers if name == b"content-length"]
     codings = [value for name, value in headers if name == b"transfer-encoding"]
     if len(lengths) + len(codings) > 1:
@@ -76,7 +79,8 @@
         self._completed: list[HttpRequest | RequestError] = []
         self.has_failed = False
         self.is_mid_request = False  # a request has begun and is incomplete
-        self.expects_continue = False  # the last fed bytes completed a head with `expect: 100-continue`
+        # The last fed bytes completed a head with `expect: 100-continue`, and no request before it.
+        self.expects_continue = False
         self.arrived_at = 0.0  # arrival time of the bytes being parsed, in ms of `now_ms`
         self._start_request()
 
@@ -97,7 +101,8 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            # Invalid bytes directly after a request mean that its declared length may be wrong.
+            # The request completed before the invalid bytes is dropped too: its declared length may be wrong.
+            # A request for an upgrade is completed before the parser raises; the error replaces it.
             if self._completed and isinstance(self._completed[-1], HttpRequest):
                 self._completed.pop()
             self._fail(400)
--- a/dunecove/proxy/listener.py
+++ b/dunecove/proxy/listener.py
@@ -154,7 +154,10 @@
             self.close_between_requests()
 
     def close_between_requests(self) -> None:
-        """Close the connections without a started request; those with unread input are served first."""
+        """Close idle connections, and new ones that were silent for `EVICTION_GRACE_MS`.
+
+        Those with unread input are served first.
+        """
         for connection in self.slots.between_requests():
             if connection.may_close():
                 connection.close(CloseReason.SHUTDOWN)
--- a/dunecove/proxy/log_writer.py
+++ b/dunecove/proxy/log_writer.py
@@ -21,7 +21,7 @@
         self.line_count = 0  # lines logged in the current second, dropped ones included
         self._second = 0  # the second of `now_ms` in which `line_count` counts
         self._dropped_count = 0
-        self._is_line_truncated = False  # whether the last line was written only partially
+        self._is_line_truncated = False  # whether the last line may have been written only partially
 
     def __call__(self, message: str) -> None:
         """Write a line, or drop it if the rate limit is exceeded or standard error is not writable."""
--- a/dunecove/proxy/long_list.py
+++ b/dunecove/proxy/long_list.py
@@ -121,6 +121,7 @@
 
     async def _publish(self, revision: int, endpoints: Iterable[Endpoint]) -> None:
         self._on_update(EndpointListUpdate(revision, False, tuple(endpoints)))
-        # Twice, so that the balancer's step with this update runs before the next update is published.
+        # Before the next update is published, the first `sleep` runs the balancer's step with this update,
+        # and the second one the callbacks that this step has queued.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
--- a/dunecove/proxy/request_lifecycle.py
+++ b/dunecove/proxy/request_lifecycle.py
@@ -30,7 +30,7 @@
 
 
 class RequestLifecycle:
-    """The open requests. Each gets exactly one response, by its deadline."""
+    """The open requests. Each gets exactly one response, by its deadline, unless its client disconnects."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self._telemetry = telemetry
         self._raise_event = raise_event
         self._ended: list[OpenRequest] = []  # to be removed once the balancer has been notified of their end
-        self._is_shutting_down = False  # whether new requests are rejected, since no time is left for them
+        self._rejects_new = False  # set at the end of the shutdown: no time is left for new requests
         self._loop = asyncio.get_running_loop()
 
     # Input from the client
@@ -64,13 +64,13 @@
             self._telemetry.count(CounterName.DUPLICATE_REQUEST_ID)
             return False
         self.recent_ids.add(request_id)
-        # Capped by the deadline of the class: the balancer recognises retries by the longest remaining time
-        # of a class, which a single client must not raise.
+        # Capped by the deadline of the class: the balancer recognises retries by how much less time they have
+        # left than the longest remaining time seen in their class, which a single client must not raise.
         budget_ms = min(parsed.budget_ms, self._settings.classes[parsed.class_index].deadline_ms)
         request = OpenRequest(parsed)
         self.open[request_id] = request
         self._telemetry.record(request_id, RequestStage.ACCEPTED)
-        if self._is_shutting_down:
+        if self._rejects_new:
             self._loop.call_soon(self._reject_at_shutdown, request)
             return True
         request.deadline_timer = self._loop.call_later(max(budget_ms, 0.0) / 1000, self._on_deadline, request)
@@ -99,7 +99,8 @@
     def shorten_deadline(self, request_id: str, response_deadline: float) -> None:
         """Set an earlier response deadline for a request, in ms of `now_ms`; a later one is ignored.
 
-        Pipelined requests behind it can't be answered before it is.
+        Pipelined requests behind it can't be answered before it is. The new time is compared with
+        `response_deadline`: if the timer is set to an earlier deadline of the class, it may be postponed.
         """
         request = self.open.get(request_id)
         if request is None or request.is_finished or request.deadline_timer is None:
@@ -180,7 +181,7 @@
 
     def expire_all(self) -> None:
         """Fail all unanswered requests now, pipelined ones included, and reject new requests."""
-        self._is_shutting_down = True
+        self._rejects_new = True
         while unanswered := [request for request in self.open.values() if not request.is_finished]:
             for request in unanswered:
                 self._on_deadline(request)
--- a/dunecove/proxy/request_registry.py
+++ b/dunecove/proxy/request_registry.py
@@ -8,7 +8,7 @@
 from dunecove.proxy.client_messages import ParsedRequest
 from dunecove.proxy.clock import now_ms
 
-MIN_ID_RETENTION_MS = 4000.0  # clients do not wait longer than this for a response
+MIN_ID_RETENTION_MS = 4000.0  # assumed longest wait of a client, unless a class has a longer deadline
 MAX_RECENT_IDS = 20_000
 
 
@@ -16,10 +16,11 @@
     """A request that has not been answered or has attempts that have not ended. Times are ms of `now_ms`."""
 
     def __init__(self, parsed: ParsedRequest) -> None:
-        """Create the request; the client's budget starts now."""
+        """Create the request, whose client waits for another `parsed.budget_ms`."""
         self.parsed = parsed
         self.deadline = now_ms() + parsed.budget_ms  # time at which the client stops waiting
-        self.response_deadline = self.deadline  # earlier if a pipelined request behind this one has less time
+        # Earlier if a pipelined request behind this one has less time; not capped by the class's deadline.
+        self.response_deadline = self.deadline
         self.attempts: list[Attempt] = []
         self.is_finished = False  # answered, or the client has disconnected
         self.deadline_timer: asyncio.TimerHandle | None = None
--- a/dunecove/proxy/socket_probe.py
+++ b/dunecove/proxy/socket_probe.py
@@ -21,12 +21,18 @@
 
 
 def is_closed_by_peer(transport: asyncio.Transport) -> bool:
-    """Return whether the peer has closed or reset the connection, even while reading is paused."""
+    """Return whether the peer has closed, half-closed or reset the connection, even while reading is paused.
+
+    A connection that is being closed on this side counts as closed too.
+    """
     return transport.is_closing() or _poll(transport, select.POLLRDHUP)
 
 
 def find_closed_by_peer(transports: Iterable[asyncio.Transport]) -> list[asyncio.Transport]:
-    """Return the transports whose peer has closed or reset the connection, with one system call for all."""
+    """Return the transports whose peer has closed, half-closed or reset the connection.
+
+    One system call checks all of them.
+    """
     poll = select.poll()
     by_fileno = {}
     for transport in transports:
--- a/dunecove/reload.py
+++ b/dunecove/reload.py
@@ -11,7 +11,8 @@
 from dunecove.proxy.log_writer import log
 from dunecove.proxy.telemetry import CounterName
 
-# Delays before the retries of a failed reload: a changed discovery address must take effect within 4 s.
+# Delays before the retries of a failed reload; the fifth retry is after 3.1 s, the last one after 6.3 s. The
+# platform counts a proxy as notified of a change 4 s after a SIGHUP that names another discovery address.
 RETRY_DELAYS_S = (0.1, 0.2, 0.4, 0.8, 1.6, 3.2)
 
 
--- a/dunecove/server.py
+++ b/dunecove/server.py
@@ -24,8 +24,8 @@
 
 # New connections still arrive for 0.5 s after SIGTERM; the rest is a margin for a busy machine.
 ACCEPT_AFTER_SIGTERM_S = 0.55
-# After SIGTERM, the platform waits for the longest class deadline, but at most for this time, and kills the
-# proxy 0.7 s later.
+# The platform kills the proxy 0.7 s after the longest class deadline (at most 3 s), counted from SIGTERM. The
+# 0.7 s include `ACCEPT_AFTER_SIGTERM_S`, which precedes this timeout, and the time for the last responses.
 MAX_SHUTDOWN_DEADLINE_S = 3.0
 GOSSIP_RETRY_S = 1.0
 COUNTERS_INTERVAL_S = 60.0  # between reports; SIGUSR1 triggers one immediately
@@ -56,7 +56,8 @@
     if config.peer_addresses is not None:
         _open_gossip(engine, config.peer_addresses)
     listener = Listener(engine, RequestValidator(config.settings, config.proxy_settings), limits.clients)
-    listener.listen(config.listen_address)  # before polling discovery, since a failure ends the process
+    # Before discovery is polled: if the address is unavailable, the process ends.
+    listener.listen(config.listen_address)
     if not config.settings.polls_discovery:
         # A pushed list only reaches the discovery agent on this machine; the proxy must read it from there.
         engine.discovery.watch()
@@ -109,13 +110,17 @@
     reloader.close()
     report_task.cancel()
     engine.telemetry.report()
-    # Closing the loop removes its signal handlers; a later signal must not kill the process before it exits.
+    # Closing the loop removes its signal handlers; a later SIGHUP, SIGTERM or SIGINT must not kill the
+    # process before it exits. SIGUSR1 is not blocked.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
     log("stopped")
 
 
 def _log_internal_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log an unexpected exception, which ends the connection whose code raised it, but not the process."""
+    """Log an unexpected exception.
+
+    It ends the connection if a method of its protocol raised it, but never the process.
+    """
     log(f"internal error in the event loop: {context.get('message')}: {context.get('exception')!r}")
 
 
@@ -127,7 +132,7 @@
 
 async def _freeze_startup_objects() -> None:
     """Exclude long-lived objects from garbage collection: traversing them would delay requests."""
-    await asyncio.sleep(0)  # runs the first step of the balancer, which loads the cached list
+    await asyncio.sleep(0)  # runs the balancer's first step, which loads the first slice of the cached list
     gc.collect()
     gc.freeze()
     gc.enable()
--- a/dunecove/wire/fields.py
+++ b/dunecove/wire/fields.py
@@ -68,5 +68,5 @@
 
 
 def as_objects(value: object, key: str) -> list[JsonObject]:
-    """Return a JSON array of objects."""
+    """Return a JSON array of objects; the error for an entry of another type names the array's `key`."""
     return [as_object(entry, key) for entry in as_array(value, key)]
--- a/dunecove/wire/simulator.py
+++ b/dunecove/wire/simulator.py
@@ -65,7 +65,10 @@
 
 
 def read_event(raw: JsonObject, class_count: int) -> Event:
-    """Convert a message to an event; raise MalformedInputError or ValueError if it is invalid."""
+    """Convert a message to an event; raise MalformedInputError or ValueError if it is invalid.
+
+    The caller has checked that the message has a `what`.
+    """
     name = raw["what"]
     if name == "Incoming":
         return read_request_arrived(raw, class_count)
@@ -141,7 +144,7 @@
     result_name = as_string(required(raw, "How"), "How")
     return HealthCheckResult(
         backend_id=as_string(required(raw, "Backend"), "Backend"),
-        # A health check may fail with a result that is not in the table; only OK is distinguished.
+        # A health check may end with a result that is not in the table, which becomes ERROR.
         result=_RESULTS.get(result_name, AttemptResult.ERROR),
         latency_ms=as_number(required(raw, "DelaySeenMs"), "DelaySeenMs"),
     )
--- a/scale/fleet/metrics.py
+++ b/scale/fleet/metrics.py
@@ -13,11 +13,11 @@
 
     REQUESTS = "requests"
     SERVED = "served"
-    REJECTED = "refused"
-    FAILED = "failed"
-    UNANSWERED = "unanswered"
+    REJECTED = "refused"  # ended by the balancer's action `Reject`
+    FAILED = "failed"  # ended by the balancer's action `Fail`
+    UNANSWERED = "unanswered"  # ended by the deadline
     FORWARDS = "sends"
-    FORWARDS_AFTER_DRAIN_GRACE = "sends after grace"
+    FORWARDS_AFTER_DRAIN_GRACE = "sends after grace"  # to a backend that drains or is removed
     FORWARDS_TO_STOPPED = "sends to gone"
     FORWARDS_TO_COLD = "sends to cold"
     FAILED_DISCOVERY_CALLS = "failed calls"
@@ -42,7 +42,7 @@
 
 
 class RevisionTimes:
-    """Revisions of the list with the time (s) at which each was received, both in ascending order."""
+    """Revisions of the list with the time (s) at which each was recorded, both in ascending order."""
 
     def __init__(self) -> None:
         self._revisions: list[int] = []
@@ -60,7 +60,7 @@
             self._times.append(now)
 
     def first_at(self, revision: int) -> float | None:
-        """Return the time at which that revision or a later one was first received; None if none was."""
+        """Return the time at which that revision or a later one was first recorded; None if none was."""
         index = bisect_left(self._revisions, revision)
         return self._times[index] if index < len(self._times) else None
 
--- a/scale/measure_process.py
+++ b/scale/measure_process.py
@@ -14,7 +14,8 @@
 from scale.proxy_process import ProxyProcess, ReadinessProbe
 from scale.stub_discovery import StubDiscovery
 
-ENTRIES_PER_DELTA = 4000  # when the list is sent as several deltas; such a response is well under 1 MiB
+# When the list is sent as several deltas; such a response is well under 1 MiB, which any proxy accepts.
+ENTRIES_PER_DELTA = 4000
 APPLY_TIMEOUT_S = 60.0  # time within which the proxy must have applied a list
 # SETTLE_S and IDLE_S are whole seconds, since an idle proxy does some of its work once per second.
 SETTLE_S = 2.0  # time after a list is applied in which deferred work still counts as the cost of the list
@@ -31,7 +32,7 @@
         Series(
             f"{name}-take",
             "ms",
-            f"to apply the list, until {SETTLE_S:g} s after the next watch, minus the idle cost in that time",
+            f"to apply the list, plus the cost above idle in the {SETTLE_S:g} s after it is applied",
         ),
         Series(f"{name}-rest", "ms", "per second when the proxy is idle with that list"),
         Series(f"{name}-change", "ms", "a delta of two entries, minus the idle cost"),
@@ -99,7 +100,10 @@
 
 
 def measure_unprobed(parameters: RunParameters, updates: list[bytes]) -> UnprobedCost:
-    """Measure memory and processor time of a proxy without requests; `delta_ms` is the sum of all deltas."""
+    """Measure memory and processor time of a proxy without requests.
+
+    `delta_ms` is the sum over all deltas, without the idle cost; `apply_ms` includes the idle cost.
+    """
     with start_proxy(parameters) as (discovery, proxy):
         before_ms = proxy.cpu_ms()
         revision = publish_all(discovery, updates, 1)
@@ -151,7 +155,7 @@
 
 
 def wait_until_applied(discovery: StubDiscovery, revision: int) -> None:
-    """Wait until the proxy has applied the list up to `revision`.
+    """Wait until the proxy watches from `revision`, which shows that it has applied the list up to it.
 
     Raise UpdateRefusedError if it refuses an update, or MeasurementError after a timeout.
     """
