--- a/scale/fleet/network.py
+++ b/scale/fleet/network.py
@@ -16,9 +16,8 @@
 READ_BYTES = 64 * 1024  # maximum size of a read from a socket
 RESPONSE_HEAD = b"HTTP/1.1 %b\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 HEAD_END = b"\r\n\r\n"
-UNCONNECTED_SOCKET = (
-    socket.socket()
-)  # returned by transports, since the discovery client shuts down the socket's sending side
+# Returned by transports, since the discovery client shuts down the socket's sending side.
+UNCONNECTED_SOCKET = socket.socket()
 
 
 class RegionEndpoint:
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -46,6 +46,5 @@
     for _ in range(80):
         driver.end_attempt(driver.send_request(), elapsed_ms=150)
     assert all(backend.window_responses < 8 for backend in backends)
-    assert sum(backend.limit for backend in backends) == pytest.approx(
-        before / 2
-    )  # to `MIN_LIMIT` at each backend
+    # To `MIN_LIMIT` at each backend.
+    assert sum(backend.limit for backend in backends) == pytest.approx(before / 2)
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -102,9 +102,8 @@
     for now, count in sent[200:]:
         count_before = max((sent_count for time, sent_count in sent if time <= now - 2000), default=0)
         capacity = 0.12 + 0.88 * max(0.0, now - 2000 - start) / 20_000
-        assert (
-            count - count_before <= 3 * capacity * 10 * 2 + 3
-        )  # 3: the overload rule's tolerance for random variation
+        # 3: the overload rule's tolerance for random variation.
+        assert count - count_before <= 3 * capacity * 10 * 2 + 3
     assert sent[-1][1] > 3
 
 
--- a/tests/proxy/test_connection_edges.py
+++ b/tests/proxy/test_connection_edges.py
@@ -326,10 +326,8 @@
             other_client.send(x_call_id="other")
             first_requests.append(await proxy.backends[0].requests.get())
             assert [received.headers["x-call-id"] for received in first_requests] == ["f0", "other"]
-            assert list(proxy.engine.requests.open) == [
-                "f0",
-                "other",
-            ]  # one request of each connection at a time
+            # One request of each connection at a time.
+            assert list(proxy.engine.requests.open) == ["f0", "other"]
             for received in first_requests:
                 received.respond(received.headers["x-call-id"].encode())
             assert (await other_client.read_response()).body == b"other"
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -91,9 +91,8 @@
             request = await backend.requests.get()
             request.respond()
             await harness.result()
-            harness.pool.connections_by_backend["s"].idle[0].idle_since = (
-                now_ms() + 1000
-            )  # not idle for the minimum time, however slow the machine is
+            # Not idle for the minimum time, however slow the machine is.
+            harness.pool.connections_by_backend["s"].idle[0].idle_since = now_ms() + 1000
             assert await harness.serve_attempt(backend) == 2
 
     run(test())
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -174,9 +174,8 @@
             assert set(proxy.engine.connection_pool.endpoints) == {"s0", "s1"}
             valid = await proxy.discovery_server.requests.get()
             reply(valid, make_endpoint_list(3, make_list_entry("s1", proxy.backends[1].address)))
-            await (
-                proxy.discovery_server.requests.get()
-            )  # the next poll follows after the update was processed
+            # The next poll follows after the update was processed.
+            await proxy.discovery_server.requests.get()
             assert set(proxy.engine.connection_pool.endpoints) == {"s1"}
             for number in range(5):
                 client.send(x_call_id=f"c{number}")
@@ -497,9 +496,8 @@
             assert connection is not None
             body = json.dumps(make_endpoint_list(42, make_list_entry("old", ADDRESS))).encode()
             connection.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
-            assert harness.client.set_address(
-                other_service.address
-            )  # before the watch has processed the response
+            # Before the watch has processed the response.
+            assert harness.client.set_address(other_service.address)
             harness.client.watch()
             first = await other_service.requests.get()
             assert first.request_line == "GET /registry/instances HTTP/1.1"
--- a/tests/proxy/test_engine.py
+++ b/tests/proxy/test_engine.py
@@ -564,11 +564,12 @@
                 assert (await client.read_response()).status == 200
                 return
             await wait_until(lambda: len(events(AttemptEnded)) == 1 + reuses_connection)
+            # Does not count as a failure of the backend.
             assert events(AttemptEnded)[-1][:3] == (
                 "late",
                 0,
                 AttemptResult.NO_LOCAL_RESOURCE,
-            )  # does not count as a failure of the backend
+            )
             assert proxy.backends[0].requests.empty() and proxy.backends[0].connection_count == int(
                 reuses_connection
             )
